--- a/crates/seamhatch-lab/src/backends.rs
+++ b/crates/seamhatch-lab/src/backends.rs
@@ -10,8 +10,8 @@
 use http::{Method, Request, StatusCode};
 use http_body_util::{BodyExt, Full};
 use seamhatch_core::identity::Address;
-use seamhatchd::backend::{HttpClient, http_client};
 use seamhatchd::listeners::{self, Listener};
+use seamhatchd::server::backend::{HttpClient, http_client};
 use std::collections::HashMap;
 use std::convert::Infallible;
 use std::net::TcpListener;
@@ -242,7 +242,7 @@
         request: header(REQUEST_HEADER).unwrap_or_default(),
         call: header(CALL_HEADER).unwrap_or_default(),
         trail: header(TRAIL_HEADER).unwrap_or_default(),
-        context: header(seamhatchd::headers::CONTEXT),
+        context: header(seamhatchd::conventions::headers::CONTEXT),
         path: parts.uri.path().to_owned(),
         method: parts.method,
     };
@@ -331,7 +331,7 @@
             .header(CALL_HEADER, format!("{}.{}", incoming.call, call.service))
             .header(REQUEST_HEADER, &incoming.request);
         if let Some(context) = &incoming.context {
-            request = request.header(seamhatchd::headers::CONTEXT, context);
+            request = request.header(seamhatchd::conventions::headers::CONTEXT, context);
         }
         let Ok(request) = request.body(Full::new(Bytes::new())) else { return false };
         let exchange = async {
@@ -365,7 +365,7 @@
         let mut response = WebResponse::new(streamed(body, cut, guard));
         if self.behaviour.forges_outcome.load(Ordering::Relaxed) {
             let forged = http::HeaderValue::from_static("not-run");
-            response.headers_mut().insert(seamhatchd::headers::OUTCOME, forged);
+            response.headers_mut().insert(seamhatchd::conventions::headers::OUTCOME, forged);
         }
         response
     }
--- a/crates/seamhatch/src/client.rs
+++ b/crates/seamhatch/src/client.rs
@@ -5,7 +5,7 @@
 use http::{Method, Request, StatusCode};
 use http_body_util::{BodyExt, Full};
 use seamhatch_core::identity::Address;
-use seamhatchd::backend::{HttpClient, http_client};
+use seamhatchd::server::backend::{HttpClient, http_client};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
--- a/crates/seamhatch/src/commands.rs
+++ b/crates/seamhatch/src/commands.rs
@@ -9,7 +9,7 @@
 use seamhatch_core::membership::{Lifecycle, Liveness};
 use seamhatch_policy::{Configuration, StoredConfiguration};
 use seamhatchd::controllers::StatusReport;
-use seamhatchd::crashes::CrashReport;
+use seamhatchd::server::crashes::CrashReport;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::io::{IsTerminal, Read};
--- a/crates/seamhatch/src/output.rs
+++ b/crates/seamhatch/src/output.rs
@@ -3,7 +3,7 @@
 use crate::commands::Explanation;
 use seamhatch_policy::SubmissionRecord;
 use seamhatchd::controllers::{MemberStatus, StatusReport};
-use seamhatchd::crashes::CrashReport;
+use seamhatchd::server::crashes::CrashReport;
 use serde::Serialize;
 use std::time::{Duration, UNIX_EPOCH};
 
--- a/crates/seamhatchd/src/metrics.rs
+++ b/crates/seamhatchd/src/base/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters, gauges and latency histograms in the Prometheus text format.
 
-use crate::clock;
+use crate::base::clock;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
--- a/crates/seamhatchd/src/claims/records.rs
+++ b/crates/seamhatchd/src/claims/records.rs
@@ -1,6 +1,6 @@
 //! What became of the claims that this daemon made, for repeats of the same request.
 
-use crate::clock;
+use crate::base::clock;
 use seamhatch_core::Instant;
 use seamhatch_core::claims::{CLAIM_MEMORY, ClaimHolder, ClaimKey};
 use seamhatch_wire::RecordedState;
--- a/crates/seamhatchd/src/claims/witnesses.rs
+++ b/crates/seamhatchd/src/claims/witnesses.rs
@@ -1,6 +1,6 @@
 //! This daemon's witnesses, one for each shard, in memory only.
 
-use crate::clock;
+use crate::base::clock;
 use seamhatch_core::claims::{Claim, ClaimHolder, ClaimKey, ClaimReply, Epoch, Witness};
 use seamhatch_core::roster::SHARDS;
 use std::sync::{Mutex, MutexGuard};
--- a/crates/seamhatchd/src/controllers/control_thread/configuration.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/configuration.rs
@@ -1,7 +1,7 @@
 //! Bringing configurations into force: submissions, registration, spreading, starting.
 
 use super::{ControlThread, FANOUT};
-use crate::clock;
+use crate::base::clock;
 use crate::controllers::ask::{ask_daemon, ask_generation};
 use crate::controllers::events::{ControlEvent, SubmitRequest};
 use crate::controllers::submission::{Submission, SubmitError};
--- a/crates/seamhatchd/src/controllers/control_thread/followed.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/followed.rs
@@ -1,7 +1,7 @@
 //! The controllers of a deployment whose store keeps what it acknowledged.
 
 use super::ControlThread;
-use crate::clock;
+use crate::base::clock;
 use crate::controllers::ask::ask_generation;
 use crate::controllers::events::ControlEvent;
 use crate::controllers::follow::{Discovery, discover, follow_configuration, keep_fresh, keep_quota_shards};
--- a/crates/seamhatchd/src/controllers/control_thread/instances.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/instances.rs
@@ -1,11 +1,11 @@
 //! The instance of the back end beside this daemon: its heartbeats, its goodbye, and who remembers it.
 
 use super::ControlThread;
-use crate::clock;
+use crate::base::clock;
 use crate::controllers::events::{ControlEvent, InstanceAnswer};
 use crate::controllers::follow::{ask_departures, remember_departure};
-use crate::crashes;
-use crate::instances::OpenInstance;
+use crate::server::crashes;
+use crate::server::instances::OpenInstance;
 use log::{info, warn};
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, Microseconds};
--- a/crates/seamhatchd/src/controllers/control_thread/mod.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/mod.rs
@@ -10,7 +10,7 @@
 mod store;
 mod suspects;
 
-use crate::clock;
+use crate::base::clock;
 use crate::controllers::configuration::ConfigurationController;
 use crate::controllers::events::ControlEvent;
 use crate::controllers::handle::ControlHandle;
--- a/crates/seamhatchd/src/controllers/control_thread/publishing.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/publishing.rs
@@ -1,7 +1,7 @@
 //! Publishing snapshots and metrics.
 
 use super::ControlThread;
-use crate::clock;
+use crate::base::clock;
 use crate::controllers::publish;
 use rustix::time::{ClockId, clock_gettime};
 use seamhatch_core::clock::{MILLISECOND, Microseconds};
--- a/crates/seamhatchd/src/controllers/control_thread/quota_shards.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/quota_shards.rs
@@ -2,7 +2,7 @@
 
 use super::ControlThread;
 use crate::controllers::follow::ShardRecord;
-use crate::quota::ShardHolder;
+use crate::limits::quota::ShardHolder;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{Microseconds, SECOND};
 use seamhatch_core::identity::Address;
--- a/crates/seamhatchd/src/controllers/control_thread/roster.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/roster.rs
@@ -1,7 +1,7 @@
 //! The machine list and the witness roster.
 
 use super::{ControlThread, FANOUT, ROSTER_RECHECK};
-use crate::clock;
+use crate::base::clock;
 use crate::controllers::ask::ask_daemon;
 use crate::controllers::events::ControlEvent;
 use crate::controllers::machines::{Machine, MachineState, read_machines};
--- a/crates/seamhatchd/src/controllers/control_thread/suspects.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/suspects.rs
@@ -4,7 +4,7 @@
 //! comes with the exchanges of member lists, and a daemon that starts asks for one before it serves.
 
 use super::ControlThread;
-use crate::clock;
+use crate::base::clock;
 use crate::controllers::follow::remember_condemned;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, Microseconds, SECOND};
--- a/crates/seamhatchd/src/controllers/follow/condemned.rs
+++ b/crates/seamhatchd/src/controllers/follow/condemned.rs
@@ -1,7 +1,7 @@
 //! Having it remembered that a request is condemned, past the end of all daemons.
 
 use super::own_record::{OwnRecord, change_own_record};
-use crate::clock::unix_milliseconds;
+use crate::base::clock::unix_milliseconds;
 use crate::ports::FollowedStore;
 use crate::shared::Shared;
 use log::{info, warn};
--- a/crates/seamhatchd/src/controllers/follow/configuration.rs
+++ b/crates/seamhatchd/src/controllers/follow/configuration.rs
@@ -1,10 +1,10 @@
 //! Watching the operators' configuration in the store.
 
 use super::{ANSWER_TIMEOUT, Backoff};
-use crate::clock;
+use crate::base::clock;
+use crate::base::metrics::Metrics;
 use crate::controllers::ControlHandle;
 use crate::controllers::events::ControlEvent;
-use crate::metrics::Metrics;
 use crate::ports::{DocumentFormat, FollowedStore};
 use crate::store::{Change, Item, Revision, StoreError};
 use log::{error, info, warn};
--- a/crates/seamhatchd/src/controllers/follow/discovery.rs
+++ b/crates/seamhatchd/src/controllers/follow/discovery.rs
@@ -6,10 +6,10 @@
 use super::own_record::OwnRecord;
 use super::quota_shards::ShardRecord;
 use super::{ANSWER_TIMEOUT, Backoff};
-use crate::clock::unix_milliseconds;
+use crate::base::clock::unix_milliseconds;
+use crate::base::metrics::Metrics;
 use crate::controllers::ControlHandle;
 use crate::controllers::events::ControlEvent;
-use crate::metrics::Metrics;
 use crate::ports::FollowedStore;
 use crate::store::{Item, Page, Revision, StoreError, Write, WriteOutcome};
 use log::warn;
--- a/crates/seamhatchd/src/controllers/follow/freshness.rs
+++ b/crates/seamhatchd/src/controllers/follow/freshness.rs
@@ -8,7 +8,7 @@
 //! older than its own; with each daemon asking for itself there were 71 calls a second.
 
 use super::{ANSWER_TIMEOUT, Backoff};
-use crate::clock;
+use crate::base::clock;
 use crate::controllers::events::ControlEvent;
 use crate::ports::{DocumentFormat, FollowedStore};
 use crate::shared::Shared;
--- a/crates/seamhatchd/src/controllers/follow/quota_shards.rs
+++ b/crates/seamhatchd/src/controllers/follow/quota_shards.rs
@@ -4,10 +4,10 @@
 //! only one have it. A daemon that has restarted takes over what its earlier life held at once.
 
 use super::{ANSWER_TIMEOUT, Backoff};
-use crate::clock;
+use crate::base::clock;
 use crate::controllers::events::ControlEvent;
+use crate::limits::quota::ShardHolder;
 use crate::ports::FollowedStore;
-use crate::quota::ShardHolder;
 use crate::shared::Shared;
 use crate::store::{Item, LeaseId, Revision, StoreError, Write, WriteOutcome};
 use log::{debug, info, warn};
--- a/crates/seamhatchd/src/controllers/handle.rs
+++ b/crates/seamhatchd/src/controllers/handle.rs
@@ -1,6 +1,6 @@
 //! How other threads reach the control thread.
 
-use crate::clock;
+use crate::base::clock;
 use crate::controllers::events::{ControlEvent, DrainTarget, InstanceAnswer, SubmitRequest};
 use crate::controllers::status::StatusReport;
 use crate::controllers::submission::SubmitError;
--- a/crates/seamhatchd/src/controllers/machines.rs
+++ b/crates/seamhatchd/src/controllers/machines.rs
@@ -1,6 +1,6 @@
 //! The platform's list of machines: a hint that lags, never the only evidence.
 
-use crate::backend::http_client;
+use crate::server::backend::http_client;
 use crate::store::StoreError;
 use bytes::Bytes;
 use http::Request;
--- a/crates/seamhatchd/src/controllers/membership.rs
+++ b/crates/seamhatchd/src/controllers/membership.rs
@@ -1,7 +1,7 @@
 //! The membership part on the wire: datagrams in and out, and who watches the platform.
 
-use crate::clock;
-use crate::metrics::{BadInput, Metrics};
+use crate::base::clock;
+use crate::base::metrics::{BadInput, Metrics};
 use log::{debug, warn};
 use seamhatch_core::identity::Address;
 use seamhatch_core::membership::{GossipMessage, Lifecycle, MemberRecord, Membership, Outgoing};
--- a/crates/seamhatchd/src/controllers/publish.rs
+++ b/crates/seamhatchd/src/controllers/publish.rs
@@ -1,6 +1,6 @@
 //! Making the snapshot that traffic threads work with.
 
-use crate::clock;
+use crate::base::clock;
 use crate::shared::Shared;
 use crate::snapshot::{Server, Snapshot};
 use seamhatch_core::generation::Generation;
--- a/crates/seamhatchd/src/controllers/submission.rs
+++ b/crates/seamhatchd/src/controllers/submission.rs
@@ -2,7 +2,7 @@
 //! out what became of a write whose answer was lost, and having a majority of
 //! witnesses hold it before the operator is told.
 
-use crate::clock;
+use crate::base::clock;
 use crate::controllers::events::SubmitRequest;
 use crate::controllers::registration::{Held, ask_held, newer, register};
 use crate::shared::Shared;
--- a/crates/seamhatchd/src/conventions/mod.rs
+++ b/crates/seamhatchd/src/conventions/mod.rs
@@ -4,6 +4,7 @@
 //! an outcome, and what a back end's answer says. [`OwnConventions`] are the product's. An adapter for
 //! a platform brings its own.
 
+pub mod headers;
 mod own;
 
 pub use own::OwnConventions;
--- a/crates/seamhatchd/src/conventions/own.rs
+++ b/crates/seamhatchd/src/conventions/own.rs
@@ -4,7 +4,7 @@
     AnswerMark, AnswerVerdict, BackEndCall, CallerCredential, CallerTerms, HttpConventions, OwnAnswer, field,
     text,
 };
-use crate::headers;
+use crate::conventions::headers;
 use bytes::Bytes;
 use http::header::{CONTENT_TYPE, RETRY_AFTER};
 use http::{HeaderMap, HeaderValue, Response, StatusCode};
--- a/crates/seamhatchd/src/dispatch/answer.rs
+++ b/crates/seamhatchd/src/dispatch/answer.rs
@@ -1,7 +1,7 @@
 //! An answer of a back end on its way to whoever made the call.
 
+use crate::base::clock;
 use crate::claims::Claimed;
-use crate::clock;
 use crate::dispatch::child::Child;
 use crate::filters::Rejection;
 use crate::peer::{AnswerBody, AnswerPiece};
--- a/crates/seamhatchd/src/dispatch/attempt.rs
+++ b/crates/seamhatchd/src/dispatch/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::Dispatcher;
 use super::replay::next_of_rest;
-use crate::clock;
+use crate::base::clock;
 use crate::filters::Rejection;
 use crate::peer::{CallEvent, CallStream, PeerConnection};
 use seamhatch_core::balance::CallEnd;
--- a/crates/seamhatchd/src/dispatch/candidates.rs
+++ b/crates/seamhatchd/src/dispatch/candidates.rs
@@ -1,6 +1,6 @@
 //! What is known of the servers that a call may go to.
 
-use crate::clock;
+use crate::base::clock;
 use crate::shared::Shared;
 use crate::snapshot::Server;
 use seamhatch_core::balance::{Candidate, CandidateStanding};
--- a/crates/seamhatchd/src/dispatch/child.rs
+++ b/crates/seamhatchd/src/dispatch/child.rs
@@ -1,6 +1,6 @@
 //! A call's place in the retry ledger of the call that caused it.
 
-use crate::running::RunningCall;
+use crate::server::running::RunningCall;
 use seamhatch_core::identity::Fingerprint;
 use seamhatch_core::retry::{ChildEnd, Dispatch, TokensExhausted};
 use std::sync::Arc;
--- a/crates/seamhatchd/src/dispatch/claiming.rs
+++ b/crates/seamhatchd/src/dispatch/claiming.rs
@@ -1,8 +1,8 @@
 //! Claiming the key of a call that may not be repeated, before anything that may refuse it.
 
 use super::{CallResult, Dispatcher, call_fingerprint};
+use crate::base::clock;
 use crate::claims::{self, ClaimRefused, Claimed};
-use crate::clock;
 use crate::filters::Rejection;
 use seamhatch_core::claims::ClaimKey;
 use seamhatch_core::identity::Fingerprint;
--- a/crates/seamhatchd/src/dispatch/mod.rs
+++ b/crates/seamhatchd/src/dispatch/mod.rs
@@ -11,11 +11,11 @@
 pub use answer::Answer;
 pub use replay::ReplayBody;
 
+use crate::base::clock;
 use crate::claims::Claimed;
-use crate::clock;
 use crate::filters::{Rejection, RequestState, check_entry_floor};
 use crate::peer::{AnswerBody, CallStream, PeerConnection};
-use crate::running::RunningCall;
+use crate::server::running::RunningCall;
 use crate::shared::Shared;
 use crate::snapshot::Server;
 use attempt::{Attempt, call_end};
--- a/crates/seamhatchd/src/dispatch/suspects.rs
+++ b/crates/seamhatchd/src/dispatch/suspects.rs
@@ -1,9 +1,9 @@
 //! Calls whose request was at work when servers crashed.
 
 use super::Dispatcher;
-use crate::crashes::time_until_trial;
 use crate::filters::Rejection;
 use crate::peer::PeerConnection;
+use crate::server::crashes::time_until_trial;
 use crate::snapshot::Server;
 use seamhatch_core::balance::{Candidate, CandidateStanding};
 use seamhatch_core::crashes::SuspectStanding;
--- a/crates/seamhatchd/src/filters/classification.rs
+++ b/crates/seamhatchd/src/filters/classification.rs
@@ -1,9 +1,9 @@
 //! What the policy program decides for a request.
 
-use crate::clock;
+use crate::base::clock;
+use crate::base::metrics::BadInput;
 use crate::filters::{Rejection, RequestFilter, RequestState};
-use crate::metrics::BadInput;
-use crate::running::RunningCall;
+use crate::server::running::RunningCall;
 use crate::shared::Shared;
 use log::warn;
 use seamhatch_core::clock::{MILLISECOND, SECOND};
--- a/crates/seamhatchd/src/filters/context.rs
+++ b/crates/seamhatchd/src/filters/context.rs
@@ -1,8 +1,8 @@
 //! Trusted fields: removed from requests from outside, read from the back end's own calls.
 
+use crate::base::metrics::BadInput;
+use crate::conventions::headers;
 use crate::filters::{Rejection, RequestFilter, RequestState};
-use crate::headers;
-use crate::metrics::BadInput;
 use crate::shared::Shared;
 use log::debug;
 use seamhatch_core::outcome::Reason;
--- a/crates/seamhatchd/src/filters/entry_floor.rs
+++ b/crates/seamhatchd/src/filters/entry_floor.rs
@@ -8,7 +8,7 @@
 //! the deep service's (the idea of H. Zhou et al., "Overload Control for Scaling WeChat Microservices",
 //! 2018).
 
-use crate::clock;
+use crate::base::clock;
 use crate::filters::{Entry, Rejection, RequestFilter, RequestState};
 use crate::shared::Shared;
 use seamhatch_core::Instant;
--- a/crates/seamhatchd/src/filters/idempotency.rs
+++ b/crates/seamhatchd/src/filters/idempotency.rs
@@ -1,8 +1,8 @@
 //! What a call that may not be repeated is claimed by.
 
+use crate::base::metrics::BadInput;
+use crate::conventions::headers;
 use crate::filters::{Rejection, RequestFilter, RequestState};
-use crate::headers;
-use crate::metrics::BadInput;
 use crate::shared::Shared;
 use seamhatch_core::outcome::Reason;
 
--- a/crates/seamhatchd/src/filters/limits.rs
+++ b/crates/seamhatchd/src/filters/limits.rs
@@ -1,7 +1,7 @@
 //! Bounds on what a request may carry, as the configuration that decides it tells them.
 
+use crate::base::metrics::BadInput;
 use crate::filters::{Rejection, RequestFilter, RequestState};
-use crate::metrics::BadInput;
 use crate::shared::Shared;
 use seamhatch_core::outcome::Reason;
 use seamhatch_policy::LimitSettings;
--- a/crates/seamhatchd/src/filters/mod.rs
+++ b/crates/seamhatchd/src/filters/mod.rs
@@ -18,7 +18,7 @@
 pub use rejection::{Rejection, VerdictSource};
 pub use request::{Entry, RequestState};
 
-use crate::clock;
+use crate::base::clock;
 use crate::shared::Shared;
 use seamhatch_core::outcome::Reason;
 use std::sync::atomic::Ordering;
--- a/crates/seamhatchd/src/filters/naming.rs
+++ b/crates/seamhatchd/src/filters/naming.rs
@@ -1,7 +1,7 @@
 //! Requests that have to have a name.
 
+use crate::base::metrics::BadInput;
 use crate::filters::{Rejection, RequestFilter, RequestState};
-use crate::metrics::BadInput;
 use crate::shared::Shared;
 use seamhatch_core::outcome::Reason;
 
--- a/crates/seamhatchd/src/filters/readiness.rs
+++ b/crates/seamhatchd/src/filters/readiness.rs
@@ -1,7 +1,7 @@
 //! Refuses requests while the daemon is leaving or has no configuration.
 
+use crate::conventions::headers;
 use crate::filters::{Rejection, RequestFilter, RequestState};
-use crate::headers;
 use crate::shared::Shared;
 use seamhatch_core::clock::{MILLISECOND, Microseconds};
 use seamhatch_core::outcome::Reason;
--- a/crates/seamhatchd/src/filters/request.rs
+++ b/crates/seamhatchd/src/filters/request.rs
@@ -1,9 +1,9 @@
 //! A request on its way through the filters.
 
-use crate::clock;
+use crate::base::clock;
 use crate::conventions::CallerTerms;
 use crate::filters::Rejection;
-use crate::running::RunningCall;
+use crate::server::running::RunningCall;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::Microseconds;
 use seamhatch_core::identity::RootId;
--- a/crates/seamhatchd/src/lib.rs
+++ b/crates/seamhatchd/src/lib.rs
@@ -4,30 +4,29 @@
 //! Requests pass a chain of [`filters`]; state is kept by [`controllers`] on a
 //! thread of their own, which publish an immutable [`snapshot`] to the threads
 //! that carry traffic.
+//!
+//! The modules form layers; each uses only those above it in this list:
+//!
+//! 1. [`settings`] and [`base`]: clock, logs, metrics
+//! 2. [`conventions`], [`store`], [`ports`]: what a platform plugs in
+//! 3. [`server`]: the back end beside this daemon
+//! 4. [`peer`]: connections to other daemons
+//! 5. [`limits`] and [`claims`]: what daemons bound together
+//! 6. [`filters`], [`dispatch`], [`listeners`]: the path of a request; [`controllers`] beside it
+//! 7. [`startup`]
 
-pub mod backend;
+pub mod base;
 pub mod claims;
-pub mod clock;
 pub mod controllers;
 pub mod conventions;
-pub mod crashes;
 pub mod dispatch;
 pub mod filters;
-pub mod freshness;
-pub mod gate;
-pub mod headers;
-pub mod instances;
-mod keepalive;
+pub mod limits;
 pub mod listeners;
-pub mod logging;
-pub mod metrics;
 pub mod peer;
 pub mod ports;
-pub mod quota;
 mod reload;
-pub mod retry_budget;
-pub mod running;
-pub mod service_floors;
+pub mod server;
 pub mod settings;
 pub mod shared;
 pub mod snapshot;
--- a/crates/seamhatchd/src/freshness.rs
+++ b/crates/seamhatchd/src/limits/freshness.rs
@@ -1,6 +1,6 @@
 //! Whether this daemon may go by its configuration where an old one would do harm.
 
-use crate::clock;
+use crate::base::clock;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, Microseconds};
 use seamhatch_core::freshness::{FreshnessProof, FreshnessTracker};
--- a/crates/seamhatchd/src/quota/admission.rs
+++ b/crates/seamhatchd/src/limits/quota/admission.rs
@@ -3,7 +3,7 @@
 use super::directory::ShardHolder;
 use super::holder::grant;
 use super::{Quota, limit_of};
-use crate::clock;
+use crate::base::clock;
 use crate::filters::{Rejection, RequestState};
 use crate::shared::Shared;
 use seamhatch_core::clock::{MILLISECOND, Microseconds};
--- a/crates/seamhatchd/src/quota/directory.rs
+++ b/crates/seamhatchd/src/limits/quota/directory.rs
@@ -1,6 +1,6 @@
 //! Who holds which shard, as far as this daemon knows. Only hints: a daemon that doesn't hold its shard says so.
 
-use crate::clock;
+use crate::base::clock;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, Microseconds};
 use seamhatch_core::identity::Address;
--- a/crates/seamhatchd/src/quota/holder.rs
+++ b/crates/seamhatchd/src/limits/quota/holder.rs
@@ -1,7 +1,7 @@
 //! Handing out tokens for the shards that this daemon holds.
 
 use super::limit_of;
-use crate::clock;
+use crate::base::clock;
 use crate::shared::Shared;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::Microseconds;
--- a/crates/seamhatchd/src/quota/mod.rs
+++ b/crates/seamhatchd/src/limits/quota/mod.rs
@@ -10,7 +10,7 @@
 pub use directory::{ShardDirectory, ShardHolder};
 pub use holder::{HeldShards, grant};
 
-use crate::clock;
+use crate::base::clock;
 use seamhatch_core::clock::{Microseconds, SECOND};
 use seamhatch_core::quota::{QuotaPolicy, TenantLimit, TokenCache};
 use seamhatch_policy::Tenant;
--- a/crates/seamhatchd/src/retry_budget.rs
+++ b/crates/seamhatchd/src/limits/retry_budget.rs
@@ -5,7 +5,7 @@
 //! that a repeated run makes are charged to the services that they go to. So at every service, however
 //! deep, repeats of both kinds together stay within the ratio, in any window of some seconds.
 
-use crate::clock;
+use crate::base::clock;
 use crate::settings::RetryBound;
 use seamhatch_core::clock::{Microseconds, SECOND};
 use seamhatch_core::retry::{RetryRatio, RetryRatioPolicy};
--- a/crates/seamhatchd/src/listeners/admin.rs
+++ b/crates/seamhatchd/src/listeners/admin.rs
@@ -1,8 +1,8 @@
 //! The operators' listener.
 
 use crate::controllers::{DrainTarget, SubmitError, SubmitRequest};
-use crate::crashes::crash_report;
 use crate::listeners::answers::{self, json, typed};
+use crate::server::crashes::crash_report;
 use crate::shared::Shared;
 use http::{Method, StatusCode};
 use seamhatch_core::generation::{Generation, SubmissionId};
--- a/crates/seamhatchd/src/listeners/proxy.rs
+++ b/crates/seamhatchd/src/listeners/proxy.rs
@@ -1,12 +1,12 @@
 //! One request at a listener: filters, dispatch, answer.
 
-use crate::clock;
+use crate::base::clock;
+use crate::conventions::headers;
 use crate::conventions::{AnswerMark, OwnAnswer};
 use crate::dispatch::{self, Answer, CallResult, ReplayBody};
 use crate::filters::{self, Entry, FilterChain, RETURN_JITTER, Rejection, RequestState};
-use crate::headers;
+use crate::limits::quota;
 use crate::listeners::body::{self, CallerBody, OpenRequest};
-use crate::quota;
 use crate::shared::Shared;
 use bytes::Bytes;
 use http::header::{CONNECTION, CONTENT_LENGTH, HOST};
--- a/crates/seamhatchd/src/listeners/registry.rs
+++ b/crates/seamhatchd/src/listeners/registry.rs
@@ -1,8 +1,8 @@
 //! The listener at which the back end beside the daemon registers: heartbeats, and its goodbye.
 
+use crate::base::metrics::BadInput;
 use crate::controllers::InstanceAnswer;
 use crate::listeners::answers::{json, read_json, typed};
-use crate::metrics::BadInput;
 use crate::shared::Shared;
 use http::{Method, StatusCode};
 use log::warn;
--- a/crates/seamhatchd/src/peer/connection.rs
+++ b/crates/seamhatchd/src/peer/connection.rs
@@ -1,7 +1,7 @@
 //! The sending end of a connection to another daemon.
 
-use crate::clock;
-use crate::metrics::BadInput;
+use crate::base::clock;
+use crate::base::metrics::BadInput;
 use crate::peer::call::{CallEvent, CallStream};
 use crate::peer::credit::CreditWindow;
 use crate::peer::link::{self, LinkClosed, Outbox};
--- a/crates/seamhatchd/src/peer/link.rs
+++ b/crates/seamhatchd/src/peer/link.rs
@@ -1,6 +1,6 @@
 //! What both ends of a connection share: the outbox with its writer, and the heartbeat.
 
-use crate::clock;
+use crate::base::clock;
 use crate::shared::Shared;
 use log::debug;
 use seamhatch_core::Instant;
--- a/crates/seamhatchd/src/peer/pool.rs
+++ b/crates/seamhatchd/src/peer/pool.rs
@@ -1,6 +1,6 @@
 //! Connections to other daemons, opened when they are first needed.
 
-use crate::clock;
+use crate::base::clock;
 use crate::peer::connection::PeerConnection;
 use crate::shared::Shared;
 use seamhatch_core::Instant;
--- a/crates/seamhatchd/src/peer/server.rs
+++ b/crates/seamhatchd/src/peer/server.rs
@@ -1,13 +1,13 @@
 //! The receiving end of connections: calls for the back end beside this daemon,
 //! claims for this witness, and control messages.
 
-use crate::backend::{self, BodyPiece, BrokenOff};
-use crate::clock;
-use crate::metrics::BadInput;
+use crate::base::clock;
+use crate::base::metrics::BadInput;
+use crate::limits::quota;
 use crate::peer::credit::CreditWindow;
 use crate::peer::link::{self, Outbox};
 use crate::peer::server_call::ServerCall;
-use crate::quota;
+use crate::server::backend::{self, BodyPiece, BrokenOff};
 use crate::shared::Shared;
 use bytes::Bytes;
 use log::warn;
--- a/crates/seamhatchd/src/peer/server_call.rs
+++ b/crates/seamhatchd/src/peer/server_call.rs
@@ -1,17 +1,17 @@
 //! One call on its way through the daemon beside its server: the gate, the back end, the answer.
 
-use crate::backend::{self, BackendAnswer, BackendError, BackendRequest};
-use crate::clock;
+use crate::base::clock;
+use crate::base::metrics::seconds;
 use crate::conventions::field_text;
-use crate::crashes::{self, Trial};
-use crate::gate::{GateRequest, Permit};
-use crate::headers;
-use crate::metrics::seconds;
+use crate::conventions::headers;
 use crate::peer::BODY_PIECE;
 use crate::peer::credit::CreditWindow;
 use crate::peer::link::Outbox;
 use crate::peer::server::{Calls, Cancellation};
-use crate::running::RunningCall;
+use crate::server::backend::{self, BackendAnswer, BackendError, BackendRequest};
+use crate::server::crashes::{self, Trial};
+use crate::server::gate::{GateRequest, Permit};
+use crate::server::running::RunningCall;
 use crate::shared::Shared;
 use bytes::Bytes;
 use log::info;
--- a/crates/seamhatchd/src/peer/view.rs
+++ b/crates/seamhatchd/src/peer/view.rs
@@ -1,6 +1,6 @@
 //! What one daemon knows of another from its messages.
 
-use crate::clock;
+use crate::base::clock;
 use seamhatch_core::Instant;
 use seamhatch_core::balance::{CallEnd, CandidateStanding, Ejection, SuccessRate};
 use seamhatch_core::clock::{MILLISECOND, Microseconds, PeerClock};
--- a/crates/seamhatchd/src/backend/client.rs
+++ b/crates/seamhatchd/src/server/backend/client.rs
@@ -1,6 +1,6 @@
 //! An HTTP client for what is not a call: the key-value service, the machine list, tools.
 
-use crate::keepalive::{KEEPALIVE_IDLE, KEEPALIVE_INTERVAL, KEEPALIVE_PROBES, SILENCE_TIMEOUT};
+use crate::base::keepalive::{KEEPALIVE_IDLE, KEEPALIVE_INTERVAL, KEEPALIVE_PROBES, SILENCE_TIMEOUT};
 use hyper::body::Body;
 use hyper_util::client::legacy::Client;
 use hyper_util::client::legacy::connect::HttpConnector;
--- a/crates/seamhatchd/src/backend/connections.rs
+++ b/crates/seamhatchd/src/server/backend/connections.rs
@@ -5,8 +5,8 @@
 //! close its connection at once, since that is how the back end learns of it.
 
 use super::body::HttpRequestBody;
-use crate::clock;
-use crate::keepalive::{SilenceCheck, close_when_silent};
+use crate::base::clock;
+use crate::base::keepalive::{SilenceCheck, close_when_silent};
 use http::HeaderMap;
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper_util::rt::TokioIo;
--- a/crates/seamhatchd/src/backend/mod.rs
+++ b/crates/seamhatchd/src/server/backend/mod.rs
@@ -7,10 +7,10 @@
 pub use body::{BodyPiece, BrokenOff, ChannelStream, RequestBody, no_body, request_body};
 pub use client::{HttpClient, http_client, probing_http_client};
 
-use crate::clock;
+use crate::base::clock;
+use crate::base::keepalive::SilenceCheck;
+use crate::conventions::headers;
 use crate::conventions::{AnswerVerdict, BackEndCall, HttpConventions};
-use crate::headers;
-use crate::keepalive::SilenceCheck;
 use body::HttpRequestBody;
 use bytes::Bytes;
 use connections::{Connection, Connections, idle_span};
--- a/crates/seamhatchd/src/crashes/mod.rs
+++ b/crates/seamhatchd/src/server/crashes/mod.rs
@@ -13,7 +13,7 @@
 pub use suspects::SuspectBook;
 pub use trials::{CRASHES_TO_ISOLATE, Trial, Trials};
 
-use crate::clock;
+use crate::base::clock;
 use crate::controllers::ControlEvent;
 use crate::shared::Shared;
 use log::warn;
--- a/crates/seamhatchd/src/crashes/report.rs
+++ b/crates/seamhatchd/src/server/crashes/report.rs
@@ -1,6 +1,6 @@
 //! What operators see of requests that were at work when servers crashed.
 
-use crate::clock;
+use crate::base::clock;
 use crate::shared::Shared;
 use seamhatch_core::clock::MILLISECOND;
 use seamhatch_core::crashes::SuspectStanding;
--- a/crates/seamhatchd/src/crashes/suspects.rs
+++ b/crates/seamhatchd/src/server/crashes/suspects.rs
@@ -1,8 +1,8 @@
 //! The requests that were at work when servers crashed, as all threads of the daemon see them.
 
-use crate::clock;
-use crate::crashes::at_work::Suspect;
-use crate::crashes::trials::Trials;
+use crate::base::clock;
+use crate::server::crashes::at_work::Suspect;
+use crate::server::crashes::trials::Trials;
 use log::{info, warn};
 use seamhatch_core::Instant;
 use seamhatch_core::clock::MILLISECOND;
--- a/crates/seamhatchd/src/gate.rs
+++ b/crates/seamhatchd/src/server/gate.rs
@@ -1,7 +1,7 @@
 //! The admission queue as the traffic threads use it: a call awaits its slot.
 
-use crate::clock;
-use crate::metrics::{Metrics, seconds};
+use crate::base::clock;
+use crate::base::metrics::{Metrics, seconds};
 use log::info;
 use seamhatch_core::Instant;
 use seamhatch_core::admission::{
--- a/crates/seamhatchd/src/shared.rs
+++ b/crates/seamhatchd/src/shared.rs
@@ -1,21 +1,21 @@
 //! What all threads of a daemon share.
 
-use crate::backend::Backend;
+use crate::base::clock;
+use crate::base::metrics::Metrics;
 use crate::claims::{ClaimRecords, Witnesses};
-use crate::clock;
 use crate::controllers::ControlHandle;
 use crate::conventions::HttpConventions;
-use crate::crashes::{CrashWatch, SuspectBook};
 use crate::filters::EntryFloors;
-use crate::freshness::Freshness;
-use crate::gate::AdmissionGate;
-use crate::instances::Instances;
-use crate::metrics::Metrics;
+use crate::limits::freshness::Freshness;
+use crate::limits::quota::Quota;
+use crate::limits::retry_budget::RetryBudget;
+use crate::limits::service_floors::ServiceFloors;
 use crate::peer::PeerPool;
-use crate::quota::Quota;
-use crate::retry_budget::RetryBudget;
-use crate::running::RunningCalls;
-use crate::service_floors::ServiceFloors;
+use crate::server::backend::Backend;
+use crate::server::crashes::{CrashWatch, SuspectBook};
+use crate::server::gate::AdmissionGate;
+use crate::server::instances::Instances;
+use crate::server::running::RunningCalls;
 use crate::settings::Settings;
 use crate::snapshot::Snapshot;
 use arc_swap::{ArcSwap, Guard};
--- a/crates/seamhatchd/src/startup.rs
+++ b/crates/seamhatchd/src/startup.rs
@@ -1,24 +1,24 @@
 //! Starting and stopping the daemon.
 
-use crate::backend::Backend;
+use crate::base::clock;
+use crate::base::logging;
+use crate::base::metrics::Metrics;
 use crate::claims::{ClaimRecords, Witnesses};
-use crate::clock;
 use crate::controllers::{ControlHandle, ControlThread, DrainTarget};
-use crate::crashes::{CrashWatch, SuspectBook};
 use crate::filters::EntryFloors;
-use crate::freshness::Freshness;
-use crate::gate::AdmissionGate;
-use crate::instances::Instances;
+use crate::limits::freshness::Freshness;
+use crate::limits::quota::Quota;
+use crate::limits::retry_budget::RetryBudget;
+use crate::limits::service_floors::ServiceFloors;
 use crate::listeners::Listeners;
-use crate::logging;
-use crate::metrics::Metrics;
 use crate::peer::{self, PeerPool};
 use crate::ports::Ports;
-use crate::quota::Quota;
 use crate::reload;
-use crate::retry_budget::RetryBudget;
-use crate::running::RunningCalls;
-use crate::service_floors::ServiceFloors;
+use crate::server::backend::Backend;
+use crate::server::crashes::{CrashWatch, SuspectBook};
+use crate::server::gate::AdmissionGate;
+use crate::server::instances::Instances;
+use crate::server::running::RunningCalls;
 use crate::settings::{self, Invocation, Settings, SettingsError};
 use crate::shared::{END_MARGIN, Shared};
 use crate::snapshot::Snapshot;
--- a/crates/seamhatchd/src/store/exchange.rs
+++ b/crates/seamhatchd/src/store/exchange.rs
@@ -1,7 +1,7 @@
 //! One HTTP exchange with a store: what every client of one has to get right, whatever it speaks.
 
 use super::StoreError;
-use crate::backend::{HttpClient, probing_http_client};
+use crate::server::backend::{HttpClient, probing_http_client};
 use bytes::Bytes;
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, Full, Limited};
--- a/crates/seamhatchd/tests/gate.rs
+++ b/crates/seamhatchd/tests/gate.rs
@@ -5,9 +5,9 @@
 use seamhatch_core::identity::RootId;
 use seamhatch_core::outcome::Reason;
 use seamhatch_core::priority::{Priority, PriorityClass};
-use seamhatchd::clock;
-use seamhatchd::gate::{AdmissionGate, GateRequest};
-use seamhatchd::metrics::Metrics;
+use seamhatchd::base::clock;
+use seamhatchd::base::metrics::Metrics;
+use seamhatchd::server::gate::{AdmissionGate, GateRequest};
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/seamhatchd/tests/operator_interface.rs
+++ b/crates/seamhatchd/tests/operator_interface.rs
@@ -9,11 +9,11 @@
 use seamhatch_core::membership::{Lifecycle, Liveness};
 use seamhatch_core::outcome::{Outcome, Reason};
 use seamhatch_core::priority::PriorityClass;
+use seamhatchd::base::metrics::{BadInput, Metrics};
 use seamhatchd::controllers::{MemberStatus, ShardStatus, StatusReport};
+use seamhatchd::conventions::headers;
 use seamhatchd::conventions::{AnswerMark, BackEndCall, HttpConventions, OwnAnswer, OwnConventions};
-use seamhatchd::crashes::{CrashReport, SuspectStatus};
-use seamhatchd::headers;
-use seamhatchd::metrics::{BadInput, Metrics};
+use seamhatchd::server::crashes::{CrashReport, SuspectStatus};
 use seamhatchd::settings::{HELP, Invocation, Settings, from_arguments};
 use serde::Serialize;
 
--- a/crates/seamhatchd/tests/running.rs
+++ b/crates/seamhatchd/tests/running.rs
@@ -5,7 +5,7 @@
 use seamhatch_core::priority::{AdmissionFloor, Priority, PriorityClass};
 use seamhatch_core::retry::RetryLedger;
 use seamhatch_wire::ChainFloor;
-use seamhatchd::running::{RunningCall, RunningCalls};
+use seamhatchd::server::running::{RunningCall, RunningCalls};
 use std::sync::Arc;
 
 fn call(expiry: u64) -> Arc<RunningCall> {
--- a/crates/seamhatchd/tests/service_floors.rs
+++ b/crates/seamhatchd/tests/service_floors.rs
@@ -5,7 +5,7 @@
 use seamhatch_core::identity::Address;
 use seamhatch_core::priority::AdmissionFloor;
 use seamhatch_wire::ServerReport;
-use seamhatchd::service_floors::ServiceFloors;
+use seamhatchd::limits::service_floors::ServiceFloors;
 
 const NOW: Instant = Instant(100 * SECOND);
 const OPEN: u16 = AdmissionFloor::OPEN.level;
--- a/crates/seamhatchd/tests/sleeping.rs
+++ b/crates/seamhatchd/tests/sleeping.rs
@@ -1,6 +1,6 @@
 //! The machine sleeps: its boot clock goes on, and the timers of the process stand still meanwhile.
 
-use seamhatchd::clock::{self, SleepWatch, sleep_until, step_boot_clock, timeout_at};
+use seamhatchd::base::clock::{self, SleepWatch, sleep_until, step_boot_clock, timeout_at};
 use std::time::{Duration, Instant};
 
 const HOUR: Duration = Duration::from_secs(3600);
