--- a/crates/seamhatch-core/src/admission/mod.rs
+++ b/crates/seamhatch-core/src/admission/mod.rs
@@ -57,7 +57,7 @@
     /// When the call becomes useless, in the local clock.
     pub expiry: Instant,
     /// Until when its answer is early, in the local clock: it waits only while that can come true.
-    pub early_until: Instant,
+    pub objective_end: Instant,
     /// Which calls' service times may be compared with its own.
     pub kind: CallKind,
 }
@@ -189,7 +189,7 @@
     pub fn latest_start(&self, request: &AdmissionRequest) -> Instant {
         let typical = self.limit.typical_service_time();
         let usual = self.service_times.usual(request.kind).unwrap_or(typical);
-        request.expiry.minus(typical / 2).min(request.early_until.minus(usual))
+        request.expiry.minus(typical / 2).min(request.objective_end.minus(usual))
     }
 
     /// Takes over what an instance of the back end tells: its slots, and whether it is cold.
@@ -248,7 +248,7 @@
         for class in PriorityClass::ALL {
             let mut in_line = 0;
             for request in self.waiting.line(class) {
-                let has_objective = request.early_until != Instant::NEVER;
+                let has_objective = request.objective_end != Instant::NEVER;
                 if has_objective && self.comes_too_late(request, in_line, now) {
                     late.push(request.ticket);
                 } else {
--- a/crates/seamhatch-core/tests/admission.rs
+++ b/crates/seamhatch-core/tests/admission.rs
@@ -23,7 +23,7 @@
         priority,
         root_admitted,
         expiry,
-        early_until: Instant::NEVER,
+        objective_end: Instant::NEVER,
         kind: CallKind::default(),
     }
 }
@@ -133,9 +133,9 @@
 fn a_call_is_refused_when_its_answer_would_be_late_before_its_turn() {
     let mut queue = full_of(PriorityClass::Normal);
     let mut hasty = request(20, PriorityClass::Critical, NOW);
-    hasty.early_until = NOW;
+    hasty.objective_end = NOW;
     assert_eq!(queue.offer(hasty, NOW), Admission::Refuse(Reason::DeadlineExceeded));
-    hasty.early_until = NOW.plus(20 * MILLISECOND);
+    hasty.objective_end = NOW.plus(20 * MILLISECOND);
     assert!(matches!(queue.offer(hasty, NOW), Admission::Wait { .. }));
     assert_eq!(queue.next(NOW.plus(21 * MILLISECOND)), Some(Dequeued::Expired(Ticket(20))));
 }
@@ -188,9 +188,9 @@
             queue.finish(Ticket(ticket), NOW.plus(service_time_ms * MILLISECOND), true);
         }
         queue.offer(request(200, PriorityClass::Normal, NOW), NOW);
-        let early_until = NOW.plus(case.early_ms * MILLISECOND);
+        let objective_end = NOW.plus(case.early_ms * MILLISECOND);
         let asked =
-            AdmissionRequest { kind: CallKind(1), early_until, ..request(201, PriorityClass::Normal, NOW) };
+            AdmissionRequest { kind: CallKind(1), objective_end, ..request(201, PriorityClass::Normal, NOW) };
         let admission = queue.offer(asked, NOW);
         let Some(waits_ms) = case.waits_ms else {
             assert_eq!(admission, Admission::Refuse(Reason::DeadlineExceeded), "{}", case.name);
@@ -273,7 +273,7 @@
             let mut asked = request(ticket, *class, now);
             asked.priority.bucket = ticket as u8;
             match left_ms {
-                Some(left_ms) => asked.early_until = now.plus(SERVICE_TIME + left_ms * MILLISECOND),
+                Some(left_ms) => asked.objective_end = now.plus(SERVICE_TIME + left_ms * MILLISECOND),
                 None => asked.expiry = now.plus(SERVICE_TIME / 2 + 5 * MILLISECOND),
             }
             assert_eq!(queue.offer(asked, now), Admission::Wait { evicted: None }, "{}", case.name);
@@ -466,7 +466,7 @@
         let class = PriorityClass::ALL[ticket as usize % 3];
         let mut offered = request(ticket, class, now);
         offered.priority.bucket = (ticket * 37 % 128) as u8;
-        offered.early_until = now.plus(40 * MILLISECOND);
+        offered.objective_end = now.plus(40 * MILLISECOND);
         if queue.offer(offered, now) == Admission::Run {
             running.push_back(Ticket(ticket));
         }
--- a/crates/seamhatch-core/tests/knee.rs
+++ b/crates/seamhatch-core/tests/knee.rs
@@ -96,7 +96,7 @@
                 priority: Priority { class: PriorityClass::Normal, bucket: (next * 37 % 128) as u8 },
                 root_admitted: now,
                 expiry: now.plus(5 * SECOND),
-                early_until: now.plus(SECOND),
+                objective_end: now.plus(SECOND),
                 kind: CallKind::default(),
             };
             if queue.offer(offered, now) == Admission::Run {
--- a/crates/seamhatch-core/tests/service_admission.rs
+++ b/crates/seamhatch-core/tests/service_admission.rs
@@ -86,7 +86,7 @@
                 priority,
                 root_admitted: now,
                 expiry: now.plus(700 * MILLISECOND),
-                early_until: now.plus(600 * MILLISECOND),
+                objective_end: now.plus(600 * MILLISECOND),
                 kind: CallKind::default(),
             };
             let server_speed = servers[server].speed_at(step / 1000);
--- a/crates/seamhatch-core/tests/simulation/mod.rs
+++ b/crates/seamhatch-core/tests/simulation/mod.rs
@@ -165,7 +165,7 @@
             priority,
             root_admitted: self.now,
             expiry: self.now.plus(stream.service_time * 2 + SPARE_TIME),
-            early_until: self.now.plus(stream.patience + stream.service_time),
+            objective_end: self.now.plus(stream.patience + stream.service_time),
             kind: CallKind(index as u32),
         };
         if self.queue.offer(offered, self.now) == Admission::Run {
--- a/crates/seamhatch-wire/src/message.rs
+++ b/crates/seamhatch-wire/src/message.rs
@@ -193,7 +193,7 @@
     /// Expiry in the receiver's boot clock.
     pub expiry: Instant,
     /// How long its answer is still early; it waits for a slot only while that can come true.
-    pub early_for: Microseconds,
+    pub objective_left: Microseconds,
     /// Services on the way from the entry to here, for the admission floors.
     pub depth: u32,
 }
--- a/crates/seamhatch-wire/tests/hostile.rs
+++ b/crates/seamhatch-wire/tests/hostile.rs
@@ -53,7 +53,7 @@
             repeat: false,
             repeatable: true,
             expiry: Instant(9),
-            early_for: 4,
+            objective_left: 4,
             depth: 1,
         },
         request: RequestDigest(11),
--- a/crates/seamhatch-wire/tests/wire_format.rs
+++ b/crates/seamhatch-wire/tests/wire_format.rs
@@ -109,7 +109,7 @@
         repeat: true,
         repeatable: false,
         expiry: Instant(20),
-        early_for: 21,
+        objective_left: 21,
         depth: 22,
     };
     let head = CallHead {
--- a/crates/seamhatchd/src/dispatch/attempt.rs
+++ b/crates/seamhatchd/src/dispatch/attempt.rs
@@ -79,7 +79,7 @@
             repeat: self.repeat,
             repeatable: self.request.repeatable,
             expiry: connection.to_peer_clock(expiry),
-            early_for: self.request.early_for.saturating_sub(clock::now().since(self.started)),
+            objective_left: self.request.objective_left.saturating_sub(clock::now().since(self.started)),
             depth: self.parent.depth,
         };
         CallHead {
--- a/crates/seamhatchd/src/filters/classification.rs
+++ b/crates/seamhatchd/src/filters/classification.rs
@@ -75,7 +75,7 @@
                 request.class = decision.class;
                 if let Some(objective) = route.view.attributes.objective_ms {
                     let objective = objective * MILLISECOND;
-                    request.early_for = objective.saturating_sub(now.since(request.arrived));
+                    request.objective_left = objective.saturating_sub(now.since(request.arrived));
                     request.objective = objective;
                 }
                 let priority = Priority::new(decision.class, request.root);
--- a/crates/seamhatchd/src/filters/request.rs
+++ b/crates/seamhatchd/src/filters/request.rs
@@ -64,7 +64,7 @@
     /// Whether it may run more than once.
     pub repeatable: bool,
     /// How long its answer would still be early, from its dispatch on.
-    pub early_for: Microseconds,
+    pub objective_left: Microseconds,
     /// Time from its arrival in which its answer is early.
     pub objective: Microseconds,
     /// What its claim is about, for one that may not be repeated.
@@ -94,7 +94,7 @@
             anonymous: false,
             tenant: None,
             repeatable: false,
-            early_for: Microseconds::MAX,
+            objective_left: Microseconds::MAX,
             objective: Microseconds::MAX,
             claim_text: None,
         }
--- a/crates/seamhatchd/src/peer/server_call.rs
+++ b/crates/seamhatchd/src/peer/server_call.rs
@@ -110,7 +110,7 @@
             priority: running.priority,
             root_admitted: running.root_admitted,
             expiry: running.expiry,
-            early_until: clock::now().plus(self.head.context.early_for),
+            objective_end: clock::now().plus(self.head.context.objective_left),
             kind: call_kind(running),
         };
         let permit = tokio::select! {
@@ -122,7 +122,7 @@
 
     /// Waits for the turn of a call whose request is a suspect, as long as its answer is worth waiting for.
     async fn admit_suspect(&self, running: &RunningCall) -> Result<Option<Trial>, Reason> {
-        let latest = clock::now().plus(self.head.context.early_for).min(running.expiry);
+        let latest = clock::now().plus(self.head.context.objective_left).min(running.expiry);
         let admitted = crashes::until_admitted(&self.shared, self.head.request);
         tokio::select! {
             admitted = clock::timeout_at(latest, admitted) => {
--- a/crates/seamhatchd/src/server/gate.rs
+++ b/crates/seamhatchd/src/server/gate.rs
@@ -29,7 +29,7 @@
     /// When the call becomes useless.
     pub expiry: Instant,
     /// Until when its answer is early.
-    pub early_until: Instant,
+    pub objective_end: Instant,
     /// Which calls' service times may be compared with its own.
     pub kind: CallKind,
 }
@@ -150,7 +150,7 @@
             priority: request.priority,
             root_admitted: request.root_admitted,
             expiry: request.expiry,
-            early_until: request.early_until,
+            objective_end: request.objective_end,
             kind: request.kind,
         };
         let Some(turn) = self.offer(offered, arrived)? else {
