--- a/crates/seamhatch-wire/src/message.rs
+++ b/crates/seamhatch-wire/src/message.rs
@@ -259,7 +259,7 @@
 impl ChainFloor {
     /// What a server of `service` tells; none where it admits everything.
     #[must_use]
-    pub fn told_by(service: &str, floor: AdmissionFloor) -> Option<Self> {
+    pub fn unless_open(service: &str, floor: AdmissionFloor) -> Option<Self> {
         (!floor.is_open()).then(|| Self { floor, service: service.to_owned() })
     }
 }
--- a/crates/seamhatchd/src/limits/service_floors.rs
+++ b/crates/seamhatchd/src/limits/service_floors.rs
@@ -51,7 +51,7 @@
         let services = self.lock();
         let reports = services.get(service)?.iter();
         let fresh = reports.filter(|(_, dated)| now.since(dated.seen) <= REPORT_LIFETIME);
-        ChainFloor::told_by(service, combined(fresh))
+        ChainFloor::unless_open(service, combined(fresh))
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<String, HashMap<Address, DatedReport>>> {
--- a/crates/seamhatchd/tests/entry_floors.rs
+++ b/crates/seamhatchd/tests/entry_floors.rs
@@ -11,7 +11,7 @@
 const LONG_AFTER: Duration = Duration::from_millis(2200);
 
 fn told(service: &str) -> ChainFloor {
-    ChainFloor::told_by(service, SHEDDING).expect("is not open")
+    ChainFloor::unless_open(service, SHEDDING).expect("is not open")
 }
 
 fn bulk() -> Priority {
--- a/crates/seamhatchd/tests/running.rs
+++ b/crates/seamhatchd/tests/running.rs
@@ -21,7 +21,7 @@
     let caused = RunningCall::caused_by(cause.clone(), Instant(5_000), RetryLedger::new(0, false));
     assert_eq!((caused.root, caused.priority, caused.depth), (cause.root, cause.priority, 3));
     assert_eq!(caused.expiry, cause.expiry);
-    let told = ChainFloor::told_by("stock", AdmissionFloor::at(40)).expect("is not open");
+    let told = ChainFloor::unless_open("stock", AdmissionFloor::at(40)).expect("is not open");
     caused.lower_chain_floor(&told);
     caused.lower_chain_floor(&ChainFloor { floor: AdmissionFloor::at(41), service: "orders".into() });
     assert_eq!((caused.chain_floor(), cause.chain_floor()), (Some(told.clone()), Some(told)));
