--- a/crates/seamhatch-wire/src/message.rs
+++ b/crates/seamhatch-wire/src/message.rs
@@ -140,7 +140,7 @@
     /// All.
     Open,
     /// The daemon is about to stop: those that no other daemon of the service can take, if they end in time.
-    LastResort {
+    FallbackOnly {
         /// Until the process ends.
         left: Microseconds,
     },
--- a/crates/seamhatch-wire/tests/hostile.rs
+++ b/crates/seamhatch-wire/tests/hostile.rs
@@ -84,7 +84,7 @@
     let pulse = Pulse {
         clock: Instant(1),
         generation: Generation(1),
-        intake: CallIntake::LastResort { left: 5 },
+        intake: CallIntake::FallbackOnly { left: 5 },
         server: report(),
         proof: Some(FreshnessProof { generation: Generation(1), at: Instant(2) }),
     };
--- a/crates/seamhatch-wire/tests/wire_format.rs
+++ b/crates/seamhatch-wire/tests/wire_format.rs
@@ -165,7 +165,7 @@
     vec![
         ("hello", PeerMessage::Hello(hello)),
         ("pulse, open", pulse(CallIntake::Open, None)),
-        ("pulse, about to stop", pulse(CallIntake::LastResort { left: 34 }, Some(proof))),
+        ("pulse, about to stop", pulse(CallIntake::FallbackOnly { left: 34 }, Some(proof))),
         ("pulse, closed", pulse(CallIntake::Closed, None)),
     ]
 }
--- a/crates/seamhatchd/src/peer/server_call.rs
+++ b/crates/seamhatchd/src/peer/server_call.rs
@@ -100,9 +100,9 @@
         }
         match self.shared.intake() {
             CallIntake::Open => {}
-            CallIntake::LastResort { .. } if self.shared.can_finish(running.expiry) => {}
+            CallIntake::FallbackOnly { .. } if self.shared.can_finish(running.expiry) => {}
             CallIntake::Closed if self.shared.serves_callers() => return Err(Reason::NoInstance),
-            CallIntake::LastResort { .. } | CallIntake::Closed => return Err(Reason::Draining),
+            CallIntake::FallbackOnly { .. } | CallIntake::Closed => return Err(Reason::Draining),
         }
         let trial = self.admit_suspect(running).await?;
         let request = GateRequest {
--- a/crates/seamhatchd/src/peer/view.rs
+++ b/crates/seamhatchd/src/peer/view.rs
@@ -87,7 +87,7 @@
         match self.intake {
             _ if self.should_avoid(now) => CandidateStanding::Ejected,
             CallIntake::Open => CandidateStanding::Usual,
-            CallIntake::LastResort { .. } => CandidateStanding::Leaving(self.leaves_at.since(now)),
+            CallIntake::FallbackOnly { .. } => CandidateStanding::Leaving(self.leaves_at.since(now)),
             CallIntake::Closed => CandidateStanding::Ejected,
         }
     }
@@ -108,7 +108,7 @@
     pub(super) fn take_pulse(&mut self, pulse: &seamhatch_wire::Pulse) {
         self.clock.observe(pulse.clock, clock::now());
         self.intake = pulse.intake;
-        if let CallIntake::LastResort { left } = pulse.intake {
+        if let CallIntake::FallbackOnly { left } = pulse.intake {
             self.leaves_at = clock::now().plus(left);
         }
         self.generation = pulse.generation;
--- a/crates/seamhatchd/src/shared.rs
+++ b/crates/seamhatchd/src/shared.rs
@@ -157,7 +157,7 @@
             return CallIntake::Open;
         }
         match self.time_left() {
-            Some(left) if left > 0 && self.instances.tell_departures() => CallIntake::LastResort { left },
+            Some(left) if left > 0 && self.instances.tell_departures() => CallIntake::FallbackOnly { left },
             _ => CallIntake::Closed,
         }
     }
