--- a/crates/seamhatch-core/src/crashes/ledger.rs
+++ b/crates/seamhatch-core/src/crashes/ledger.rs
@@ -1,6 +1,6 @@
 //! What a daemon knows of requests that were at work when servers crashed.
 
-use super::{ServerLife, SuspectRecord, SuspectReport};
+use super::{InstanceDigest, SuspectRecord, SuspectReport};
 use crate::clock::{Instant, Microseconds, SECOND};
 use crate::identity::RequestDigest;
 use std::collections::HashMap;
@@ -129,7 +129,7 @@
     /// Takes in that a request was at work when a life of a server ended in a crash, on trial or not.
     pub fn report(
         &mut self,
-        life: ServerLife,
+        life: InstanceDigest,
         request: RequestDigest,
         on_trial: bool,
         now: Instant,
--- a/crates/seamhatch-core/src/crashes/mod.rs
+++ b/crates/seamhatch-core/src/crashes/mod.rs
@@ -21,9 +21,9 @@
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
-pub struct ServerLife(pub u64);
+pub struct InstanceDigest(pub u64);
 
-impl ServerLife {
+impl InstanceDigest {
     /// The life of a server that registers.
     #[must_use]
     pub fn of_instance(instance: &InstanceId) -> Self {
--- a/crates/seamhatch-core/src/crashes/record.rs
+++ b/crates/seamhatch-core/src/crashes/record.rs
@@ -1,6 +1,6 @@
 //! The evidence against one request, as daemons tell it to each other.
 
-use super::ServerLife;
+use super::InstanceDigest;
 use crate::clock::{MILLISECOND, Microseconds};
 use crate::identity::RequestDigest;
 use serde::{Deserialize, Serialize};
@@ -15,7 +15,7 @@
 )]
 pub struct CrashMark {
     /// Which life of which server ended.
-    pub life: ServerLife,
+    pub life: InstanceDigest,
     /// It ran there as the only suspect of several crashes. Where it did not, many may have been at work, as when half of a
     /// service is lost at once under a popular request.
     pub on_trial: bool,
@@ -99,7 +99,7 @@
     }
 
     /// Adds a crash. True when that is news.
-    pub fn add(&mut self, life: ServerLife, on_trial: bool) -> bool {
+    pub fn add(&mut self, life: InstanceDigest, on_trial: bool) -> bool {
         self.add_mark(CrashMark { life, on_trial, cleared: false })
     }
 
--- a/crates/seamhatch-core/tests/crashes.rs
+++ b/crates/seamhatch-core/tests/crashes.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use seamhatch_core::clock::SECOND;
 use seamhatch_core::crashes::{
-    CrashLedger, CrashPolicy, EvidenceEffect, MOST_MARKS, ServerLife, SuspectRecord, SuspectReport,
+    CrashLedger, CrashPolicy, EvidenceEffect, InstanceDigest, MOST_MARKS, SuspectRecord, SuspectReport,
     SuspectStanding,
 };
 use seamhatch_core::identity::RequestDigest;
@@ -95,10 +95,10 @@
     for step in steps {
         match step {
             Crash(life) => {
-                ledger.report(ServerLife(*life), REQUEST, false, now);
+                ledger.report(InstanceDigest(*life), REQUEST, false, now);
             }
             Trial(life) => {
-                ledger.report(ServerLife(*life), REQUEST, true, now);
+                ledger.report(InstanceDigest(*life), REQUEST, true, now);
             }
             GoodEnd => {
                 ledger.clear(REQUEST, now);
@@ -129,7 +129,7 @@
 fn evidence_says_once_that_a_request_is_condemned_and_once_that_it_is_released() {
     let mut ledger = CrashLedger::default();
     let effects: Vec<EvidenceEffect> =
-        (1..=4).map(|life| ledger.report(ServerLife(life), REQUEST, life > 2, START)).collect();
+        (1..=4).map(|life| ledger.report(InstanceDigest(life), REQUEST, life > 2, START)).collect();
     use EvidenceEffect::{Changed, Condemned, Known, Released};
     assert_eq!(effects, [Changed, Changed, Condemned, Changed]);
     assert_eq!(ledger.clear(REQUEST, START), Released);
@@ -141,11 +141,11 @@
     let policy = CrashPolicy { most_suspects: 64, most_condemned: 16, ..CrashPolicy::default() };
     let mut ledger = CrashLedger::new(policy);
     for life in 1..=3 {
-        ledger.report(ServerLife(life), REQUEST, life > 2, START);
+        ledger.report(InstanceDigest(life), REQUEST, life > 2, START);
     }
     for number in 0..10_000 {
         let now = START.plus(number);
-        ledger.report(ServerLife(100 + number), RequestDigest(1000 + number), false, now);
+        ledger.report(InstanceDigest(100 + number), RequestDigest(1000 + number), false, now);
         assert!(ledger.len() <= 64 + 16 + 1);
     }
     assert!(matches!(ledger.standing(REQUEST, START.plus(SECOND)), SuspectStanding::Condemned { .. }));
@@ -155,7 +155,7 @@
 
 #[test]
 fn one_life_of_a_server_has_one_name_everywhere() {
-    let life = |name: &str| ServerLife::of_instance(&InstanceId::named(name));
+    let life = |name: &str| InstanceDigest::of_instance(&InstanceId::named(name));
     assert_eq!(life("i-1"), life("i-1"));
     assert_ne!(life("i-1"), life("i-2"));
 }
@@ -166,7 +166,7 @@
     proptest::collection::vec(seen, 0..30).prop_map(|seen| {
         let mut record = SuspectRecord::new(REQUEST);
         for (life, on_trial, ends_well) in seen {
-            record.add(ServerLife(life), on_trial);
+            record.add(InstanceDigest(life), on_trial);
             if ends_well {
                 record.clear();
             }
@@ -211,7 +211,7 @@
     ) {
         let mut ledgers = vec![CrashLedger::default(); 3];
         for (daemon, life) in &crashes {
-            ledgers[*daemon].report(ServerLife(*life), REQUEST, false, START);
+            ledgers[*daemon].report(InstanceDigest(*life), REQUEST, false, START);
         }
         // Each tells each other in the end, whatever was told before.
         let complete = (0..3).flat_map(|from| (0..3).map(move |to| (from, to)));
@@ -233,7 +233,7 @@
     let told = |age: Microseconds| {
         let mut teller = CrashLedger::default();
         for life in 1..=3 {
-            teller.report(ServerLife(life), REQUEST, life > 2, START);
+            teller.report(InstanceDigest(life), REQUEST, life > 2, START);
         }
         let report: SuspectReport = teller.reports(&[REQUEST], START.plus(age)).remove(0);
         let mut ledger = CrashLedger::default();
--- a/crates/seamhatch-core/tests/membership.rs
+++ b/crates/seamhatch-core/tests/membership.rs
@@ -2,7 +2,7 @@
 
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, SECOND};
-use seamhatch_core::crashes::{ServerLife, SuspectRecord, SuspectReport};
+use seamhatch_core::crashes::{InstanceDigest, SuspectRecord, SuspectReport};
 use seamhatch_core::identity::{Address, Incarnation, RequestDigest};
 use seamhatch_core::membership::{Lifecycle, Liveness, MemberInfo, Membership, MembershipPolicy, Outgoing};
 use std::collections::BTreeSet;
@@ -233,7 +233,7 @@
         network.run(30);
         let mut record = SuspectRecord::new(RequestDigest(1));
         (0..case.crashes).for_each(|life| {
-            record.add(ServerLife(life), false);
+            record.add(InstanceDigest(life), false);
         });
         let outgoing = network.members[0].spread_suspects(&[SuspectReport { record, age: 0 }]);
         let told: BTreeSet<Address> = outgoing.iter().map(|(target, _)| *target).collect();
--- a/crates/seamhatch-model/src/crashes.rs
+++ b/crates/seamhatch-model/src/crashes.rs
@@ -6,7 +6,7 @@
 
 use crate::search::{Model, SearchResult, Step, action, search};
 use seamhatch_core::Instant;
-use seamhatch_core::crashes::{CrashLedger, ServerLife, SuspectRecord, SuspectReport, SuspectStanding};
+use seamhatch_core::crashes::{CrashLedger, InstanceDigest, SuspectRecord, SuspectReport, SuspectStanding};
 use seamhatch_core::identity::RequestDigest;
 
 /// A rule that is left out.
@@ -224,9 +224,9 @@
         at_work.dedup_by_key(|copy| copy.request);
         for copy in at_work {
             let on_trial = copy.on_trial || self.fault == CrashesFault::CondemnedByCount;
-            server.known[copy.request].add(ServerLife(life), on_trial);
+            server.known[copy.request].add(InstanceDigest(life), on_trial);
             if self.fault == CrashesFault::SumOfReports {
-                server.known[copy.request].add(ServerLife(life + 1000), on_trial);
+                server.known[copy.request].add(InstanceDigest(life + 1000), on_trial);
             }
             state.harmless_trial_cut |= copy.on_trial && copy.request == HARMLESS;
             state.harmless_cut += u8::from(copy.request == HARMLESS);
--- a/crates/seamhatch-wire/tests/hostile.rs
+++ b/crates/seamhatch-wire/tests/hostile.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use seamhatch_core::Instant;
-use seamhatch_core::crashes::{MOST_MARKS, ServerLife, SuspectRecord, SuspectReport};
+use seamhatch_core::crashes::{InstanceDigest, MOST_MARKS, SuspectRecord, SuspectReport};
 use seamhatch_core::freshness::FreshnessProof;
 use seamhatch_core::generation::Generation;
 use seamhatch_core::identity::{Address, CallId, Incarnation, RequestDigest, RootId};
@@ -34,7 +34,7 @@
 fn suspect(crashes: u64) -> SuspectReport {
     let mut record = SuspectRecord::new(RequestDigest(u64::MAX));
     for life in 0..crashes {
-        record.add(ServerLife(u64::MAX - life), true);
+        record.add(InstanceDigest(u64::MAX - life), true);
     }
     SuspectReport { record, age: u64::MAX }
 }
--- a/crates/seamhatch-wire/tests/stored_format.rs
+++ b/crates/seamhatch-wire/tests/stored_format.rs
@@ -2,7 +2,7 @@
 //! written must be readable by the next.
 
 use seamhatch_core::claims::Epoch;
-use seamhatch_core::crashes::{CondemnedRecord, ServerLife, SuspectRecord, SuspectReport};
+use seamhatch_core::crashes::{CondemnedRecord, InstanceDigest, SuspectRecord, SuspectReport};
 use seamhatch_core::departure::DepartureRecord;
 use seamhatch_core::generation::{Generation, SubmissionId};
 use seamhatch_core::identity::{Address, Incarnation, RequestDigest};
@@ -40,8 +40,8 @@
     departures.add(&InstanceId::named("i-1"));
     departures.add(&InstanceId { name: "i-2".into(), born: Some(13) });
     let mut suspect = SuspectRecord::new(RequestDigest(0x0a0b));
-    suspect.add(ServerLife(0x0c0d), true);
-    suspect.add(ServerLife(0x0e0f), false);
+    suspect.add(InstanceDigest(0x0c0d), true);
+    suspect.add(InstanceDigest(0x0e0f), false);
     let condemned = CondemnedRecord::new(&SuspectReport { record: suspect, age: 12_000 }, 1_000_012);
     let report = [
         ("configuration", round_trip(&configuration)),
--- a/crates/seamhatch-wire/tests/wire_format.rs
+++ b/crates/seamhatch-wire/tests/wire_format.rs
@@ -3,7 +3,7 @@
 
 use seamhatch_core::Instant;
 use seamhatch_core::claims::{Claim, ClaimHolder, ClaimKey, ClaimReply, Epoch};
-use seamhatch_core::crashes::{ServerLife, SuspectRecord, SuspectReport};
+use seamhatch_core::crashes::{InstanceDigest, SuspectRecord, SuspectReport};
 use seamhatch_core::freshness::FreshnessProof;
 use seamhatch_core::generation::{Generation, SubmissionId};
 use seamhatch_core::identity::{Address, CallId, Fingerprint, Incarnation, RequestDigest, RootId};
@@ -76,8 +76,8 @@
 
 fn suspects() -> Vec<SuspectReport> {
     let mut record = SuspectRecord::new(RequestDigest(0x0a0b));
-    record.add(ServerLife(0x0c0d), true);
-    record.add(ServerLife(0x0e0f), false);
+    record.add(InstanceDigest(0x0c0d), true);
+    record.add(InstanceDigest(0x0e0f), false);
     vec![SuspectReport { record, age: 12 }]
 }
 
--- a/crates/seamhatchd/src/server/crashes/at_work.rs
+++ b/crates/seamhatchd/src/server/crashes/at_work.rs
@@ -2,7 +2,7 @@
 
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{Microseconds, SECOND};
-use seamhatch_core::crashes::ServerLife;
+use seamhatch_core::crashes::InstanceDigest;
 use seamhatch_core::identity::{Incarnation, RequestDigest};
 use seamhatch_core::instance::InstanceId;
 use std::collections::{HashMap, VecDeque};
@@ -34,14 +34,14 @@
     /// Crashes of a back end that has no name.
     unnamed_crashes: u64,
     /// The latest last.
-    ended: VecDeque<ServerLife>,
+    ended: VecDeque<InstanceDigest>,
     /// Calls whose connection broke while something listened there, the latest last.
     broken: VecDeque<(Instant, WorkEntry)>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct WorkEntry {
-    life: ServerLife,
+    life: InstanceDigest,
     request: RequestDigest,
     on_trial: bool,
 }
@@ -59,7 +59,7 @@
 #[derive(Debug)]
 pub struct CallAtWork {
     /// The life of the back end.
-    pub life: ServerLife,
+    pub life: InstanceDigest,
     /// The back end's instances have no names.
     is_unnamed: bool,
     calls: Arc<Mutex<CallTable>>,
@@ -84,8 +84,8 @@
     pub fn begin(&self, instance: Option<&InstanceId>, request: RequestDigest, on_trial: bool) -> CallAtWork {
         let mut table = lock(&self.calls);
         let life = match instance {
-            Some(instance) => ServerLife::of_instance(instance),
-            None => ServerLife::of_unnamed(self.incarnation, table.unnamed_crashes),
+            Some(instance) => InstanceDigest::of_instance(instance),
+            None => InstanceDigest::of_unnamed(self.incarnation, table.unnamed_crashes),
         };
         table.next += 1;
         let number = table.next;
@@ -119,7 +119,7 @@
     /// Another instance has taken the place of this one, which had not told that it leaves. Returns what was at work on it
     /// when it ended, where that was not known before: calls that broke lately, and those that still wait for its answer.
     pub(super) fn replace_life(&self, instance: &InstanceId, now: Instant) -> Vec<Suspect> {
-        let life = ServerLife::of_instance(instance);
+        let life = InstanceDigest::of_instance(instance);
         let mut table = lock(&self.calls);
         if table.ended.contains(&life) { Vec::new() } else { table.end_life(life, now) }
     }
@@ -128,7 +128,7 @@
 impl CallTable {
     /// Ends a life at `now`, where broken calls count, or by the proof of a call at work. What was at work on it, each request
     /// once.
-    fn end_life(&mut self, life: ServerLife, now: Instant) -> Vec<Suspect> {
+    fn end_life(&mut self, life: InstanceDigest, now: Instant) -> Vec<Suspect> {
         if self.ended.len() == REMEMBERED_LIVES {
             self.ended.pop_front();
         }
--- a/crates/seamhatchd/src/server/crashes/mod.rs
+++ b/crates/seamhatchd/src/server/crashes/mod.rs
@@ -18,7 +18,7 @@
 use crate::shared::Shared;
 use log::warn;
 use seamhatch_core::clock::Microseconds;
-use seamhatch_core::crashes::{ServerLife, SuspectStanding};
+use seamhatch_core::crashes::{InstanceDigest, SuspectStanding};
 use seamhatch_core::identity::RequestDigest;
 use seamhatch_core::instance::InstanceId;
 use seamhatch_core::outcome::Reason;
@@ -62,12 +62,12 @@
 pub fn instance_replaced(shared: &Shared, instance: &InstanceId) {
     let suspects = shared.crashes.replace_life(instance, clock::now());
     if !suspects.is_empty() {
-        report(shared, ServerLife::of_instance(instance), Some(instance), &suspects);
+        report(shared, InstanceDigest::of_instance(instance), Some(instance), &suspects);
     }
 }
 
 /// Notes a crash here and has it told everywhere.
-fn report(shared: &Shared, life: ServerLife, instance: Option<&InstanceId>, suspects: &[Suspect]) {
+fn report(shared: &Shared, life: InstanceDigest, instance: Option<&InstanceId>, suspects: &[Suspect]) {
     let condemned = shared.suspects.report_crash(life, suspects);
     log_crash(shared, instance, suspects);
     shared.metrics.crashes.inc();
--- a/crates/seamhatchd/src/server/crashes/suspects.rs
+++ b/crates/seamhatchd/src/server/crashes/suspects.rs
@@ -7,7 +7,7 @@
 use seamhatch_core::Instant;
 use seamhatch_core::clock::MILLISECOND;
 use seamhatch_core::crashes::{
-    CrashLedger, CrashPolicy, EvidenceEffect, ServerLife, SuspectReport, SuspectStanding,
+    CrashLedger, CrashPolicy, EvidenceEffect, InstanceDigest, SuspectReport, SuspectStanding,
 };
 use seamhatch_core::identity::RequestDigest;
 use seamhatch_policy::CrashSettings;
@@ -61,7 +61,7 @@
     }
 
     /// Takes in a crash and what was at work then. Returns what it has condemned.
-    pub fn report_crash(&self, life: ServerLife, suspects: &[Suspect]) -> Vec<RequestDigest> {
+    pub fn report_crash(&self, life: InstanceDigest, suspects: &[Suspect]) -> Vec<RequestDigest> {
         let now = clock::now();
         let mut ledger = self.lock();
         let mut condemned = Vec::new();
--- a/crates/seamhatchd/tests/suspects.rs
+++ b/crates/seamhatchd/tests/suspects.rs
@@ -1,7 +1,7 @@
 //! Suspects as the threads of one daemon see them: standing by the configuration, trials one after the other, and what a
 //! call pays while nothing is suspected.
 
-use seamhatch_core::crashes::{ServerLife, SuspectStanding};
+use seamhatch_core::crashes::{InstanceDigest, SuspectStanding};
 use seamhatch_core::identity::{Incarnation, RequestDigest, RootId};
 use seamhatch_core::priority::{Priority, PriorityClass};
 use seamhatch_core::retry::RetryLedger;
@@ -17,7 +17,7 @@
 fn book_after(crashes: u64) -> SuspectBook {
     let book = SuspectBook::default();
     for life in 1..=crashes {
-        book.report_crash(ServerLife(life), &[Suspect { request: REQUEST, on_trial: life > 2 }]);
+        book.report_crash(InstanceDigest(life), &[Suspect { request: REQUEST, on_trial: life > 2 }]);
     }
     book
 }
