--- a/crates/seamhatchd/src/controllers/control_thread/mod.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/mod.rs
@@ -218,7 +218,7 @@
                 // The asker may have gone away.
                 let _ = reply.send(answer);
             }
-            ControlEvent::SawGeneration { peer, generation } => match self.backing {
+            ControlEvent::PeerGeneration { peer, generation } => match self.backing {
                 Backing::Witnessed(_) => self.pull_if_behind(peer, generation),
                 Backing::Followed(_) => self.note_ahead(peer, generation),
             },
--- a/crates/seamhatchd/src/controllers/events.rs
+++ b/crates/seamhatchd/src/controllers/events.rs
@@ -54,7 +54,7 @@
     /// Another daemon's controller asks.
     Request(ControlRequest, oneshot::Sender<ControlReply>),
     /// A daemon told a newer generation.
-    SawGeneration {
+    PeerGeneration {
         /// Its peer address; none when not known.
         peer: Option<Address>,
         /// What it told.
--- a/crates/seamhatchd/src/controllers/handle.rs
+++ b/crates/seamhatchd/src/controllers/handle.rs
@@ -50,12 +50,12 @@
     }
 
     /// A daemon told its generation. Cheap unless it is news.
-    pub fn saw_generation(&self, peer: Address, generation: Generation) {
+    pub fn note_peer_generation(&self, peer: Address, generation: Generation) {
         self.note_generation(Some(peer), generation);
     }
 
     /// A call told its sender's generation.
-    pub fn saw_generation_of_call(&self, generation: Generation) {
+    pub fn note_call_generation(&self, generation: Generation) {
         self.note_generation(None, generation);
     }
 
@@ -144,7 +144,7 @@
 
     fn note_generation(&self, peer: Option<Address>, generation: Generation) {
         if self.note_told(generation, clock::now()) {
-            self.send(ControlEvent::SawGeneration { peer, generation });
+            self.send(ControlEvent::PeerGeneration { peer, generation });
         }
     }
 
--- a/crates/seamhatchd/src/peer/connection.rs
+++ b/crates/seamhatchd/src/peer/connection.rs
@@ -237,7 +237,7 @@
                     let floor = floors.note(&self.service, self.address, pulse.server, clock::now());
                     shared.entry_floors.learn_service(&self.service, floor);
                 }
-                shared.control.saw_generation(self.address, pulse.generation);
+                shared.control.note_peer_generation(self.address, pulse.generation);
             }
             PeerMessage::Suspects(reports) => shared.suspects.merge(&reports),
             PeerMessage::Refused { call, refusal } => {
--- a/crates/seamhatchd/src/peer/server.rs
+++ b/crates/seamhatchd/src/peer/server.rs
@@ -195,7 +195,7 @@
             PeerMessage::Pulse(pulse) => {
                 self.peer_clock.observe(pulse.clock);
                 pulse.proof.into_iter().for_each(|proof| self.shared.freshness.prove(proof));
-                self.shared.control.saw_generation(self.hello.peer, pulse.generation);
+                self.shared.control.note_peer_generation(self.hello.peer, pulse.generation);
             }
             _ => self.shared.metrics.bad_input(BadInput::PeerConnection),
         }
--- a/crates/seamhatchd/src/peer/server_call.rs
+++ b/crates/seamhatchd/src/peer/server_call.rs
@@ -74,7 +74,7 @@
 impl ServerCall {
     /// Runs it from its arrival to its end; what became of it goes to the sender.
     pub(super) async fn run(self, body: backend::RequestBody) {
-        self.shared.control.saw_generation_of_call(self.head.generation);
+        self.shared.control.note_call_generation(self.head.generation);
         let now = clock::now();
         let context = &self.head.context;
         let running = RunningCall::new(
