--- a/crates/seamhatchd/src/listeners/admin.rs
+++ b/crates/seamhatchd/src/listeners/admin.rs
@@ -100,7 +100,7 @@
         typed(StatusCode::OK, "text/plain", b"ready\n".to_vec())
     } else {
         if shared.is_draining() {
-            shared.readiness_refused.fetch_add(1, Ordering::Relaxed);
+            shared.not_ready_answers.fetch_add(1, Ordering::Relaxed);
         }
         typed(StatusCode::SERVICE_UNAVAILABLE, "text/plain", b"not ready\n".to_vec())
     }
--- a/crates/seamhatchd/src/shared.rs
+++ b/crates/seamhatchd/src/shared.rs
@@ -82,7 +82,7 @@
     /// Has a configuration and may take work.
     pub ready: AtomicBool,
     /// Questions whether it is ready that it has answered with no while it leaves.
-    pub readiness_refused: AtomicUsize,
+    pub not_ready_answers: AtomicUsize,
     /// HTTP requests in progress at the listeners.
     pub open_requests: Arc<AtomicUsize>,
     /// Source of call numbers.
--- a/crates/seamhatchd/src/startup.rs
+++ b/crates/seamhatchd/src/startup.rs
@@ -176,7 +176,7 @@
         draining_since: AtomicU64::new(0),
         work_changed: tokio::sync::Notify::new(),
         ready: AtomicBool::new(false),
-        readiness_refused: AtomicUsize::new(0),
+        not_ready_answers: AtomicUsize::new(0),
         open_requests: Arc::default(),
         next_call: AtomicU64::new(1),
         metrics,
@@ -239,7 +239,7 @@
 async fn drained(shared: &Shared, listeners: &mut Listeners, started: Instant) {
     let longest = shared.settings.grace.map_or(LONGEST_DRAIN, |grace| grace.saturating_sub(END_MARGIN));
     let learnt = || {
-        let refused = shared.readiness_refused.load(Ordering::Relaxed);
+        let refused = shared.not_ready_answers.load(Ordering::Relaxed);
         refused >= REFUSALS_TO_LEARN || passed_since(started) >= LONGEST_TO_LEARN
     };
     until_quiet(shared, started, learnt, longest).await;
