--- a/crates/seamhatchd/src/controllers/control_thread/followed.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/followed.rs
@@ -182,7 +182,7 @@
         if !self.shared.instances.is_open() {
             self.shared.gate.close();
         }
-        self.shared.tell_peers();
+        self.shared.lifecycle.notify_peers();
         self.update_lifecycle();
     }
 
--- a/crates/seamhatchd/src/controllers/control_thread/requests.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/requests.rs
@@ -108,7 +108,7 @@
 
     pub(super) fn start_drain(&mut self) {
         info!("draining: new work is taken only where no other daemon can");
-        self.shared.start_draining();
+        self.shared.lifecycle.start_draining();
         self.work_changed();
     }
 
--- a/crates/seamhatchd/src/controllers/control_thread/store.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/store.rs
@@ -10,7 +10,6 @@
 use seamhatch_core::Instant;
 use seamhatch_core::generation::Generation;
 use seamhatch_policy::StoredConfiguration;
-use std::sync::atomic::Ordering;
 
 impl ControlThread {
     pub(super) fn read_store(&mut self) {
@@ -111,7 +110,7 @@
     }
 
     pub(super) fn is_ready(&self) -> bool {
-        self.shared.ready.load(Ordering::Acquire)
+        self.shared.lifecycle.is_ready()
     }
 
     pub(super) fn become_ready_if_verified(&mut self) {
@@ -120,7 +119,7 @@
             return;
         }
         info!(generation = self.configuration.generation().0; "ready");
-        self.shared.ready.store(true, Ordering::Release);
+        self.shared.lifecycle.become_ready();
         self.work_changed();
     }
 }
--- a/crates/seamhatchd/src/filters/mod.rs
+++ b/crates/seamhatchd/src/filters/mod.rs
@@ -21,7 +21,6 @@
 use crate::base::clock;
 use crate::shared::Shared;
 use seamhatch_core::outcome::Reason;
-use std::sync::atomic::Ordering;
 
 /// One step of the request path.
 pub trait RequestFilter: Send + Sync {
@@ -114,7 +113,7 @@
 /// or knows that it has not, turns down nothing for good by the one that it has.
 pub fn run_chain(chain: &FilterChain, shared: &Shared, request: &mut RequestState) -> Result<(), Rejection> {
     // Before the chain takes hold of a configuration: a newer one may come into force meanwhile.
-    let newest = shared.ready.load(Ordering::Acquire) && !shared.control.is_behind(clock::now());
+    let newest = shared.lifecycle.is_ready() && !shared.control.is_behind(clock::now());
     let rejected = chain.iter().try_for_each(|filter| filter.apply(shared, request));
     rejected.map_err(|rejection| {
         if newest || !rejection.rests_on_configuration() {
--- a/crates/seamhatchd/src/lib.rs
+++ b/crates/seamhatchd/src/lib.rs
@@ -21,6 +21,7 @@
 pub mod conventions;
 pub mod dispatch;
 pub mod filters;
+pub mod lifecycle;
 pub mod limits;
 pub mod listeners;
 pub mod peer;
--- a/crates/seamhatchd/src/listeners/admin.rs
+++ b/crates/seamhatchd/src/listeners/admin.rs
@@ -11,7 +11,6 @@
 use serde::{Deserialize, Serialize};
 use std::convert::Infallible;
 use std::sync::Arc;
-use std::sync::atomic::Ordering;
 use xitca_web::WebContext;
 use xitca_web::body::RequestBody;
 use xitca_web::http::WebResponse;
@@ -100,7 +99,7 @@
         typed(StatusCode::OK, "text/plain", b"ready\n".to_vec())
     } else {
         if shared.is_draining() {
-            shared.not_ready_answers.fetch_add(1, Ordering::Relaxed);
+            shared.lifecycle.count_not_ready_answer();
         }
         typed(StatusCode::SERVICE_UNAVAILABLE, "text/plain", b"not ready\n".to_vec())
     }
--- a/crates/seamhatchd/src/peer/link.rs
+++ b/crates/seamhatchd/src/peer/link.rs
@@ -82,7 +82,7 @@
 ) {
     loop {
         // Before the state is read, so that no later change of it is missed.
-        let changed = shared.work_changed.notified();
+        let changed = shared.lifecycle.work_changed();
         tokio::pin!(changed);
         changed.as_mut().enable();
         if outbox.send(PeerMessage::Pulse(pulse(shared, &to_peer_clock))).is_err() {
--- a/crates/seamhatchd/src/shared.rs
+++ b/crates/seamhatchd/src/shared.rs
@@ -6,6 +6,7 @@
 use crate::controllers::ControlHandle;
 use crate::conventions::HttpConventions;
 use crate::filters::EntryFloors;
+use crate::lifecycle::DaemonLifecycle;
 use crate::limits::freshness::Freshness;
 use crate::limits::quota::Quota;
 use crate::limits::retry_budget::RetryBudget;
@@ -20,13 +21,11 @@
 use crate::snapshot::Snapshot;
 use arc_swap::{ArcSwap, Guard};
 use seamhatch_core::Instant;
-use seamhatch_core::clock::Microseconds;
 use seamhatch_core::identity::{CallId, Incarnation};
 use seamhatch_wire::CallIntake;
 use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
+use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
-use tokio::sync::Notify;
 
 /// The parts of a daemon that its threads share.
 #[derive(Debug)]
@@ -71,26 +70,14 @@
     pub control: ControlHandle,
     /// The state that the control thread published last.
     pub published: ArcSwap<Snapshot>,
-    /// It is leaving.
-    pub draining: AtomicBool,
-    /// It is about to end: its server gets nothing more.
-    pub closing: AtomicBool,
-    /// Since when, in microseconds of the boot clock.
-    pub draining_since: AtomicU64,
-    /// Woken when the server begins or ceases to take work.
-    pub work_changed: Notify,
-    /// Has a configuration and may take work.
-    pub ready: AtomicBool,
-    /// Questions whether it is ready that it has answered with no while it leaves.
-    pub not_ready_answers: AtomicUsize,
+    /// Whether this process is ready, draining or about to end.
+    pub lifecycle: DaemonLifecycle,
     /// HTTP requests in progress at the listeners.
     pub open_requests: Arc<AtomicUsize>,
     /// Source of call numbers.
     pub next_call: AtomicU64,
 }
 
-/// Work in progress is given up this long before the grace period ends: others are still told.
-pub const END_MARGIN: Duration = Duration::from_millis(700);
 /// Part of the time between a stop request and the end in which callers are still served. What is taken
 /// then has the rest of the time to end.
 const SERVED_SHARE_OF_GRACE: f64 = 0.45;
@@ -104,42 +91,15 @@
     /// Whether the daemon is leaving.
     #[must_use]
     pub fn is_draining(&self) -> bool {
-        self.draining.load(Ordering::Acquire)
-    }
-
-    /// Takes new work only where nobody else can from now on, and tells every connected daemon at once.
-    pub fn start_draining(&self) {
-        self.note_stop(clock::now());
-        self.draining.store(true, Ordering::Release);
-        self.tell_peers();
-    }
-
-    /// Notes when the daemon was first asked to stop: the time that is left counts from then.
-    pub fn note_stop(&self, now: Instant) {
-        let _ = self.draining_since.compare_exchange(0, now.0, Ordering::AcqRel, Ordering::Acquire);
-    }
-
-    /// Gives the server nothing more, so that what is in progress when the process ends is known before.
-    pub fn start_closing(&self) {
-        self.closing.store(true, Ordering::Release);
-        self.tell_peers();
-    }
-
-    fn is_closing(&self) -> bool {
-        self.closing.load(Ordering::Acquire)
+        self.lifecycle.is_draining()
     }
 
     /// Whether callers that come now would be cut off by the end of the process. Until then they are served,
     /// as they may not have learnt yet that it leaves.
     #[must_use]
     pub fn is_too_late_for_callers(&self) -> bool {
-        let Some(grace) = self.settings.grace.filter(|_| self.is_draining()) else { return false };
-        Duration::from_micros(self.draining_for()) > grace.mul_f64(SERVED_SHARE_OF_GRACE)
-    }
-
-    /// Tells every connected daemon at once whether the server takes work.
-    pub fn tell_peers(&self) {
-        self.work_changed.notify_waiters();
+        let Some(grace) = self.lifecycle.grace_of_drain() else { return false };
+        Duration::from_micros(self.lifecycle.draining_for()) > grace.mul_f64(SERVED_SHARE_OF_GRACE)
     }
 
     /// Which calls the server beside this daemon gets.
@@ -149,14 +109,14 @@
     /// daemon.
     #[must_use]
     pub fn intake(&self) -> CallIntake {
-        let closed = !self.ready.load(Ordering::Acquire) || self.is_closing();
+        let closed = !self.lifecycle.is_ready() || self.lifecycle.is_closing();
         if closed || !self.instances.is_open() {
             return CallIntake::Closed;
         }
         if !self.is_draining() {
             return CallIntake::Open;
         }
-        match self.time_left() {
+        match self.lifecycle.time_left() {
             Some(left) if left > 0 && self.instances.tell_departures() => CallIntake::FallbackOnly { left },
             _ => CallIntake::Closed,
         }
@@ -165,26 +125,16 @@
     /// Whether a call that starts now can end before the process does.
     #[must_use]
     pub fn can_finish(&self, expiry: Instant) -> bool {
-        if self.is_closing() {
+        if self.lifecycle.is_closing() {
             return false;
         }
         if !self.is_draining() {
             return true;
         }
-        let ends = self.time_left().map(|left| clock::now().plus(left));
+        let ends = self.lifecycle.time_left().map(|left| clock::now().plus(left));
         ends.is_some_and(|ends| expiry <= ends) || !self.is_too_late_for_callers()
     }
 
-    /// Time until work in progress is given up, while the daemon stops; none where nothing bounds it.
-    fn time_left(&self) -> Option<Microseconds> {
-        let grace = self.settings.grace?.saturating_sub(END_MARGIN).as_micros() as Microseconds;
-        Some(grace.saturating_sub(self.draining_for()))
-    }
-
-    fn draining_for(&self) -> Microseconds {
-        clock::now().since(Instant(self.draining_since.load(Ordering::Acquire)))
-    }
-
     /// Calls and HTTP requests in progress here.
     #[must_use]
     pub fn in_flight(&self) -> usize {
@@ -200,7 +150,7 @@
     /// Whether callers are welcome at this daemon.
     #[must_use]
     pub fn serves_callers(&self) -> bool {
-        self.ready.load(Ordering::Acquire) && !self.is_draining()
+        self.lifecycle.serves_callers()
     }
 
     /// A number for a new call.
--- a/crates/seamhatchd/src/startup.rs
+++ b/crates/seamhatchd/src/startup.rs
@@ -6,6 +6,7 @@
 use crate::claims::{ClaimRecords, Witnesses};
 use crate::controllers::{ControlHandle, ControlThread, DrainTarget};
 use crate::filters::EntryFloors;
+use crate::lifecycle::{DaemonLifecycle, END_MARGIN};
 use crate::limits::freshness::Freshness;
 use crate::limits::quota::Quota;
 use crate::limits::retry_budget::RetryBudget;
@@ -20,7 +21,7 @@
 use crate::server::instances::Instances;
 use crate::server::running::RunningCalls;
 use crate::settings::{self, Invocation, Settings, SettingsError};
-use crate::shared::{END_MARGIN, Shared};
+use crate::shared::Shared;
 use crate::snapshot::Snapshot;
 use arc_swap::ArcSwap;
 use log::{error, info, warn};
@@ -31,7 +32,7 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
+use std::sync::atomic::AtomicU64;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::runtime::{Builder, Handle, Runtime};
@@ -171,12 +172,7 @@
         quota: Quota::new(settings.quota),
         control,
         published: ArcSwap::from_pointee(Snapshot::default()),
-        draining: AtomicBool::new(false),
-        closing: AtomicBool::new(false),
-        draining_since: AtomicU64::new(0),
-        work_changed: tokio::sync::Notify::new(),
-        ready: AtomicBool::new(false),
-        not_ready_answers: AtomicUsize::new(0),
+        lifecycle: DaemonLifecycle::starting(settings.grace),
         open_requests: Arc::default(),
         next_call: AtomicU64::new(1),
         metrics,
@@ -218,10 +214,10 @@
     }
     info!("stop requested");
     let started = clock::now();
-    shared.note_stop(started);
+    shared.lifecycle.note_stop_request(started);
     if !shared.control.drain(DrainTarget::Own).await {
         warn!("the control thread is held up: the drain begins without it");
-        shared.start_draining();
+        shared.lifecycle.start_draining();
     }
     // A platform may repeat its request to stop, and its series may overlap: SIGKILL is its last word. Only
     // somebody at a terminal means a second one.
@@ -239,12 +235,12 @@
 async fn drained(shared: &Shared, listeners: &mut Listeners, started: Instant) {
     let longest = shared.settings.grace.map_or(LONGEST_DRAIN, |grace| grace.saturating_sub(END_MARGIN));
     let learnt = || {
-        let refused = shared.not_ready_answers.load(Ordering::Relaxed);
+        let refused = shared.lifecycle.not_ready_answers();
         refused >= REFUSALS_TO_LEARN || passed_since(started) >= LONGEST_TO_LEARN
     };
     until_quiet(shared, started, learnt, longest).await;
     listeners.refuse_callers();
-    shared.start_closing();
+    shared.lifecycle.start_closing();
     until_quiet(shared, started, || true, longest).await;
     if shared.in_flight() > 0 {
         warn!(in_flight = shared.in_flight(); "work is still in progress after the longest drain");
