--- a/crates/seamhatchd/src/claims/claimant.rs
+++ b/crates/seamhatchd/src/claims/claimant.rs
@@ -58,7 +58,7 @@
 
     /// The call was answered.
     pub fn answered(&self, answer: RecordedAnswer) {
-        self.shared.records.set(self.key, self.holder, RecordedState::Answered(answer));
+        self.shared.claims.records.set(self.key, self.holder, RecordedState::Answered(answer));
     }
 }
 
@@ -67,7 +67,7 @@
         if self.may_have_run {
             return;
         }
-        self.shared.records.set(self.key, self.holder, RecordedState::GivenUp);
+        self.shared.claims.records.set(self.key, self.holder, RecordedState::GivenUp);
         let release = PeerMessage::ReleaseClaim {
             shard: self.shard,
             epoch: self.epoch,
@@ -154,7 +154,7 @@
         attempt: NEXT_ATTEMPT.fetch_add(1, Ordering::Relaxed),
     };
     let claim = Claim { key, request, holder };
-    shared.records.begin(key, holder);
+    shared.claims.records.begin(key, holder);
     // Made first: whatever is granted from here on is given up unless the round is won.
     let claimed = Claimed {
         shared: shared.clone(),
--- a/crates/seamhatchd/src/controllers/control_thread/configuration.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/configuration.rs
@@ -27,14 +27,14 @@
             if let Some((in_force, configuration)) = self.configuration.in_force() {
                 self.control.set_generation(in_force);
                 let tenants = configuration.tenants();
-                self.shared.freshness.set_in_force(in_force, !tenants.is_empty());
+                self.shared.limits.freshness.set_in_force(in_force, !tenants.is_empty());
                 let limited = tenants.iter().any(|tenant| tenant.limit.is_some());
                 if limited && self.followed().is_none() {
                     warn!(
                         "limits of tenants are not kept: operators of this deployment submit to daemons, not to its store"
                     );
                 }
-                self.shared.quota.set_needed(limited && self.followed().is_some());
+                self.shared.limits.quota.set_needed(limited && self.followed().is_some());
             }
             if self.followed().is_none() {
                 // Daemons that follow a store hear of it there.
@@ -49,7 +49,7 @@
         let Some((_, configuration)) = self.configuration.in_force() else { return };
         self.shared.suspects.set_settings(configuration.crashes());
         if let Some(service) = configuration.service(&self.shared.settings.service) {
-            self.shared.gate.set_queue_per_slot(service.queue_per_slot);
+            self.shared.server.gate.set_queue_per_slot(service.queue_per_slot);
         }
     }
 
--- a/crates/seamhatchd/src/controllers/control_thread/followed.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/followed.rs
@@ -78,7 +78,7 @@
             self.update_metrics();
             self.update_asking_order();
             self.update_vacant_shards(now);
-            self.shared.quota.forget_old();
+            self.shared.limits.quota.forget_old();
         }
     }
 
@@ -87,7 +87,7 @@
         let weight = |member: Address| rendezvous::weight(ASKING_SEED, member.to_string().as_bytes());
         let own = weight(self.shared.settings.advertise.gossip);
         let live = self.membership.state.others().filter(|record| record.is_live());
-        self.shared.freshness.set_rank(live.filter(|record| weight(record.info.gossip) > own).count());
+        self.shared.limits.freshness.set_rank(live.filter(|record| weight(record.info.gossip) > own).count());
     }
 
     pub(super) fn discovered(&mut self, Discovery { members, condemned, shards }: Discovery) {
@@ -179,8 +179,8 @@
 
     /// The back end began or ceased to take work: everyone is told.
     pub(super) fn work_changed(&mut self) {
-        if !self.shared.instances.is_open() {
-            self.shared.gate.close();
+        if !self.shared.server.instances.is_open() {
+            self.shared.server.gate.close();
         }
         self.shared.lifecycle.notify_peers();
         self.update_lifecycle();
--- a/crates/seamhatchd/src/controllers/control_thread/instances.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/instances.rs
@@ -56,7 +56,7 @@
         }
         self.departures.inquiry.told(source);
         info!(source:? = source, instances = instances.len(); "departures of an earlier life told");
-        if self.shared.instances.depart(instances) {
+        if self.shared.server.instances.depart(instances) {
             warn!("the registered instance had departed before this daemon started");
             self.work_changed();
         }
@@ -147,7 +147,7 @@
     /// Takes in a heartbeat of the back end and answers it, once what it says is remembered.
     pub(super) fn heartbeat(&mut self, heartbeat: Heartbeat, reply: oneshot::Sender<InstanceAnswer>) {
         let instance = heartbeat.instance.clone();
-        let instance = self.shared.instances.resolve(instance);
+        let instance = self.shared.server.instances.resolve(instance);
         if heartbeat.state == InstanceState::Draining {
             self.take_heartbeat(heartbeat);
             return self.remember(instance, reply);
@@ -164,11 +164,11 @@
 
     fn take_heartbeat(&mut self, heartbeat: Heartbeat) {
         let (instance, sequence, now) = (heartbeat.instance.name.clone(), heartbeat.sequence, clock::now());
-        let before = self.shared.instances.current();
-        match self.shared.instances.heartbeat(heartbeat, now) {
+        let before = self.shared.server.instances.current();
+        match self.shared.server.instances.heartbeat(heartbeat, now) {
             HeartbeatVerdict::Opened => {
                 info!(instance = instance.as_str(), sequence = sequence; "instance opened");
-                self.shared.backend.forget_connections();
+                self.shared.server.backend.forget_connections();
                 self.open_instance();
                 self.note_replaced(before);
             }
@@ -185,19 +185,19 @@
 
     /// Another instance than `before` may have been opened. One that leaves has ended as planned.
     fn note_replaced(&self, before: Option<InstanceId>) {
-        let open = self.shared.instances.open().and_then(|open| open.id);
+        let open = self.shared.server.instances.open().and_then(|open| open.id);
         let replaced = before.filter(|before| Some(before) != open.as_ref());
-        let crashed = replaced.filter(|before| !self.shared.instances.is_leaving(before));
+        let crashed = replaced.filter(|before| !self.shared.server.instances.is_leaving(before));
         if let Some(instance) = crashed {
             crashes::instance_replaced(&self.shared, &instance);
         }
     }
 
     fn open_instance(&mut self) {
-        if let Some((slots, warm_at)) = self.shared.instances.capacity() {
+        if let Some((slots, warm_at)) = self.shared.server.instances.capacity() {
             let cold = warm_at > clock::now();
             let initial = if cold { slots.div_ceil(COLD_SHARE) } else { slots };
-            self.shared.gate.set_slots(slots, initial);
+            self.shared.server.gate.set_slots(slots, initial);
             self.membership.state.set_slots(slots);
         }
         self.work_changed();
@@ -205,18 +205,18 @@
 
     /// Gives a back end that is no longer cold all its slots.
     fn warm_up(&mut self, now: Instant) {
-        if let Some((slots, warm_at)) = self.shared.instances.capacity()
+        if let Some((slots, warm_at)) = self.shared.server.instances.capacity()
             && warm_at <= now
-            && self.shared.gate.report().limit < slots
+            && self.shared.server.gate.report().limit < slots
         {
-            self.shared.gate.set_slots(slots, slots);
+            self.shared.server.gate.set_slots(slots, slots);
         }
     }
 
     /// The back end says goodbye.
     pub(super) fn instance_departs(&mut self, instance: InstanceId, reply: oneshot::Sender<InstanceAnswer>) {
         let instance = self.departing_life(instance);
-        if self.shared.instances.depart([&instance]) {
+        if self.shared.server.instances.depart([&instance]) {
             info!(instance = instance.name.as_str(); "instance closed: it said goodbye");
             self.work_changed();
         }
@@ -226,8 +226,8 @@
     /// The life that says goodbye. Where neither it nor what is registered tells, it is each that has started by now:
     /// a heartbeat of it may still come, and a later life may have its name.
     fn departing_life(&self, instance: InstanceId) -> InstanceId {
-        let instance = self.shared.instances.resolve(instance);
-        let is_registered = self.shared.instances.current().as_ref() == Some(&instance);
+        let instance = self.shared.server.instances.resolve(instance);
+        let is_registered = self.shared.server.instances.current().as_ref() == Some(&instance);
         let born = instance.born.or_else(|| (!is_registered).then(clock::unix_milliseconds));
         InstanceId { born, ..instance }
     }
@@ -262,12 +262,12 @@
 
     /// The back end answered as another instance than the registered one.
     pub(super) fn refute_instance(&mut self, instance: &InstanceId) {
-        let refutation = self.shared.instances.refute(instance, clock::now());
+        let refutation = self.shared.server.instances.refute(instance, clock::now());
         if refutation == Refutation::Known {
             return;
         }
         warn!(instance = instance.name.as_str(), refutation:? = refutation; "another instance answered");
-        self.shared.backend.forget_connections();
+        self.shared.server.backend.forget_connections();
         if refutation == Refutation::Replaced {
             self.open_instance();
         } else {
@@ -277,16 +277,19 @@
 
     /// The back end could not be reached: it gets no new work until it is heard again.
     pub(super) fn lost_instance(&mut self, instance: &InstanceId, why: &str) {
-        if self.shared.instances.suspend(instance) {
+        if self.shared.server.instances.suspend(instance) {
             warn!(instance = instance.name.as_str(), why = why; "instance lost");
-            self.shared.backend.forget_connections();
+            self.shared.server.backend.forget_connections();
             self.work_changed();
         }
     }
 
     pub(super) fn watch_heartbeats(&mut self, now: Instant) {
-        let silent = self.shared.instances.heard().is_some_and(|heard| now.since(heard) > HEARTBEAT_SILENCE);
-        if let Some(OpenInstance { id: Some(instance) }) = self.shared.instances.open().filter(|_| silent) {
+        let silent =
+            self.shared.server.instances.heard().is_some_and(|heard| now.since(heard) > HEARTBEAT_SILENCE);
+        if let Some(OpenInstance { id: Some(instance) }) =
+            self.shared.server.instances.open().filter(|_| silent)
+        {
             self.lost_instance(&instance, "no heartbeat");
         }
     }
--- a/crates/seamhatchd/src/controllers/control_thread/mod.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/mod.rs
@@ -174,7 +174,7 @@
         let now = clock::now();
         self.membership.tick();
         self.publish_if_changed();
-        self.shared.gate.tick();
+        self.shared.server.gate.tick();
         self.become_ready_if_verified();
         self.tell_suspects_again(now);
         match self.backing {
@@ -234,7 +234,7 @@
             ControlEvent::DeparturesNotLearnt => self.departures_not_learnt(),
             ControlEvent::StoreConfigurationRead => self.configuration_was_read(),
             ControlEvent::QuotaShardsChanged => self.quota_shards_changed(),
-            ControlEvent::Proved(proof) => self.shared.freshness.prove(proof),
+            ControlEvent::Proved(proof) => self.shared.limits.freshness.prove(proof),
             ControlEvent::Discovered(discovery) => self.discovered(discovery),
             ControlEvent::Condemned(requests) => self.condemned(requests),
             ControlEvent::Met(gossip) => self.met(gossip),
--- a/crates/seamhatchd/src/controllers/control_thread/publishing.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/publishing.rs
@@ -55,8 +55,8 @@
         metrics.generation.set(self.configuration.generation().0 as i64);
         metrics.members.set(self.membership.state.live_count() as i64);
         metrics.condemned.set(self.shared.suspects.condemned() as i64);
-        metrics.claims.set(self.shared.witnesses.forget_old() as i64);
-        self.shared.records.forget_old();
+        metrics.claims.set(self.shared.claims.witnesses.forget_old() as i64);
+        self.shared.claims.records.forget_old();
         let cpu = clock_gettime(ClockId::ThreadCPUTime);
         metrics.control_cpu_milliseconds.set(cpu.tv_sec * 1000 + cpu.tv_nsec / 1_000_000);
     }
--- a/crates/seamhatchd/src/controllers/control_thread/quota_shards.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/quota_shards.rs
@@ -24,30 +24,31 @@
     pub(super) fn learn_quota_shards(&mut self, shards: &[(ShardNumber, ShardRecord)]) {
         let (own, incarnation) = (self.shared.settings.advertise.gossip, self.shared.incarnation);
         for (shard, record) in shards {
-            self.shared.quota.directory.learn(*shard, record.place());
+            self.shared.limits.quota.directory.learn(*shard, record.place());
         }
         let earlier = shards.iter().filter(|(_, record)| record.is_of_earlier_life(own, incarnation));
-        self.shared.quota.directory.set_vacant(earlier.map(|(shard, _)| (*shard, 0)).collect());
+        self.shared.limits.quota.directory.set_vacant(earlier.map(|(shard, _)| (*shard, 0)).collect());
     }
 
     pub(super) fn quota_shards_changed(&mut self) {
-        self.membership.state.set_quota_shards(self.shared.quota.held.mask());
+        self.membership.state.set_quota_shards(self.shared.limits.quota.held.mask());
         self.announce();
         self.update_shard_holders();
     }
 
     /// Finds the shards that no live member says to hold, and this daemon's place in the order of those who may take them.
     pub(super) fn update_vacant_shards(&mut self, now: Instant) {
-        if !self.shared.quota.is_needed() || now.since(self.started) < LEAST_AGE {
+        if !self.shared.limits.quota.is_needed() || now.since(self.started) < LEAST_AGE {
             return;
         }
         self.update_shard_holders();
         let live = self.membership.state.others().filter(|record| record.is_live());
-        let told = live.fold(self.shared.quota.held.mask(), |mask, record| mask | record.info.quota_shards);
-        let vacant = (0..self.shared.quota.policy.shards).filter(|shard| told & (1 << shard) == 0);
+        let told =
+            live.fold(self.shared.limits.quota.held.mask(), |mask, record| mask | record.info.quota_shards);
+        let vacant = (0..self.shared.limits.quota.policy.shards).filter(|shard| told & (1 << shard) == 0);
         let contended = vacant.map(|shard| (shard, self.place_for(shard)));
         let contended = contended.filter(|(_, place)| *place < MOST_CONTENDERS).collect();
-        self.shared.quota.directory.set_vacant(contended);
+        self.shared.limits.quota.directory.set_vacant(contended);
     }
 
     fn place_for(&self, shard: ShardNumber) -> usize {
@@ -56,17 +57,17 @@
         let before = |record: &&MemberRecord| {
             record.is_live() && record.info.quota_shards == 0 && weight(record.info.gossip) > own
         };
-        let held = self.shared.quota.held.mask().count_ones() as usize;
+        let held = self.shared.limits.quota.held.mask().count_ones() as usize;
         self.membership.state.others().filter(before).count() + PLACES_FOR_SHARD * held
     }
 
     /// Tells the threads that carry traffic where the shards are that live members say to hold.
     pub(super) fn update_shard_holders(&self) {
-        let directory = &self.shared.quota.directory;
+        let directory = &self.shared.limits.quota.directory;
         let members = std::iter::once(self.membership.state.me()).chain(self.membership.state.others());
         for record in members.filter(|record| record.is_live() && record.info.quota_shards != 0) {
             let place = ShardHolder { peer: record.info.peer, zone: record.info.zone.clone() };
-            for shard in (0..self.shared.quota.policy.shards)
+            for shard in (0..self.shared.limits.quota.policy.shards)
                 .filter(|shard| record.info.quota_shards & (1 << shard) != 0)
             {
                 directory.learn(shard, place.clone());
--- a/crates/seamhatchd/src/controllers/control_thread/requests.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/requests.rs
@@ -35,14 +35,14 @@
             }
             ControlRequest::GetRoster => ControlReply::Roster(Roster::clone(self.roster.roster())),
             ControlRequest::WitnessStatus { shard } => {
-                ControlReply::Serving(self.shared.witnesses.serving(shard))
+                ControlReply::Serving(self.shared.claims.witnesses.serving(shard))
             }
             ControlRequest::Seal { shard, epoch } => self.seal(shard, epoch),
             ControlRequest::Install { shard, epoch, claims, held } => {
                 if let Some(held) = held {
                     self.configuration.hold(&held);
                 }
-                if self.shared.witnesses.install(shard, epoch, claims) {
+                if self.shared.claims.witnesses.install(shard, epoch, claims) {
                     ControlReply::Done
                 } else {
                     ControlReply::Declined
@@ -65,13 +65,15 @@
             // Answered by the thread that carries traffic.
             ControlRequest::GetTokens { .. } => ControlReply::Declined,
             ControlRequest::GetRecorded { key, holder } => {
-                ControlReply::Recorded(self.shared.records.get(key, holder))
+                ControlReply::Recorded(self.shared.claims.records.get(key, holder))
             }
         }
     }
 
     pub(super) fn seal(&self, shard: u32, epoch: Epoch) -> ControlReply {
-        let Some(claims) = self.shared.witnesses.seal(shard, epoch) else { return ControlReply::Declined };
+        let Some(claims) = self.shared.claims.witnesses.seal(shard, epoch) else {
+            return ControlReply::Declined;
+        };
         let holds = shard as usize == CONFIGURATION_SHARD;
         ControlReply::Sealed { claims, held: self.configuration.highest().filter(|_| holds) }
     }
--- a/crates/seamhatchd/src/controllers/follow/freshness.rs
+++ b/crates/seamhatchd/src/controllers/follow/freshness.rs
@@ -38,7 +38,7 @@
     let mut backoff = Backoff::default();
     loop {
         tokio::time::sleep(POLL).await;
-        if !shared.freshness.is_needed() || !is_due(&shared) {
+        if !shared.limits.freshness.is_needed() || !is_due(&shared) {
             continue;
         }
         match ask(&shared, &followed, &documents).await {
@@ -46,7 +46,7 @@
             Err(error) => {
                 shared.metrics.store_failures.inc();
                 debug!(error = error.to_string().as_str(); "the store does not tell whether the configuration is the newest");
-                if shared.freshness.rank() < EAGER {
+                if shared.limits.freshness.rank() < EAGER {
                     tokio::time::sleep(EAGER_PAUSE).await
                 } else {
                     backoff.pause().await
@@ -57,9 +57,9 @@
 }
 
 fn is_due(shared: &Shared) -> bool {
-    let place = shared.freshness.rank().min(LAST_PLACE) as Microseconds;
+    let place = shared.limits.freshness.rank().min(LAST_PLACE) as Microseconds;
     let asks_after = FIRST_ASKS_AFTER + place * NEXT_ASKS_AFTER;
-    shared.freshness.age(clock::now()).is_none_or(|age| age >= asks_after)
+    shared.limits.freshness.age(clock::now()).is_none_or(|age| age >= asks_after)
 }
 
 async fn ask(
--- a/crates/seamhatchd/src/controllers/follow/quota_shards.rs
+++ b/crates/seamhatchd/src/controllers/follow/quota_shards.rs
@@ -75,7 +75,7 @@
     let mut backoff = Backoff::default();
     loop {
         tokio::time::sleep(POLL).await;
-        if !keeper.shared.quota.is_needed() {
+        if !keeper.shared.limits.quota.is_needed() {
             continue;
         }
         match keeper.step().await {
@@ -106,8 +106,8 @@
     async fn step(&mut self) -> Result<(), StoreError> {
         self.drop_what_has_ended();
         self.renew().await?;
-        let held = self.shared.quota.held.mask();
-        let mut vacant = self.shared.quota.directory.vacant();
+        let held = self.shared.limits.quota.held.mask();
+        let mut vacant = self.shared.limits.quota.directory.vacant();
         vacant.retain(|(shard, _)| held & (1 << shard) == 0);
         self.noticed.retain(|shard, _| vacant.iter().any(|(vacant, _)| vacant == shard));
         for (shard, place) in vacant {
@@ -122,7 +122,7 @@
     }
 
     fn drop_what_has_ended(&mut self) {
-        let held = &self.shared.quota.held;
+        let held = &self.shared.limits.quota.held;
         if self.lease.is_some() && !held.holds() {
             warn!(shards = held.mask().count_ones(); "the lease of this daemon's shards has ended");
             self.lease = None;
@@ -140,9 +140,9 @@
         let kept = self.timed(self.followed.store.keep_lease(lease)).await?;
         if kept {
             self.renewed = sent;
-            self.shared.quota.held.renewed(sent, LEASE.as_micros() as Microseconds);
+            self.shared.limits.quota.held.renewed(sent, LEASE.as_micros() as Microseconds);
         } else {
-            self.shared.quota.held.give_up();
+            self.shared.limits.quota.held.give_up();
             self.drop_what_has_ended();
         }
         Ok(())
@@ -155,7 +155,7 @@
         let sent = clock::now();
         let lease = self.timed(self.followed.store.make_lease(LEASE)).await?;
         self.renewed = sent;
-        self.shared.quota.held.renewed(sent, LEASE.as_micros() as Microseconds);
+        self.shared.limits.quota.held.renewed(sent, LEASE.as_micros() as Microseconds);
         self.lease = Some(lease);
         Ok(lease)
     }
@@ -217,12 +217,12 @@
 
     fn take(&self, shard: ShardNumber) {
         info!(shard = shard; "this daemon holds a shard of the tenants' limits");
-        self.shared.quota.held.take(shard);
+        self.shared.limits.quota.held.take(shard);
         self.shared.control.send(ControlEvent::QuotaShardsChanged);
     }
 
     fn pass_over(&mut self, shard: ShardNumber, record: &ShardRecord) {
-        self.shared.quota.directory.learn(shard, record.place());
+        self.shared.limits.quota.directory.learn(shard, record.place());
         self.noticed.insert(shard, clock::now().plus(HELD_ELSEWHERE_PAUSE));
     }
 
--- a/crates/seamhatchd/src/controllers/registration.rs
+++ b/crates/seamhatchd/src/controllers/registration.rs
@@ -100,5 +100,5 @@
 
 /// Whether this daemon holds configurations as a witness of `epoch`.
 pub fn is_holder(shared: &Shared, epoch: Epoch) -> bool {
-    shared.witnesses.serving(CONFIGURATION_SHARD as u32) == epoch
+    shared.claims.witnesses.serving(CONFIGURATION_SHARD as u32) == epoch
 }
--- a/crates/seamhatchd/src/controllers/status.rs
+++ b/crates/seamhatchd/src/controllers/status.rs
@@ -92,7 +92,7 @@
     members.sort_by(|left, right| (&left.service, &left.member).cmp(&(&right.service, &right.member)));
     let shards =
         input.roster.shards.iter().enumerate().map(|(index, shard)| ask_witnesses(&shared, index, shard));
-    let floor: AdmissionFloor = shared.gate.report().floor;
+    let floor: AdmissionFloor = shared.server.gate.report().floor;
     StatusReport {
         member: input.me.info.gossip.to_string(),
         ready: shared.takes_work(),
--- a/crates/seamhatchd/src/dispatch/mod.rs
+++ b/crates/seamhatchd/src/dispatch/mod.rs
@@ -254,7 +254,7 @@
     }
 
     fn check_limits(&self, first: Dispatch) -> Result<(), Rejection> {
-        let budget = &self.shared.retry_budget;
+        let budget = &self.shared.limits.retry_budget;
         self.check_suspect()?;
         if self.claimed.is_some() {
             check_entry_floor(self.shared, self.request)?;
@@ -271,7 +271,7 @@
     }
 
     fn take_from_ratio(&self) -> Result<(), Rejection> {
-        if self.shared.retry_budget.try_retry(&self.request.service, &self.settings) {
+        if self.shared.limits.retry_budget.try_retry(&self.request.service, &self.settings) {
             self.shared.metrics.retries.inc();
             return Ok(());
         }
@@ -314,7 +314,7 @@
 
     /// Takes in what the called service admits, by the reports of all its servers.
     fn learn_service_floor(&self) {
-        self.learn_floor(self.shared.service_floors.of(&self.request.service, clock::now()));
+        self.learn_floor(self.shared.limits.service_floors.of(&self.request.service, clock::now()));
     }
 
     fn learn_floor(&self, floor: Option<ChainFloor>) {
--- a/crates/seamhatchd/src/filters/context.rs
+++ b/crates/seamhatchd/src/filters/context.rs
@@ -30,7 +30,7 @@
 impl RequestFilter for ParentFromName {
     fn apply(&self, shared: &Shared, request: &mut RequestState) -> Result<(), Rejection> {
         let Some(name) = &request.terms.parent else { return Ok(()) };
-        if let Some(parent) = shared.running.find_by_name(name) {
+        if let Some(parent) = shared.server.running.find_by_name(name) {
             request.root = parent.root;
             request.parent = Some(parent);
         }
@@ -48,7 +48,7 @@
 impl RequestFilter for ParentFromContext {
     fn apply(&self, shared: &Shared, request: &mut RequestState) -> Result<(), Rejection> {
         let Some(context) = request.terms.context.take() else { return Ok(()) };
-        let Some(parent) = shared.running.find(&context) else {
+        let Some(parent) = shared.server.running.find(&context) else {
             shared.metrics.bad_input(BadInput::Context);
             let detail = "the call that this context names has ended or was given up; stop the work for it";
             return Err(Rejection::not_run(Reason::BadContext, detail));
--- a/crates/seamhatchd/src/filters/identity.rs
+++ b/crates/seamhatchd/src/filters/identity.rs
@@ -68,7 +68,7 @@
 
 fn holder(shared: &Shared, configuration: &Configuration, key: KeyDigest) -> Result<Arc<Tenant>, Rejection> {
     // Before anything is said of the key: what is in force here may be out of date either way.
-    if !shared.freshness.is_proved() {
+    if !shared.limits.freshness.is_proved() {
         let detail = "this daemon can't show that its keys are the newest; come back after Retry-After";
         return Err(Rejection::not_run(Reason::NoProof, detail).retry_after(PROOF_RETURN));
     }
--- a/crates/seamhatchd/src/limits/mod.rs
+++ b/crates/seamhatchd/src/limits/mod.rs
@@ -7,3 +7,21 @@
 pub mod quota;
 pub mod retry_budget;
 pub mod service_floors;
+
+use freshness::Freshness;
+use quota::Quota;
+use retry_budget::RetryBudget;
+use service_floors::ServiceFloors;
+
+/// What all daemons bound together, as far as this daemon knows and may use it.
+#[derive(Debug)]
+pub struct SharedLimits {
+    /// Retries that this daemon may cause.
+    pub retry_budget: RetryBudget,
+    /// What the services admit that this daemon calls.
+    pub service_floors: ServiceFloors,
+    /// Whether the configuration in force is known to be the newest.
+    pub freshness: Freshness,
+    /// What is left of the tenants' limits.
+    pub quota: Quota,
+}
--- a/crates/seamhatchd/src/limits/quota/admission.rs
+++ b/crates/seamhatchd/src/limits/quota/admission.rs
@@ -42,7 +42,7 @@
 /// # Errors
 /// [`Reason::OverQuota`] at the limit, [`Reason::NoQuotaShard`] where nobody can tell. Not run.
 pub async fn admit(shared: &Arc<Shared>, request: &RequestState) -> Result<Option<QuotaPermit>, Rejection> {
-    let limited = |tenant: &&Arc<Tenant>| shared.quota.is_needed() && limit_of(tenant).is_some();
+    let limited = |tenant: &&Arc<Tenant>| shared.limits.quota.is_needed() && limit_of(tenant).is_some();
     let Some(tenant) = request.tenant.as_ref().filter(limited) else { return Ok(None) };
     let charge = Charge { shared, tenant: &tenant.name };
     charge.note_request();
@@ -50,7 +50,8 @@
         return Ok(Some(permit));
     }
     let mut answered = false;
-    let shards = shared.quota.directory.in_order(&shared.settings.zone, |below| rand::random_range(0..below));
+    let shards =
+        shared.limits.quota.directory.in_order(&shared.settings.zone, |below| rand::random_range(0..below));
     for (shard, place) in shards {
         if !charge.may_ask(shard) {
             answered = true;
@@ -72,7 +73,7 @@
 
 impl Charge<'_> {
     fn note_request(&self) {
-        let mut caches = self.shared.quota.caches();
+        let mut caches = self.shared.limits.quota.caches();
         if !caches.contains_key(self.tenant) {
             caches.insert(self.tenant.to_owned(), Default::default());
         }
@@ -82,18 +83,18 @@
     }
 
     fn take(&self) -> Option<QuotaPermit> {
-        let token = self.shared.quota.caches().get_mut(self.tenant)?.take(clock::now())?;
+        let token = self.shared.limits.quota.caches().get_mut(self.tenant)?.take(clock::now())?;
         Some(QuotaPermit { tenant: self.tenant.to_owned(), token })
     }
 
     fn may_ask(&self, shard: ShardNumber) -> bool {
-        let caches = self.shared.quota.caches();
+        let caches = self.shared.limits.quota.caches();
         caches.get(self.tenant).is_none_or(|cache| cache.may_ask(shard, clock::now()))
     }
 
     /// Asks a shard for tokens. False when its holder did not answer.
     async fn ask(&self, shard: ShardNumber, place: ShardHolder) -> bool {
-        let quota = &self.shared.quota;
+        let quota = &self.shared.limits.quota;
         let asked = clock::now();
         let lifetime = quota.policy.token_lifetime();
         let wanted = quota.caches().get(self.tenant).map_or(1, |cache| cache.wanted(lifetime));
@@ -124,7 +125,7 @@
 
     fn at_limit(&self) -> Rejection {
         let now = clock::now();
-        let caches = self.shared.quota.caches();
+        let caches = self.shared.limits.quota.caches();
         let room_at = caches.get(self.tenant).and_then(|cache| cache.room_at(now));
         let span = room_at.map_or(0, |at| at.since(now)).max(SHORTEST_RETURN);
         let detail = "the tenant is at its limit; come back after Retry-After, or ask for a higher one";
--- a/crates/seamhatchd/src/limits/quota/holder.rs
+++ b/crates/seamhatchd/src/limits/quota/holder.rs
@@ -60,13 +60,13 @@
     let snapshot = shared.snapshot();
     let tenant = snapshot.configuration()?.tenants().named(tenant)?;
     let now = clock::now();
-    let mut holding = shared.quota.held.lock();
+    let mut holding = shared.limits.quota.held.lock();
     if !holding.lease.holds(now) {
         return None;
     }
     let held_since = *holding.shards.get(&shard)?;
     let Some(limit) = limit_of(tenant) else { return Some(QuotaGrant { tokens: wanted, pause: 0 }) };
-    let limit = shared.quota.policy.shard_limit(limit);
+    let limit = shared.limits.quota.policy.shard_limit(limit);
     let buckets = holding.buckets.entry(shard).or_default();
     let empty = || QuotaBucket::empty(held_since);
     let bucket = buckets.entry(tenant.name.clone()).or_insert_with(empty);
--- a/crates/seamhatchd/src/peer/connection.rs
+++ b/crates/seamhatchd/src/peer/connection.rs
@@ -178,7 +178,7 @@
                 tokio::task::yield_now().await;
             }
             connection.inner.close();
-            shared.service_floors.forget(&connection.service, connection.address);
+            shared.limits.service_floors.forget(&connection.service, connection.address);
             shared.pool.forget(&connection);
             link::log_end(&connection.address.to_string(), &result);
         });
@@ -229,11 +229,11 @@
         match message {
             PeerMessage::Pulse(pulse) => {
                 self.inner.view().take_pulse(&pulse);
-                pulse.proof.into_iter().for_each(|proof| shared.freshness.prove(proof));
+                pulse.proof.into_iter().for_each(|proof| shared.limits.freshness.prove(proof));
                 if pulse.intake == CallIntake::Closed {
-                    shared.service_floors.forget(&self.service, self.address);
+                    shared.limits.service_floors.forget(&self.service, self.address);
                 } else {
-                    let floors = &shared.service_floors;
+                    let floors = &shared.limits.service_floors;
                     let floor = floors.note(&self.service, self.address, pulse.server, clock::now());
                     shared.entry_floors.learn_service(&self.service, floor);
                 }
@@ -277,7 +277,7 @@
             view.intake
         };
         if intake != CallIntake::Closed {
-            shared.service_floors.note(&self.service, self.address, report, clock::now());
+            shared.limits.service_floors.note(&self.service, self.address, report, clock::now());
         }
     }
 
--- a/crates/seamhatchd/src/peer/link.rs
+++ b/crates/seamhatchd/src/peer/link.rs
@@ -109,12 +109,12 @@
 
 /// The present heartbeat.
 fn pulse(shared: &Shared, to_peer_clock: &impl Fn(Instant) -> Instant) -> Pulse {
-    let proof = shared.freshness.proof();
+    let proof = shared.limits.freshness.proof();
     Pulse {
         clock: clock::now(),
         generation: shared.snapshot().generation(),
         intake: shared.intake(),
-        server: shared.gate.report(),
+        server: shared.server.gate.report(),
         proof: proof.map(|proof| FreshnessProof { at: to_peer_clock(proof.at), ..proof }),
     }
 }
--- a/crates/seamhatchd/src/peer/server.rs
+++ b/crates/seamhatchd/src/peer/server.rs
@@ -168,11 +168,11 @@
                 }
             }
             PeerMessage::Claim { exchange, shard, epoch, claim } => {
-                let reply = self.shared.witnesses.claim(shard, epoch, claim);
+                let reply = self.shared.claims.witnesses.claim(shard, epoch, claim);
                 let _ = self.outbox.send(PeerMessage::ClaimReply { exchange, reply });
             }
             PeerMessage::ReleaseClaim { shard, epoch, key, holder } => {
-                self.shared.witnesses.release(shard, epoch, key, holder);
+                self.shared.claims.witnesses.release(shard, epoch, key, holder);
             }
             PeerMessage::ControlRequest {
                 exchange,
@@ -194,7 +194,7 @@
             }
             PeerMessage::Pulse(pulse) => {
                 self.peer_clock.observe(pulse.clock);
-                pulse.proof.into_iter().for_each(|proof| self.shared.freshness.prove(proof));
+                pulse.proof.into_iter().for_each(|proof| self.shared.limits.freshness.prove(proof));
                 self.shared.control.note_peer_generation(self.hello.peer, pulse.generation);
             }
             _ => self.shared.metrics.bad_input(BadInput::PeerConnection),
--- a/crates/seamhatchd/src/peer/server_call.rs
+++ b/crates/seamhatchd/src/peer/server_call.rs
@@ -114,7 +114,7 @@
             kind: call_kind(running),
         };
         let permit = tokio::select! {
-            permit = self.shared.gate.admit(request) => permit?,
+            permit = self.shared.server.gate.admit(request) => permit?,
             () = self.cancelled.notify.notified() => return Err(Reason::Cancelled),
         };
         Ok((permit, trial))
@@ -140,7 +140,7 @@
         body: backend::RequestBody,
     ) {
         let name = self.shared.conventions.request_name(&self.head.headers);
-        let registration = self.shared.running.register(running.clone(), name);
+        let registration = self.shared.server.running.register(running.clone(), name);
         // Last of all: this process may have been frozen since the slot was given, and the instance
         // may have closed.
         if running.expiry <= clock::now() {
@@ -150,7 +150,7 @@
         if !self.shared.can_finish(running.expiry) {
             return self.refuse(running, Outcome::NotRun, Reason::Draining, "");
         }
-        let Some(instance) = self.shared.instances.open() else {
+        let Some(instance) = self.shared.server.instances.open() else {
             return self.refuse(running, Outcome::NotRun, Reason::NoInstance, "");
         };
         let request = BackendRequest {
@@ -163,10 +163,10 @@
         };
         self.shared.metrics.execution(running.priority.class);
         let on_trial = trial.is_some_and(Trial::is_isolated);
-        let work = self.shared.crashes.begin(instance.id.as_ref(), self.head.request, on_trial);
+        let work = self.shared.server.crashes.begin(instance.id.as_ref(), self.head.request, on_trial);
         let started = clock::now();
         let exchange = async {
-            let mut answer = self.shared.backend.send(&request, body).await?;
+            let mut answer = self.shared.server.backend.send(&request, body).await?;
             let beginning = Beginning::read(&mut answer).await?;
             Ok((answer, beginning))
         };
@@ -230,7 +230,7 @@
         mut answer: BackendAnswer,
         beginning: Beginning,
     ) -> bool {
-        let report = self.shared.gate.report();
+        let report = self.shared.server.gate.report();
         let conventions = &self.shared.conventions;
         let head = AnswerHead {
             call: self.head.call,
@@ -246,7 +246,7 @@
         if !beginning.whole && !self.pass_rest(&mut answer).await {
             return false;
         }
-        self.shared.backend.finish(answer);
+        self.shared.server.backend.finish(answer);
         true
     }
 
@@ -306,7 +306,7 @@
     /// `detail` is what the back end did, where it is the cause.
     fn refuse(&self, running: &RunningCall, outcome: Outcome, reason: Reason, detail: &str) {
         self.shared.metrics.refusal(outcome, reason, running.priority.class);
-        let server = self.shared.gate.report();
+        let server = self.shared.server.gate.report();
         info!(
             request = self.log_name().as_str(),
             root = self.head.context.root.to_string().as_str(),
@@ -341,7 +341,7 @@
     fn retry_after(&self, reason: Reason) -> Microseconds {
         match reason {
             Reason::QueueFull | Reason::Evicted | Reason::DeadlineExceeded | Reason::AdmissionFloor => {
-                self.shared.gate.retry_after()
+                self.shared.server.gate.retry_after()
             }
             Reason::CrashesServers => crashes::time_until_trial(&self.shared, self.head.request),
             _ => SHORT_RETRY_AFTER,
--- a/crates/seamhatchd/src/server/crashes/mod.rs
+++ b/crates/seamhatchd/src/server/crashes/mod.rs
@@ -27,7 +27,7 @@
 /// Whether the back end has crashed under a call to `instance` whose connection broke. The first call that finds out reports
 /// it for all that were at work.
 pub async fn has_crashed(shared: &Arc<Shared>, work: &CallAtWork, instance: Option<&InstanceId>) -> bool {
-    let watch = &shared.crashes;
+    let watch = &shared.server.crashes;
     if watch.has_ended(work) {
         return true;
     }
@@ -42,9 +42,9 @@
         return false;
     }
     let looked = clock::now();
-    let is_leaving = || instance.is_some_and(|instance| shared.instances.is_leaving(instance));
+    let is_leaving = || instance.is_some_and(|instance| shared.server.instances.is_leaving(instance));
     // The goodbye may come while the back end is being looked for.
-    if is_leaving() || !shared.backend.is_gone().await || is_leaving() {
+    if is_leaving() || !shared.server.backend.is_gone().await || is_leaving() {
         *seen_alive = looked;
         watch.note_broken(work, broke);
         return false;
@@ -60,7 +60,7 @@
 /// Takes in that another instance of the back end is there in place of `instance`, which had not told that it leaves. Where
 /// this daemon was frozen while that one crashed, nothing else tells.
 pub fn instance_replaced(shared: &Shared, instance: &InstanceId) {
-    let suspects = shared.crashes.replace_life(instance, clock::now());
+    let suspects = shared.server.crashes.replace_life(instance, clock::now());
     if !suspects.is_empty() {
         report(shared, InstanceDigest::of_instance(instance), Some(instance), &suspects);
     }
--- a/crates/seamhatchd/src/server/mod.rs
+++ b/crates/seamhatchd/src/server/mod.rs
@@ -8,3 +8,25 @@
 pub mod gate;
 pub mod instances;
 pub mod running;
+
+use backend::Backend;
+use crashes::CrashWatch;
+use gate::AdmissionGate;
+use instances::Instances;
+use running::RunningCalls;
+use std::sync::Arc;
+
+/// The back end beside this daemon, as all threads share it.
+#[derive(Debug)]
+pub struct ServerSide {
+    /// Its slots, and the calls that wait for one.
+    pub gate: Arc<AdmissionGate>,
+    /// Calls that run there.
+    pub running: Arc<RunningCalls>,
+    /// The connections to it.
+    pub backend: Backend,
+    /// Which instance of it takes work.
+    pub instances: Instances,
+    /// Its crashes, and the calls that were at work then.
+    pub crashes: CrashWatch,
+}
--- a/crates/seamhatchd/src/shared.rs
+++ b/crates/seamhatchd/src/shared.rs
@@ -2,21 +2,15 @@
 
 use crate::base::clock;
 use crate::base::metrics::Metrics;
-use crate::claims::{ClaimRecords, Witnesses};
+use crate::claims::ClaimState;
 use crate::controllers::ControlHandle;
 use crate::conventions::HttpConventions;
 use crate::filters::EntryFloors;
 use crate::lifecycle::DaemonLifecycle;
-use crate::limits::freshness::Freshness;
-use crate::limits::quota::Quota;
-use crate::limits::retry_budget::RetryBudget;
-use crate::limits::service_floors::ServiceFloors;
+use crate::limits::SharedLimits;
 use crate::peer::PeerPool;
-use crate::server::backend::Backend;
-use crate::server::crashes::{CrashWatch, SuspectBook};
-use crate::server::gate::AdmissionGate;
-use crate::server::instances::Instances;
-use crate::server::running::RunningCalls;
+use crate::server::ServerSide;
+use crate::server::crashes::SuspectBook;
 use crate::settings::Settings;
 use crate::snapshot::Snapshot;
 use arc_swap::{ArcSwap, Guard};
@@ -36,36 +30,20 @@
     pub incarnation: Incarnation,
     /// Counters and gauges.
     pub metrics: Arc<Metrics>,
-    /// Slots of the server beside this daemon.
-    pub gate: Arc<AdmissionGate>,
-    /// Calls that run there.
-    pub running: Arc<RunningCalls>,
-    /// The server itself.
-    pub backend: Backend,
-    /// Which life of it takes work.
-    pub instances: Instances,
-    /// Crashes of the server, and the calls that were at work then.
-    pub crashes: CrashWatch,
+    /// The back end beside this daemon.
+    pub server: Arc<ServerSide>,
     /// Requests that were at work when servers crashed, here and elsewhere.
     pub suspects: SuspectBook,
     /// How HTTP carries names, deadlines and outcomes.
     pub conventions: Arc<dyn HttpConventions>,
     /// Connections to other daemons.
     pub pool: PeerPool,
-    /// This daemon's part as a witness.
-    pub witnesses: Witnesses,
-    /// Claims that this daemon holds.
-    pub records: ClaimRecords,
-    /// Retries that this daemon may cause.
-    pub retry_budget: RetryBudget,
+    /// Claims, as a witness and as a claimant.
+    pub claims: Arc<ClaimState>,
+    /// What all daemons bound together.
+    pub limits: Arc<SharedLimits>,
     /// Floors met below the entry routes.
     pub entry_floors: EntryFloors,
-    /// What the services admit that this daemon calls.
-    pub service_floors: ServiceFloors,
-    /// Whether the configuration in force is known to be the newest.
-    pub freshness: Freshness,
-    /// What is left of the tenants' limits.
-    pub quota: Quota,
     /// The control thread.
     pub control: ControlHandle,
     /// The state that the control thread published last.
@@ -110,14 +88,16 @@
     #[must_use]
     pub fn intake(&self) -> CallIntake {
         let closed = !self.lifecycle.is_ready() || self.lifecycle.is_closing();
-        if closed || !self.instances.is_open() {
+        if closed || !self.server.instances.is_open() {
             return CallIntake::Closed;
         }
         if !self.is_draining() {
             return CallIntake::Open;
         }
         match self.lifecycle.time_left() {
-            Some(left) if left > 0 && self.instances.tell_departures() => CallIntake::FallbackOnly { left },
+            Some(left) if left > 0 && self.server.instances.tell_departures() => {
+                CallIntake::FallbackOnly { left }
+            }
             _ => CallIntake::Closed,
         }
     }
@@ -138,13 +118,14 @@
     /// Calls and HTTP requests in progress here.
     #[must_use]
     pub fn in_flight(&self) -> usize {
-        self.gate.in_flight().max(self.running.count()) + self.open_requests.load(Ordering::Acquire)
+        self.server.gate.in_flight().max(self.server.running.count())
+            + self.open_requests.load(Ordering::Acquire)
     }
 
     /// Whether the server beside this daemon takes new work.
     #[must_use]
     pub fn takes_work(&self) -> bool {
-        self.serves_callers() && self.instances.is_open()
+        self.serves_callers() && self.server.instances.is_open()
     }
 
     /// Whether callers are welcome at this daemon.
--- a/crates/seamhatchd/src/startup.rs
+++ b/crates/seamhatchd/src/startup.rs
@@ -3,10 +3,10 @@
 use crate::base::clock;
 use crate::base::logging;
 use crate::base::metrics::Metrics;
-use crate::claims::{ClaimRecords, Witnesses};
 use crate::controllers::{ControlHandle, ControlThread, DrainTarget};
 use crate::filters::EntryFloors;
 use crate::lifecycle::{DaemonLifecycle, END_MARGIN};
+use crate::limits::SharedLimits;
 use crate::limits::freshness::Freshness;
 use crate::limits::quota::Quota;
 use crate::limits::retry_budget::RetryBudget;
@@ -15,6 +15,7 @@
 use crate::peer::{self, PeerPool};
 use crate::ports::Ports;
 use crate::reload;
+use crate::server::ServerSide;
 use crate::server::backend::Backend;
 use crate::server::crashes::{CrashWatch, SuspectBook};
 use crate::server::gate::AdmissionGate;
@@ -153,23 +154,28 @@
     let incarnation = new_incarnation();
     let conventions = ports.conventions.clone();
     let registers = settings.listen.registry.is_some();
-    Shared {
-        incarnation,
+    let server = ServerSide {
         gate: AdmissionGate::new(AdmissionPolicy::for_slots(settings.slots), metrics.clone()),
         running: RunningCalls::new(incarnation),
         backend: Backend::new(settings.backend, conventions.clone()),
         instances: if registers { Instances::registered() } else { Instances::Fixed },
         crashes: CrashWatch::new(incarnation),
-        suspects: SuspectBook::default(),
-        conventions,
-        pool: PeerPool::new(traffic.clone()),
-        witnesses: Witnesses::default(),
-        records: ClaimRecords::default(),
+    };
+    let limits = SharedLimits {
         retry_budget: RetryBudget::new(settings.retries),
-        entry_floors: EntryFloors::default(),
         service_floors: ServiceFloors::default(),
         freshness: Freshness::new(settings.revocation),
         quota: Quota::new(settings.quota),
+    };
+    Shared {
+        incarnation,
+        server: Arc::new(server),
+        suspects: SuspectBook::default(),
+        conventions,
+        pool: PeerPool::new(traffic.clone()),
+        claims: Arc::default(),
+        limits: Arc::new(limits),
+        entry_floors: EntryFloors::default(),
         control,
         published: ArcSwap::from_pointee(Snapshot::default()),
         lifecycle: DaemonLifecycle::starting(settings.grace),
