--- a/crates/seamhatchd/src/base/metrics.rs
+++ b/crates/seamhatchd/src/base/metrics.rs
@@ -1,6 +1,7 @@
 //! Counters, gauges and latency histograms in the Prometheus text format.
 
 use crate::base::clock;
+use crate::base::lock::lock;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
@@ -175,7 +176,7 @@
     }
 
     fn register(&self) {
-        let mut registry = self.registry.lock().expect("metrics lock");
+        let mut registry = lock(&self.registry);
         registry.register("requests", "Requests from outside, by class", self.requests.clone());
         registry.register("refusals", "Calls without a back end answer", self.refusals.clone());
         registry.register("executions", "Calls given to the back end", self.executions.clone());
@@ -254,7 +255,7 @@
     #[must_use]
     pub fn to_text(&self) -> String {
         let mut text = String::new();
-        let registry = self.registry.lock().expect("metrics lock");
+        let registry = lock(&self.registry);
         // Writing into a string does not fail.
         let _ = encode(&mut text, &registry);
         text
--- a/crates/seamhatchd/src/base/mod.rs
+++ b/crates/seamhatchd/src/base/mod.rs
@@ -4,5 +4,6 @@
 
 pub mod clock;
 pub(crate) mod keepalive;
+pub(crate) mod lock;
 pub mod logging;
 pub mod metrics;
--- a/crates/seamhatchd/src/claims/records.rs
+++ b/crates/seamhatchd/src/claims/records.rs
@@ -1,6 +1,7 @@
 //! What became of the claims that this daemon made, for repeats of the same request.
 
 use crate::base::clock;
+use crate::base::lock::lock;
 use seamhatch_core::Instant;
 use seamhatch_core::claims::{CLAIM_MEMORY, ClaimHolder, ClaimKey};
 use seamhatch_wire::RecordedState;
@@ -67,7 +68,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Records> {
-        self.0.lock().expect("a thread panicked inside the claim records")
+        lock(&self.0)
     }
 }
 
--- a/crates/seamhatchd/src/claims/witnesses.rs
+++ b/crates/seamhatchd/src/claims/witnesses.rs
@@ -1,6 +1,7 @@
 //! This daemon's witnesses, one for each shard, in memory only.
 
 use crate::base::clock;
+use crate::base::lock::lock;
 use seamhatch_core::claims::{Claim, ClaimHolder, ClaimKey, ClaimReply, Epoch, Witness};
 use seamhatch_core::roster::SHARDS;
 use std::sync::{Mutex, MutexGuard};
@@ -63,6 +64,6 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<Witness>> {
-        self.0.lock().expect("a thread panicked inside a witness")
+        lock(&self.0)
     }
 }
--- a/crates/seamhatchd/src/filters/entry_floor.rs
+++ b/crates/seamhatchd/src/filters/entry_floor.rs
@@ -9,6 +9,7 @@
 //! 2018).
 
 use crate::base::clock;
+use crate::base::lock::lock;
 use crate::filters::{Entry, Rejection, RequestFilter, RequestState};
 use crate::shared::Shared;
 use seamhatch_core::Instant;
@@ -127,7 +128,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, FloorTable> {
-        self.0.lock().expect("entry floors lock")
+        lock(&self.0)
     }
 }
 
--- a/crates/seamhatchd/src/limits/freshness.rs
+++ b/crates/seamhatchd/src/limits/freshness.rs
@@ -1,6 +1,7 @@
 //! Whether this daemon may go by its configuration where an old one would do harm.
 
 use crate::base::clock;
+use crate::base::lock::lock;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, Microseconds};
 use seamhatch_core::freshness::{FreshnessProof, FreshnessTracker};
@@ -80,6 +81,6 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, FreshnessTracker> {
-        self.tracker.lock().expect("a thread panicked inside the proof of freshness")
+        lock(&self.tracker)
     }
 }
--- a/crates/seamhatchd/src/limits/quota/directory.rs
+++ b/crates/seamhatchd/src/limits/quota/directory.rs
@@ -1,6 +1,7 @@
 //! Who holds which shard, as far as this daemon knows. Only hints: a daemon that doesn't hold its shard says so.
 
 use crate::base::clock;
+use crate::base::lock::lock;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, Microseconds};
 use seamhatch_core::identity::Address;
@@ -78,6 +79,6 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Places> {
-        self.0.lock().expect("a thread panicked inside the directory of shards")
+        lock(&self.0)
     }
 }
--- a/crates/seamhatchd/src/limits/quota/holder.rs
+++ b/crates/seamhatchd/src/limits/quota/holder.rs
@@ -2,6 +2,7 @@
 
 use super::limit_of;
 use crate::base::clock;
+use crate::base::lock::lock;
 use crate::shared::Shared;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::Microseconds;
@@ -50,7 +51,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Holding> {
-        self.0.lock().expect("a thread panicked inside the shards")
+        lock(&self.0)
     }
 }
 
--- a/crates/seamhatchd/src/limits/quota/mod.rs
+++ b/crates/seamhatchd/src/limits/quota/mod.rs
@@ -11,6 +11,7 @@
 pub use holder::{HeldShards, grant};
 
 use crate::base::clock;
+use crate::base::lock::lock;
 use seamhatch_core::clock::{Microseconds, SECOND};
 use seamhatch_core::quota::{QuotaPolicy, TenantLimit, TokenCache};
 use seamhatch_policy::Tenant;
@@ -66,7 +67,7 @@
     }
 
     fn caches(&self) -> MutexGuard<'_, HashMap<String, TokenCache>> {
-        self.caches.lock().expect("a thread panicked inside the tokens of tenants")
+        lock(&self.caches)
     }
 }
 
--- a/crates/seamhatchd/src/limits/retry_budget.rs
+++ b/crates/seamhatchd/src/limits/retry_budget.rs
@@ -6,6 +6,7 @@
 //! deep, repeats of both kinds together stay within the ratio, in any window of some seconds.
 
 use crate::base::clock;
+use crate::base::lock::lock;
 use crate::settings::RetryBound;
 use seamhatch_core::clock::{Microseconds, SECOND};
 use seamhatch_core::retry::{RetryRatio, RetryRatioPolicy};
@@ -62,6 +63,6 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, RetryRatio> {
-        self.ratio.lock().expect("retry ratio lock")
+        lock(&self.ratio)
     }
 }
--- a/crates/seamhatchd/src/limits/service_floors.rs
+++ b/crates/seamhatchd/src/limits/service_floors.rs
@@ -3,6 +3,7 @@
 //! Servers differ in speed, are cold or slow one at a time, and the choice of a server moves work to those
 //! that have room. So what a service admits is the mean of its servers, not what the weakest one does.
 
+use crate::base::lock::lock;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{Microseconds, SECOND};
 use seamhatch_core::identity::Address;
@@ -55,7 +56,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<String, HashMap<Address, DatedReport>>> {
-        self.0.lock().expect("a thread panicked inside the floors of services")
+        lock(&self.0)
     }
 }
 
--- a/crates/seamhatchd/src/peer/pool.rs
+++ b/crates/seamhatchd/src/peer/pool.rs
@@ -1,6 +1,7 @@
 //! Connections to other daemons, opened when they are first needed.
 
 use crate::base::clock;
+use crate::base::lock::lock;
 use crate::peer::connection::PeerConnection;
 use crate::shared::Shared;
 use seamhatch_core::Instant;
@@ -124,6 +125,6 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<Address, PoolEntry>> {
-        self.entries.lock().expect("a thread panicked inside the pool of connections")
+        lock(&self.entries)
     }
 }
--- a/crates/seamhatchd/src/server/backend/connections.rs
+++ b/crates/seamhatchd/src/server/backend/connections.rs
@@ -7,6 +7,7 @@
 use super::body::HttpRequestBody;
 use crate::base::clock;
 use crate::base::keepalive::{SilenceCheck, close_when_silent};
+use crate::base::lock::lock;
 use http::HeaderMap;
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper_util::rt::TokioIo;
@@ -112,7 +113,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<Idle>> {
-        self.idle.lock().expect("a thread panicked inside the idle connections")
+        lock(&self.idle)
     }
 }
 
--- a/crates/seamhatchd/src/server/crashes/at_work.rs
+++ b/crates/seamhatchd/src/server/crashes/at_work.rs
@@ -1,12 +1,13 @@
 //! The calls that are at work on the back end beside this daemon.
 
+use crate::base::lock::lock;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{Microseconds, SECOND};
 use seamhatch_core::crashes::InstanceDigest;
 use seamhatch_core::identity::{Incarnation, RequestDigest};
 use seamhatch_core::instance::InstanceId;
 use std::collections::{HashMap, VecDeque};
-use std::sync::{Arc, Mutex, MutexGuard};
+use std::sync::{Arc, Mutex};
 
 /// Lives of the back end whose crash is remembered, the latest ones: calls that were at work then find out within
 /// milliseconds, and a back end needs longer to start.
@@ -145,7 +146,3 @@
         suspects
     }
 }
-
-fn lock(calls: &Mutex<CallTable>) -> MutexGuard<'_, CallTable> {
-    calls.lock().expect("a thread panicked inside the table of calls at work")
-}
--- a/crates/seamhatchd/src/server/crashes/suspects.rs
+++ b/crates/seamhatchd/src/server/crashes/suspects.rs
@@ -1,6 +1,7 @@
 //! The requests that were at work when servers crashed, as all threads of the daemon see them.
 
 use crate::base::clock;
+use crate::base::lock::lock;
 use crate::server::crashes::at_work::Suspect;
 use crate::server::crashes::trials::Trials;
 use log::{info, warn};
@@ -140,7 +141,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, CrashLedger> {
-        self.ledger.lock().expect("a thread panicked inside the ledger of suspects")
+        lock(&self.ledger)
     }
 }
 
--- a/crates/seamhatchd/src/server/crashes/trials.rs
+++ b/crates/seamhatchd/src/server/crashes/trials.rs
@@ -1,5 +1,6 @@
 //! Suspects run here one at a time, so that the next crash tells which of them it was.
 
+use crate::base::lock::lock;
 use seamhatch_core::identity::RequestDigest;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex as StdMutex};
@@ -41,7 +42,7 @@
     }
 
     fn copies_of(&self, request: RequestDigest) -> Arc<Mutex<()>> {
-        let mut locks = self.by_request.lock().expect("a thread panicked inside the trials");
+        let mut locks = lock(&self.by_request);
         locks.retain(|_, lock| Arc::strong_count(lock) > 1);
         locks.entry(request).or_default().clone()
     }
--- a/crates/seamhatchd/src/server/gate.rs
+++ b/crates/seamhatchd/src/server/gate.rs
@@ -1,6 +1,7 @@
 //! The admission queue as the traffic threads use it: a call awaits its slot.
 
 use crate::base::clock;
+use crate::base::lock::lock;
 use crate::base::metrics::{Metrics, seconds};
 use log::info;
 use seamhatch_core::Instant;
@@ -280,6 +281,6 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("a thread panicked inside the admission queue")
+        lock(&self.state)
     }
 }
--- a/crates/seamhatchd/src/server/instances.rs
+++ b/crates/seamhatchd/src/server/instances.rs
@@ -1,8 +1,9 @@
 //! The back end's instance as the threads that carry traffic see it.
 
+use crate::base::lock::lock;
 use seamhatch_core::Instant;
 use seamhatch_core::instance::{Heartbeat, HeartbeatVerdict, InstanceId, InstanceRegistry, Refutation};
-use std::sync::{Mutex, MutexGuard};
+use std::sync::Mutex;
 
 /// Whether the back end beside the daemon takes work, and under which name.
 #[derive(Debug)]
@@ -153,7 +154,3 @@
         }
     }
 }
-
-fn lock(registry: &Mutex<InstanceRegistry>) -> MutexGuard<'_, InstanceRegistry> {
-    registry.lock().expect("a thread panicked inside the registry of instances")
-}
--- a/crates/seamhatchd/src/server/running.rs
+++ b/crates/seamhatchd/src/server/running.rs
@@ -1,5 +1,6 @@
 //! Calls that run in the back end beside the daemon, and the context header that names them.
 
+use crate::base::lock::lock;
 use base64::Engine as _;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use seamhatch_core::Instant;
@@ -90,7 +91,7 @@
 
     /// Its retry tokens and child calls.
     pub fn ledger(&self) -> MutexGuard<'_, RetryLedger> {
-        self.ledger.lock().expect("a thread panicked inside a retry ledger")
+        lock(&self.ledger)
     }
 
     /// Whether it has made calls of its own.
@@ -102,7 +103,7 @@
     /// Lowest admission floor met by the calls below it so far; none where all were open.
     #[must_use]
     pub fn chain_floor(&self) -> Option<ChainFloor> {
-        self.chain_floor.lock().expect("floor lock").clone()
+        lock(&self.chain_floor).clone()
     }
 
     /// Takes in a floor met below.
@@ -110,7 +111,7 @@
         if let Some(cause) = &self.cause {
             cause.lower_chain_floor(floor);
         }
-        let mut lowest = self.chain_floor.lock().expect("floor lock");
+        let mut lowest = lock(&self.chain_floor);
         if lowest.as_ref().is_none_or(|lowest| floor.floor < lowest.floor) {
             *lowest = Some(floor.clone());
         }
@@ -230,6 +231,6 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, CallTable> {
-        self.calls.lock().expect("a thread panicked inside the registry of running calls")
+        lock(&self.calls)
     }
 }
