--- a/crates/seamhatch-lab/src/deployment.rs
+++ b/crates/seamhatch-lab/src/deployment.rs
@@ -11,7 +11,7 @@
 use http_body_util::{BodyExt, Empty};
 use seamhatch_core::identity::Address;
 use seamhatch_core::roster::WITNESSES;
-use seamhatchd::controllers::StatusReport;
+use seamhatchd::control::StatusReport;
 use seamhatchd::server::backend::http_client;
 use std::ffi::OsString;
 use std::path::PathBuf;
--- a/crates/seamhatch/src/commands.rs
+++ b/crates/seamhatch/src/commands.rs
@@ -8,7 +8,7 @@
 use seamhatch_core::identity::Address;
 use seamhatch_core::membership::{Lifecycle, Liveness};
 use seamhatch_policy::{Configuration, StoredConfiguration};
-use seamhatchd::controllers::StatusReport;
+use seamhatchd::control::StatusReport;
 use seamhatchd::server::crashes::CrashReport;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/seamhatch/src/output.rs
+++ b/crates/seamhatch/src/output.rs
@@ -2,7 +2,7 @@
 
 use crate::commands::Explanation;
 use seamhatch_policy::SubmissionRecord;
-use seamhatchd::controllers::{MemberStatus, StatusReport};
+use seamhatchd::control::{MemberStatus, StatusReport};
 use seamhatchd::server::crashes::CrashReport;
 use serde::Serialize;
 use std::time::{Duration, UNIX_EPOCH};
--- /dev/null
+++ b/crates/seamhatchd/src/control/findings.rs
@@ -0,0 +1,33 @@
+//! What tasks of the control thread found out and report as an event.
+
+use crate::store::ShardRecord;
+use seamhatch_core::claims::Epoch;
+use seamhatch_core::crashes::SuspectReport;
+use seamhatch_core::identity::Address;
+use seamhatch_core::quota::ShardNumber;
+
+/// What the records of all daemons tell.
+#[derive(Debug, Default)]
+pub struct Discovery {
+    /// Gossip addresses of the daemons.
+    pub members: Vec<Address>,
+    /// Requests that were condemned, as any of them has noted.
+    pub condemned: Vec<SuspectReport>,
+    /// Shards of the tenants' limits and who holds them.
+    pub shards: Vec<(ShardNumber, ShardRecord)>,
+}
+
+/// How far a change came.
+#[derive(Debug, Clone)]
+pub struct TransitionResult {
+    /// Number of the shard.
+    pub shard: usize,
+    /// Its present epoch.
+    pub epoch: Epoch,
+    /// Installed at a majority.
+    pub confirmed: bool,
+    /// Installed at all witnesses.
+    pub complete: bool,
+    /// Earlier epochs that are over, whose claims may be lost: the change waits for them.
+    pub lossy: Vec<Epoch>,
+}
--- a/crates/seamhatchd/src/controllers/handle.rs
+++ b/crates/seamhatchd/src/control/handle.rs
@@ -1,9 +1,10 @@
 //! How other threads reach the control thread.
 
+use super::{
+    ConfigurationEvent, ControlEvent, DrainTarget, InstanceAnswer, InstanceEvent, MemberEvent, OperatorEvent,
+    RosterEvent, StatusReport, SubmitError, SubmitRequest, SuspectEvent,
+};
 use crate::base::clock;
-use crate::controllers::events::{ControlEvent, DrainTarget, InstanceAnswer, SubmitRequest};
-use crate::controllers::status::StatusReport;
-use crate::controllers::submission::SubmitError;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{Microseconds, SECOND};
 use seamhatch_core::generation::Generation;
@@ -45,8 +46,8 @@
     }
 
     /// Puts an event in; lost when the control thread has ended, as at a stop.
-    pub fn send(&self, event: ControlEvent) {
-        let _ = self.events.send(event);
+    pub fn send(&self, event: impl Into<ControlEvent>) {
+        let _ = self.events.send(event.into());
     }
 
     /// A daemon told its generation. Cheap unless it is news.
@@ -61,7 +62,7 @@
 
     /// A claim found no majority.
     pub fn check_roster(&self) {
-        self.send(ControlEvent::CheckRoster);
+        self.send(RosterEvent::Check);
     }
 
     /// Asks as another daemon's controller; declined when the thread has ended.
@@ -74,30 +75,35 @@
     /// Takes in a heartbeat of the back end.
     pub async fn heartbeat(&self, heartbeat: Heartbeat) -> InstanceAnswer {
         let (sender, receiver) = oneshot::channel();
-        self.send(ControlEvent::Heartbeat(heartbeat, sender));
+        self.send(InstanceEvent::Heartbeat(heartbeat, sender));
         receiver.await.unwrap_or(InstanceAnswer::NotRemembered)
     }
 
     /// Takes in that an instance of the back end says goodbye.
     pub async fn instance_departs(&self, instance: InstanceId) -> InstanceAnswer {
         let (sender, receiver) = oneshot::channel();
-        self.send(ControlEvent::InstanceDeparts(instance, sender));
+        self.send(InstanceEvent::Departs(instance, sender));
         receiver.await.unwrap_or(InstanceAnswer::NotRemembered)
     }
 
     /// An instance of the back end could not be reached.
     pub fn lost_instance(&self, instance: InstanceId, reason: Reason) {
-        self.send(ControlEvent::InstanceLost(instance, reason));
+        self.send(InstanceEvent::Lost(instance, reason));
     }
 
     /// What is known of these suspects has changed here.
     pub fn tell_suspects(&self, requests: Vec<RequestDigest>) {
-        self.send(ControlEvent::SuspectsChanged(requests));
+        self.send(SuspectEvent::Changed(requests));
+    }
+
+    /// A crash of this daemon's back end condemned these requests.
+    pub fn remember_condemned(&self, requests: Vec<RequestDigest>) {
+        self.send(SuspectEvent::Condemned(requests));
     }
 
     /// A daemon has connected.
     pub fn met(&self, gossip: Address) {
-        self.send(ControlEvent::Met(gossip));
+        self.send(MemberEvent::Connected(gossip));
     }
 
     /// Submits a configuration.
@@ -107,7 +113,7 @@
     pub async fn submit(&self, request: SubmitRequest) -> Result<Generation, SubmitError> {
         let (sender, receiver) = oneshot::channel();
         let id = request.id;
-        self.send(ControlEvent::Submit(request, sender));
+        self.send(OperatorEvent::Submit(request, sender));
         let stopped = SubmitError::Unknown { id: id.0, based_on: None, detail: "the daemon stopped".into() };
         receiver.await.unwrap_or(Err(stopped))
     }
@@ -115,21 +121,21 @@
     /// The state as operators see it.
     pub async fn status(&self) -> Option<StatusReport> {
         let (sender, receiver) = oneshot::channel();
-        self.send(ControlEvent::Status(sender));
+        self.send(OperatorEvent::Status(sender));
         receiver.await.ok()
     }
 
     /// The configuration in force.
     pub async fn stored(&self) -> Option<StoredConfiguration> {
         let (sender, receiver) = oneshot::channel();
-        self.send(ControlEvent::GetStored(sender));
+        self.send(OperatorEvent::GetConfiguration(sender));
         receiver.await.ok().flatten()
     }
 
     /// Drains a daemon; false when it isn't known.
     pub async fn drain(&self, target: DrainTarget) -> bool {
         let (sender, receiver) = oneshot::channel();
-        self.send(ControlEvent::Drain(target, sender));
+        self.send(OperatorEvent::Drain(target, sender));
         let answer = tokio::time::timeout(STOP_TIMEOUT, receiver).await;
         matches!(answer, Ok(Ok(true)))
     }
@@ -144,7 +150,7 @@
 
     fn note_generation(&self, peer: Option<Address>, generation: Generation) {
         if self.note_told(generation, clock::now()) {
-            self.send(ControlEvent::PeerGeneration { peer, generation });
+            self.send(ConfigurationEvent::PeerGeneration { peer, generation });
         }
     }
 
--- a/crates/seamhatchd/src/controllers/control_thread/configuration.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/configuration.rs
@@ -2,9 +2,9 @@
 
 use super::{ControlThread, FANOUT};
 use crate::base::clock;
+use crate::control::{ConfigurationEvent, SubmitError, SubmitRequest};
 use crate::controllers::ask::{ask_daemon, ask_generation};
-use crate::controllers::events::{ControlEvent, SubmitRequest};
-use crate::controllers::submission::{Submission, SubmitError};
+use crate::controllers::submission::Submission;
 use crate::ports::Backing;
 use log::warn;
 use seamhatch_core::generation::{Generation, Offer};
@@ -15,6 +15,30 @@
 use tokio::sync::oneshot;
 
 impl ControlThread {
+    pub(super) fn handle_configuration(&mut self, event: ConfigurationEvent) {
+        match event {
+            ConfigurationEvent::PeerGeneration { peer, generation } => match self.backing {
+                Backing::Witnessed(_) => self.pull_if_behind(peer, generation),
+                Backing::Followed(_) => self.note_ahead(peer, generation),
+            },
+            ConfigurationEvent::Offered(stored) => {
+                self.pulling.clear();
+                self.registering = None;
+                self.offer(stored);
+            }
+            ConfigurationEvent::Proved(proof) => self.shared.limits.freshness.prove(proof),
+            ConfigurationEvent::StoreRead(result) => self.store_read(result),
+            ConfigurationEvent::FollowedStoreRead => self.configuration_was_read(),
+            ConfigurationEvent::Verified => {
+                self.verifying = false;
+                self.verified = true;
+                self.become_ready_if_verified();
+            }
+            ConfigurationEvent::NotVerified => self.verifying = false,
+            ConfigurationEvent::NotRegistered => self.registering = None,
+        }
+    }
+
     pub(super) fn offer(&mut self, stored: StoredConfiguration) -> Offer {
         let offer = self.configuration.offer(stored);
         if offer == Offer::Adopt {
@@ -65,7 +89,7 @@
         let (shared, control) = (self.shared.clone(), self.control.clone());
         tokio::spawn(async move {
             if let Some(ControlReply::Configuration(newer)) = ask_daemon(&shared, peer, request).await {
-                control.send(ControlEvent::Offered(newer));
+                control.send(ConfigurationEvent::Offered(newer));
             }
         });
     }
@@ -80,7 +104,7 @@
         let (shared, control) = (self.shared.clone(), self.control.clone());
         tokio::spawn(async move {
             if let Some(ControlReply::Configuration(newer)) = ask_generation(&shared, peer, have).await {
-                control.send(ControlEvent::Offered(newer));
+                control.send(ConfigurationEvent::Offered(newer));
             }
         });
     }
@@ -118,7 +142,7 @@
                 Err(error) => Err(error),
             };
             let result = result.map(|accepted| {
-                control.send(ControlEvent::Offered(accepted.newest));
+                control.send(ConfigurationEvent::Offered(accepted.newest));
                 accepted.generation
             });
             // The operator may have gone away; the submission stands all the same.
--- a/crates/seamhatchd/src/controllers/control_thread/followed.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/followed.rs
@@ -2,9 +2,9 @@
 
 use super::ControlThread;
 use crate::base::clock;
+use crate::control::{ConfigurationEvent, Discovery};
 use crate::controllers::ask::ask_generation;
-use crate::controllers::events::ControlEvent;
-use crate::controllers::follow::{Discovery, discover, follow_configuration, keep_fresh, keep_quota_shards};
+use crate::controllers::follow::{discover, follow_configuration, keep_fresh, keep_quota_shards};
 use crate::ports::{Backing, FollowedStore};
 use log::info;
 use seamhatch_core::Instant;
@@ -155,7 +155,7 @@
         tokio::spawn(async move {
             if let Some(ControlReply::Configuration(newer)) = ask_generation(&shared, peer, have).await {
                 info!(generation = newer.generation.0, waited_ms = clock::now().since(ahead.since) / 1000; "configuration learnt from a peer");
-                control.send(ControlEvent::Offered(newer));
+                control.send(ConfigurationEvent::Offered(newer));
             }
         });
     }
--- a/crates/seamhatchd/src/controllers/control_thread/instances.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/instances.rs
@@ -2,7 +2,7 @@
 
 use super::ControlThread;
 use crate::base::clock;
-use crate::controllers::events::{ControlEvent, InstanceAnswer};
+use crate::control::{InstanceAnswer, InstanceEvent};
 use crate::controllers::follow::{ask_departures, remember_departure};
 use crate::server::crashes;
 use crate::server::instances::OpenInstance;
@@ -16,6 +16,7 @@
     Refutation,
 };
 use seamhatch_core::membership::MemberRecord;
+use seamhatch_core::outcome::Reason;
 use seamhatch_core::rendezvous;
 use seamhatch_wire::ControlReply;
 use std::collections::{HashMap, HashSet};
@@ -49,6 +50,18 @@
 }
 
 impl ControlThread {
+    pub(super) fn handle_instance(&mut self, event: InstanceEvent) {
+        match event {
+            InstanceEvent::Heartbeat(heartbeat, reply) => self.heartbeat(heartbeat, reply),
+            InstanceEvent::Departs(instance, reply) => self.instance_departs(instance, reply),
+            InstanceEvent::Lost(instance, Reason::OtherInstance) => self.refute_instance(&instance),
+            InstanceEvent::Lost(instance, reason) => self.lost_instance(&instance, reason.name()),
+            InstanceEvent::DepartureRemembered(instance) => self.departure_remembered(instance),
+            InstanceEvent::DeparturesLearned(source, instances) => self.departures_learnt(source, &instances),
+            InstanceEvent::DeparturesNotLearned => self.departures_not_learnt(),
+        }
+    }
+
     /// Departures of an earlier life, from the store or from the daemons that hold them.
     pub(super) fn departures_learnt(&mut self, source: DepartureSource, instances: &[InstanceId]) {
         if source == DepartureSource::Holders {
@@ -108,8 +121,8 @@
         let (shared, control) = (self.shared.clone(), self.control.clone());
         tokio::spawn(async move {
             control.send(match ask_departures(shared, peers).await {
-                Some(instances) => ControlEvent::DeparturesLearnt(DepartureSource::Holders, instances),
-                None => ControlEvent::DeparturesNotLearnt,
+                Some(instances) => InstanceEvent::DeparturesLearned(DepartureSource::Holders, instances),
+                None => InstanceEvent::DeparturesNotLearned,
             });
         });
     }
@@ -245,7 +258,7 @@
             let remembered = remember_departure(shared, followed, instance.clone(), peers).await;
             info!(instance = instance.name.as_str(), remembered = remembered; "departure of an instance");
             let _ = reply.send(if remembered {
-                control.send(ControlEvent::DepartureRemembered(instance));
+                control.send(InstanceEvent::DepartureRemembered(instance));
                 InstanceAnswer::Acknowledged
             } else {
                 InstanceAnswer::NotRemembered
--- a/crates/seamhatchd/src/controllers/control_thread/mod.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/mod.rs
@@ -11,9 +11,8 @@
 mod suspects;
 
 use crate::base::clock;
+use crate::control::{ControlEvent, ControlHandle, SuspectEvent};
 use crate::controllers::configuration::ConfigurationController;
-use crate::controllers::events::ControlEvent;
-use crate::controllers::handle::ControlHandle;
 use crate::controllers::membership::MembershipController;
 use crate::controllers::roster::RosterController;
 use crate::ports::{Backing, DocumentFormat, Ports};
@@ -23,8 +22,7 @@
 use seamhatch_core::clock::{MILLISECOND, Microseconds, SECOND};
 use seamhatch_core::generation::Generation;
 use seamhatch_core::identity::Address;
-use seamhatch_core::membership::{Lifecycle, MemberInfo, Membership, MembershipPolicy};
-use seamhatch_core::outcome::Reason;
+use seamhatch_core::membership::{MemberInfo, Membership, MembershipPolicy};
 use seamhatch_policy::StoredConfiguration;
 use seamhatch_wire::LARGEST_DATAGRAM;
 use std::collections::{BTreeSet, HashSet};
@@ -218,57 +216,15 @@
                 // The asker may have gone away.
                 let _ = reply.send(answer);
             }
-            ControlEvent::PeerGeneration { peer, generation } => match self.backing {
-                Backing::Witnessed(_) => self.pull_if_behind(peer, generation),
-                Backing::Followed(_) => self.note_ahead(peer, generation),
-            },
-            ControlEvent::Heartbeat(heartbeat, reply) => self.heartbeat(heartbeat, reply),
-            ControlEvent::InstanceDeparts(instance, reply) => self.instance_departs(instance, reply),
-            ControlEvent::InstanceLost(instance, Reason::OtherInstance) => self.refute_instance(&instance),
-            ControlEvent::InstanceLost(instance, reason) => self.lost_instance(&instance, reason.name()),
-            ControlEvent::SuspectsChanged(requests) => self.suspects_changed(requests),
-            ControlEvent::DepartureRemembered(instance) => self.departure_remembered(instance),
-            ControlEvent::DeparturesLearnt(source, instances) => {
-                self.departures_learnt(source, &instances);
-            }
-            ControlEvent::DeparturesNotLearnt => self.departures_not_learnt(),
-            ControlEvent::StoreConfigurationRead => self.configuration_was_read(),
+            ControlEvent::Operator(event) => self.handle_operator(event),
+            ControlEvent::Instance(event) => self.handle_instance(event),
+            ControlEvent::Suspects(SuspectEvent::Changed(requests)) => self.suspects_changed(requests),
+            ControlEvent::Suspects(SuspectEvent::Condemned(requests)) => self.condemned(requests),
+            ControlEvent::Configuration(event) => self.handle_configuration(event),
+            ControlEvent::Roster(event) => self.handle_roster(event),
+            ControlEvent::Member(event) => self.handle_member(event),
             ControlEvent::QuotaShardsChanged => self.quota_shards_changed(),
-            ControlEvent::Proved(proof) => self.shared.limits.freshness.prove(proof),
-            ControlEvent::Discovered(discovery) => self.discovered(discovery),
-            ControlEvent::Condemned(requests) => self.condemned(requests),
-            ControlEvent::Met(gossip) => self.met(gossip),
-            ControlEvent::Submit(request, reply) => self.submit(request, reply),
-            ControlEvent::Status(reply) => self.report_status(reply),
-            ControlEvent::GetStored(reply) => {
-                let _ = reply.send(self.configuration.newest().cloned());
-            }
-            ControlEvent::Drain(target, reply) => {
-                let _ = reply.send(self.drain(target));
-            }
-            ControlEvent::Leave(reply) => {
-                self.membership.state.set_lifecycle(Lifecycle::Left);
-                self.announce();
-                let _ = reply.send(());
-            }
-            ControlEvent::CheckRoster => self.pull_roster(),
-            ControlEvent::StoreRead(result) => self.store_read(result),
-            ControlEvent::Offered(stored) => {
-                self.pulling.clear();
-                self.registering = None;
-                self.offer(stored);
-            }
-            ControlEvent::Verified => {
-                self.verifying = false;
-                self.verified = true;
-                self.become_ready_if_verified();
-            }
-            ControlEvent::NotVerified => self.verifying = false,
-            ControlEvent::NotRegistered => self.registering = None,
-            ControlEvent::RosterRead(result) => self.roster_read(result),
-            ControlEvent::RosterOffered(roster) => self.offer_roster(roster),
-            ControlEvent::Transition(result) => self.finish_transition(&result),
-            ControlEvent::MachinesRead(result) => self.machines_read(result),
+            ControlEvent::Leave(reply) => self.leave(reply),
         }
     }
 }
--- a/crates/seamhatchd/src/controllers/control_thread/quota_shards.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/quota_shards.rs
@@ -1,8 +1,9 @@
 //! Shards of the tenants' limits: which are told by members, and which this daemon may take.
 
 use super::ControlThread;
-use crate::controllers::follow::ShardRecord;
+use crate::controllers::follow::holder_of;
 use crate::limits::quota::ShardHolder;
+use crate::store::ShardRecord;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{Microseconds, SECOND};
 use seamhatch_core::identity::Address;
@@ -24,9 +25,9 @@
     pub(super) fn learn_quota_shards(&mut self, shards: &[(ShardNumber, ShardRecord)]) {
         let (own, incarnation) = (self.shared.settings.advertise.gossip, self.shared.incarnation);
         for (shard, record) in shards {
-            self.shared.limits.quota.directory.learn(*shard, record.place());
+            self.shared.limits.quota.directory.learn(*shard, holder_of(record));
         }
-        let earlier = shards.iter().filter(|(_, record)| record.is_of_earlier_life(own, incarnation));
+        let earlier = shards.iter().filter(|(_, record)| record.is_of_earlier_incarnation(own, incarnation));
         self.shared.limits.quota.directory.set_vacant(earlier.map(|(shard, _)| (*shard, 0)).collect());
     }
 
--- a/crates/seamhatchd/src/controllers/control_thread/requests.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/requests.rs
@@ -1,12 +1,13 @@
 //! Requests of other daemons and of operators.
 
 use super::ControlThread;
-use crate::controllers::events::DrainTarget;
+use crate::control::{DrainTarget, OperatorEvent, StatusReport};
 use crate::controllers::status::StatusInput;
 use crate::controllers::{registration, status};
 use log::info;
 use seamhatch_core::claims::Epoch;
 use seamhatch_core::generation::Offer;
+use seamhatch_core::membership::Lifecycle;
 use seamhatch_core::roster::{CONFIGURATION_SHARD, Roster};
 use seamhatch_wire::{ControlReply, ControlRequest};
 use tokio::sync::oneshot;
@@ -78,7 +79,21 @@
         ControlReply::Sealed { claims, held: self.configuration.highest().filter(|_| holds) }
     }
 
-    pub(super) fn report_status(&mut self, reply: oneshot::Sender<status::StatusReport>) {
+    pub(super) fn handle_operator(&mut self, event: OperatorEvent) {
+        // An operator who is answered may have gone away.
+        match event {
+            OperatorEvent::Submit(request, reply) => self.submit(request, reply),
+            OperatorEvent::Status(reply) => self.report_status(reply),
+            OperatorEvent::GetConfiguration(reply) => {
+                let _ = reply.send(self.configuration.newest().cloned());
+            }
+            OperatorEvent::Drain(target, reply) => {
+                let _ = reply.send(self.drain(target));
+            }
+        }
+    }
+
+    pub(super) fn report_status(&mut self, reply: oneshot::Sender<StatusReport>) {
         // What operators are told is what traffic goes by.
         self.publish_if_changed();
         let input = StatusInput {
@@ -114,6 +129,13 @@
         self.work_changed();
     }
 
+    pub(super) fn leave(&mut self, reply: oneshot::Sender<()>) {
+        self.membership.state.set_lifecycle(Lifecycle::Left);
+        self.announce();
+        // The process may have stopped waiting.
+        let _ = reply.send(());
+    }
+
     pub(super) fn announce(&mut self) {
         let outgoing = self.membership.state.announce();
         self.membership.send_all(outgoing);
--- a/crates/seamhatchd/src/controllers/control_thread/roster.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/roster.rs
@@ -2,12 +2,11 @@
 
 use super::{ControlThread, FANOUT, ROSTER_RECHECK};
 use crate::base::clock;
+use crate::control::{MemberEvent, RosterEvent, TransitionResult};
 use crate::controllers::ask::ask_daemon;
-use crate::controllers::events::ControlEvent;
-use crate::controllers::machines::{Machine, MachineState, read_machines};
-use crate::controllers::roster_change::{Transition, TransitionResult};
+use crate::controllers::roster_change::Transition;
 use crate::ports::Backing;
-use crate::store::{ROSTER_KEY, StoreError, Stored, Swap};
+use crate::store::{ListedMachine, MachineState, ROSTER_KEY, StoreError, Stored, Swap, read_machines};
 use log::{info, warn};
 use seamhatch_core::Instant;
 use seamhatch_core::identity::Address;
@@ -16,6 +15,23 @@
 use seamhatch_wire::{ControlReply, ControlRequest};
 
 impl ControlThread {
+    pub(super) fn handle_roster(&mut self, event: RosterEvent) {
+        match event {
+            RosterEvent::Check => self.pull_roster(),
+            RosterEvent::Read(result) => self.roster_read(result),
+            RosterEvent::Offered(roster) => self.offer_roster(roster),
+            RosterEvent::Transition(result) => self.finish_transition(&result),
+        }
+    }
+
+    pub(super) fn handle_member(&mut self, event: MemberEvent) {
+        match event {
+            MemberEvent::Connected(gossip) => self.met(gossip),
+            MemberEvent::Discovered(discovery) => self.discovered(discovery),
+            MemberEvent::MachinesRead(result) => self.machines_read(result),
+        }
+    }
+
     pub(super) fn read_machines(&self) {
         let alone = self.membership.state.live_count() == 1;
         let Some(address) = self.shared.settings.machines else { return };
@@ -24,11 +40,11 @@
         }
         let control = self.control.clone();
         tokio::spawn(async move {
-            control.send(ControlEvent::MachinesRead(read_machines(address).await));
+            control.send(MemberEvent::MachinesRead(read_machines(address).await));
         });
     }
 
-    pub(super) fn machines_read(&mut self, result: Result<Vec<Machine>, StoreError>) {
+    pub(super) fn machines_read(&mut self, result: Result<Vec<ListedMachine>, StoreError>) {
         let Ok(machines) = result else { return };
         let listed = machines.iter().map(|machine| machine.address).collect();
         self.roster.take_machines(listed);
@@ -78,7 +94,7 @@
                 newest: self.configuration.highest(),
             };
             let control = self.control.clone();
-            tokio::spawn(async move { control.send(ControlEvent::Transition(transition.run().await)) });
+            tokio::spawn(async move { control.send(RosterEvent::Transition(transition.run().await)) });
         }
     }
 
@@ -96,12 +112,12 @@
         tokio::spawn(async move {
             let Ok(stored) = store.read::<Roster>(ROSTER_KEY).await else { return };
             if let Some(newer) = stored.value.filter(|stored| stored.version > known.version) {
-                return control.send(ControlEvent::RosterOffered(newer));
+                return control.send(RosterEvent::Offered(newer));
             }
             // A lost answer is resolved by the next read.
             if let Ok(Swap::Written) = store.swap(ROSTER_KEY, stored.revision, &next).await {
                 info!(version = next.version; "witness roster changed");
-                control.send(ControlEvent::RosterOffered(next));
+                control.send(RosterEvent::Offered(next));
             }
         });
     }
@@ -135,7 +151,7 @@
         tokio::spawn(async move {
             let reply = ask_daemon(&shared, peer, ControlRequest::GetRoster).await;
             if let Some(ControlReply::Roster(roster)) = reply {
-                control.send(ControlEvent::RosterOffered(roster));
+                control.send(RosterEvent::Offered(roster));
             }
         });
     }
--- a/crates/seamhatchd/src/controllers/control_thread/store.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/store.rs
@@ -1,7 +1,7 @@
 //! Reading and restoring the store, and becoming ready.
 
 use super::{ControlThread, WITNESS_PATIENCE};
-use crate::controllers::events::ControlEvent;
+use crate::control::{ConfigurationEvent, RosterEvent};
 use crate::controllers::registration;
 use crate::controllers::registration::Held;
 use crate::ports::Backing;
@@ -21,8 +21,8 @@
         tokio::spawn(async move {
             metrics.store_requests.inc_by(2);
             let roster = store.read(ROSTER_KEY).await;
-            control.send(ControlEvent::RosterRead(roster));
-            control.send(ControlEvent::StoreRead(store.read(CONFIGURATION_KEY).await));
+            control.send(RosterEvent::Read(roster));
+            control.send(ConfigurationEvent::StoreRead(store.read(CONFIGURATION_KEY).await));
         });
     }
 
@@ -73,7 +73,11 @@
         let (shared, control) = (self.shared.clone(), self.control.clone());
         tokio::spawn(async move {
             let held = registration::register(&shared, &stored).await;
-            control.send(if held { ControlEvent::Offered(stored) } else { ControlEvent::NotRegistered });
+            control.send(if held {
+                ConfigurationEvent::Offered(stored)
+            } else {
+                ConfigurationEvent::NotRegistered
+            });
         });
     }
 
@@ -97,15 +101,15 @@
                 Held::Newest(held) => held,
                 Held::NoRoster if first_start => None,
                 Held::NoRoster | Held::NoMajority if store_alone => None,
-                Held::NoRoster | Held::NoMajority => return control.send(ControlEvent::NotVerified),
+                Held::NoRoster | Held::NoMajority => return control.send(ConfigurationEvent::NotVerified),
             };
             if let Some(newest) = registration::newer(held, from_store) {
                 if !registration::register(&shared, &newest).await && !store_alone {
-                    return control.send(ControlEvent::NotVerified);
+                    return control.send(ConfigurationEvent::NotVerified);
                 }
-                control.send(ControlEvent::Offered(newest));
+                control.send(ConfigurationEvent::Offered(newest));
             }
-            control.send(ControlEvent::Verified);
+            control.send(ConfigurationEvent::Verified);
         });
     }
 
--- a/crates/seamhatchd/src/controllers/follow/condemned.rs
+++ b/crates/seamhatchd/src/controllers/follow/condemned.rs
@@ -1,9 +1,10 @@
 //! Having it remembered that a request is condemned, past the end of all daemons.
 
-use super::own_record::{OwnRecord, change_own_record};
+use super::own_record::change_own_record;
 use crate::base::clock::unix_milliseconds;
 use crate::ports::FollowedStore;
 use crate::shared::Shared;
+use crate::store::DaemonRecord;
 use log::{info, warn};
 use seamhatch_core::crashes::{CondemnedRecord, SuspectReport};
 use seamhatch_core::identity::RequestDigest;
@@ -23,7 +24,7 @@
     }
 }
 
-fn add(record: &mut OwnRecord, reports: &[SuspectReport]) {
+fn add(record: &mut DaemonRecord, reports: &[SuspectReport]) {
     let now = unix_milliseconds();
     for report in reports {
         record.condemned.retain(|known| known.record.request != report.record.request);
--- a/crates/seamhatchd/src/controllers/follow/configuration.rs
+++ b/crates/seamhatchd/src/controllers/follow/configuration.rs
@@ -3,8 +3,7 @@
 use super::{ANSWER_TIMEOUT, Backoff};
 use crate::base::clock;
 use crate::base::metrics::Metrics;
-use crate::controllers::ControlHandle;
-use crate::controllers::events::ControlEvent;
+use crate::control::{ConfigurationEvent, ControlHandle};
 use crate::ports::{DocumentFormat, FollowedStore};
 use crate::store::{Change, Item, Revision, StoreError};
 use log::{error, info, warn};
@@ -63,9 +62,9 @@
         let reading = self.metrics.time_store_call(reading).await.map_err(|_| no_answer())??;
         self.note_answer();
         if let Some(generation) = reading.found.and_then(|item| self.offer(&item)) {
-            self.control.send(ControlEvent::Proved(FreshnessProof { generation, at: sent }));
+            self.control.send(ConfigurationEvent::Proved(FreshnessProof { generation, at: sent }));
         }
-        self.control.send(ControlEvent::StoreConfigurationRead);
+        self.control.send(ConfigurationEvent::FollowedStoreRead);
         Ok(reading.at)
     }
 
@@ -97,7 +96,7 @@
         match self.documents.read(&item.value) {
             Ok(stored) => {
                 let generation = stored.generation;
-                self.control.send(ControlEvent::Offered(stored));
+                self.control.send(ConfigurationEvent::Offered(stored));
                 Some(generation)
             }
             Err(problem) => {
--- a/crates/seamhatchd/src/controllers/follow/discovery.rs
+++ b/crates/seamhatchd/src/controllers/follow/discovery.rs
@@ -3,38 +3,17 @@
 //! Each daemon has one key, whose value is what it must not forget. It writes its key before it reads
 //! all others, so that of two daemons that start together at least one sees the other.
 
-use super::own_record::OwnRecord;
-use super::quota_shards::ShardRecord;
 use super::{ANSWER_TIMEOUT, Backoff};
 use crate::base::clock::unix_milliseconds;
 use crate::base::metrics::Metrics;
-use crate::controllers::ControlHandle;
-use crate::controllers::events::ControlEvent;
+use crate::control::{ControlHandle, Discovery, InstanceEvent, MemberEvent};
 use crate::ports::FollowedStore;
-use crate::store::{Item, Page, Revision, StoreError, Write, WriteOutcome};
+use crate::store::{DaemonRecord, Page, Revision, ShardRecord, StoreError, Write, WriteOutcome};
 use log::warn;
-use seamhatch_core::crashes::SuspectReport;
 use seamhatch_core::departure::{DepartureRecord, DepartureSource};
 use seamhatch_core::identity::Address;
-use seamhatch_core::quota::ShardNumber;
 use std::sync::Arc;
 
-/// What the records of all daemons tell.
-#[derive(Debug, Default)]
-pub struct Discovery {
-    /// Gossip addresses of the daemons.
-    pub members: Vec<Address>,
-    /// Requests that were condemned, as any of them has noted.
-    pub condemned: Vec<SuspectReport>,
-    /// Shards of the tenants' limits and who holds them.
-    pub shards: Vec<(ShardNumber, ShardRecord)>,
-}
-
-/// Key of a daemon's record.
-pub fn member_key(followed: &FollowedStore, gossip: Address) -> String {
-    format!("{}{gossip}", followed.member_prefix)
-}
-
 /// Registers this daemon and reads the others, until that has succeeded once.
 pub async fn discover(
     followed: FollowedStore,
@@ -53,11 +32,11 @@
             }
         }
     };
-    control.send(ControlEvent::DeparturesLearnt(DepartureSource::Store, own_departures.instances));
+    control.send(InstanceEvent::DeparturesLearned(DepartureSource::Store, own_departures.instances));
     backoff.succeeded();
     loop {
         match read_members(&followed, &metrics).await {
-            Ok(discovery) => return control.send(ControlEvent::Discovered(discovery)),
+            Ok(discovery) => return control.send(MemberEvent::Discovered(discovery)),
             Err(error) => {
                 metrics.store_failures.inc();
                 warn!(error = error.to_string().as_str(); "the daemons' records can't be read yet");
@@ -69,10 +48,10 @@
 
 /// Makes this daemon's record unless an earlier life has. Returns what that remembered.
 async fn register(followed: &FollowedStore, gossip: Address) -> Result<DepartureRecord, StoreError> {
-    let key = member_key(followed, gossip);
+    let key = DaemonRecord::key(&followed.member_prefix, gossip);
     let write = Write {
         expect: vec![(key.clone(), Revision(0))],
-        put: vec![(key, OwnRecord::default().to_bytes())],
+        put: vec![(key, DaemonRecord::default().to_bytes())],
         ..Write::default()
     };
     let written = tokio::time::timeout(ANSWER_TIMEOUT, followed.store.write(&write));
@@ -80,7 +59,7 @@
     match written.await.map_err(timed_out)?? {
         WriteOutcome::Done(_) => Ok(DepartureRecord::default()),
         WriteOutcome::Refused(items) => {
-            let own = items.first().map(|item| OwnRecord::from_bytes(&item.value).departures);
+            let own = items.first().map(|item| DaemonRecord::read(item).departures);
             Ok(own.unwrap_or_default())
         }
     }
@@ -96,12 +75,12 @@
         let reading = metrics.time_store_call(tokio::time::timeout(ANSWER_TIMEOUT, reading)).await;
         let Page { items, more } = reading.map_err(timed_out)??.found;
         for item in &items {
-            if let Some(shard) = ShardRecord::read(followed, item) {
+            if let Some(shard) = ShardRecord::read(&followed.member_prefix, item) {
                 discovery.shards.push(shard);
                 continue;
             }
-            discovery.members.extend(address_of(followed, item));
-            let condemned = OwnRecord::from_bytes(&item.value).condemned;
+            discovery.members.extend(DaemonRecord::member(&followed.member_prefix, &item.key));
+            let condemned = DaemonRecord::read(item).condemned;
             discovery.condemned.extend(condemned.iter().map(|known| known.to_report(now)));
         }
         after = items.last().map(|item| item.key.clone());
@@ -110,7 +89,3 @@
         }
     }
 }
-
-fn address_of(followed: &FollowedStore, item: &Item) -> Option<Address> {
-    item.key.strip_prefix(&followed.member_prefix)?.parse().ok()
-}
--- a/crates/seamhatchd/src/controllers/follow/freshness.rs
+++ b/crates/seamhatchd/src/controllers/follow/freshness.rs
@@ -9,7 +9,7 @@
 
 use super::{ANSWER_TIMEOUT, Backoff};
 use crate::base::clock;
-use crate::controllers::events::ControlEvent;
+use crate::control::ConfigurationEvent;
 use crate::ports::{DocumentFormat, FollowedStore};
 use crate::shared::Shared;
 use crate::store::StoreError;
@@ -75,7 +75,7 @@
     // One that can't be read is reported by who follows it, and nothing is proved.
     let Ok(stored) = documents.read(&item.value) else { return Ok(()) };
     let proof = FreshnessProof { generation: stored.generation, at: sent };
-    shared.control.send(ControlEvent::Offered(stored));
-    shared.control.send(ControlEvent::Proved(proof));
+    shared.control.send(ConfigurationEvent::Offered(stored));
+    shared.control.send(ConfigurationEvent::Proved(proof));
     Ok(())
 }
--- a/crates/seamhatchd/src/controllers/follow/mod.rs
+++ b/crates/seamhatchd/src/controllers/follow/mod.rs
@@ -14,9 +14,9 @@
 pub use condemned::remember_condemned;
 pub use configuration::follow_configuration;
 pub use departures::{ask_departures, remember_departure};
-pub use discovery::{Discovery, discover};
+pub use discovery::discover;
 pub use freshness::keep_fresh;
-pub use quota_shards::{ShardRecord, keep_quota_shards};
+pub use quota_shards::{holder_of, keep_quota_shards};
 
 use std::time::Duration;
 
--- a/crates/seamhatchd/src/controllers/follow/quota_shards.rs
+++ b/crates/seamhatchd/src/controllers/follow/quota_shards.rs
@@ -5,24 +5,20 @@
 
 use super::{ANSWER_TIMEOUT, Backoff};
 use crate::base::clock;
-use crate::controllers::events::ControlEvent;
+use crate::control::ControlEvent;
 use crate::limits::quota::ShardHolder;
 use crate::ports::FollowedStore;
 use crate::shared::Shared;
-use crate::store::{Item, LeaseId, Revision, StoreError, Write, WriteOutcome};
+use crate::store::{Item, LeaseId, Revision, ShardRecord, StoreError, Write, WriteOutcome};
 use log::{debug, info, warn};
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, Microseconds, SECOND};
-use seamhatch_core::identity::{Address, Incarnation};
 use seamhatch_core::quota::ShardNumber;
-use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Begins the names of the shards' keys, behind the prefix of the daemons' records.
-const SHARD_KEY: &str = "quota-shard-";
 /// Pause between two looks at what is to be done.
 const POLL: Duration = Duration::from_millis(200);
 /// How long a lease lasts without renewal: a shard whose holder is lost is free after that.
@@ -40,32 +36,9 @@
 /// Pause after another daemon was found to hold a shard that seemed vacant.
 const HELD_ELSEWHERE_PAUSE: Microseconds = 500 * MILLISECOND;
 
-/// What lies in the store for a shard.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShardRecord {
-    holder: Address,
-    incarnation: u64,
-    lease: u64,
-    peer: Address,
-    zone: String,
-}
-
-impl ShardRecord {
-    /// The shard's number and its record; none where the item is no shard's, or can't be read.
-    pub fn read(followed: &FollowedStore, item: &Item) -> Option<(ShardNumber, Self)> {
-        let number = item.key.strip_prefix(&followed.member_prefix)?.strip_prefix(SHARD_KEY)?;
-        Some((number.parse().ok()?, serde_json::from_slice(&item.value).ok()?))
-    }
-
-    /// Where its holder is.
-    pub fn place(&self) -> ShardHolder {
-        ShardHolder { peer: self.peer, zone: self.zone.clone() }
-    }
-
-    /// Whether this daemon's address held it in an earlier life.
-    pub fn is_of_earlier_life(&self, holder: Address, incarnation: Incarnation) -> bool {
-        self.holder == holder && self.incarnation != incarnation.0
-    }
+/// Where the holder of a shard is.
+pub fn holder_of(record: &ShardRecord) -> ShardHolder {
+    ShardHolder { peer: record.peer, zone: record.zone.clone() }
 }
 
 /// Keeps the shards that this daemon holds, and takes those that are its to take, for ever.
@@ -164,11 +137,13 @@
         let lease = self.lease().await?;
         let Some(found) = self.write(shard, Revision(0), lease).await? else { return Ok(()) };
         let settings = &self.shared.settings;
-        let record = ShardRecord::read(&self.followed, &found).map(|(_, record)| record);
+        let record = ShardRecord::read(&self.followed.member_prefix, &found).map(|(_, record)| record);
         match record {
             // The answer to an earlier attempt was lost.
             Some(record) if record == self.record(lease) => self.take(shard),
-            Some(record) if record.is_of_earlier_life(settings.advertise.gossip, self.shared.incarnation) => {
+            Some(record)
+                if record.is_of_earlier_incarnation(settings.advertise.gossip, self.shared.incarnation) =>
+            {
                 self.write(shard, found.revision, lease).await?;
             }
             Some(record) => self.pass_over(shard, &record),
@@ -187,8 +162,8 @@
         revision: Revision,
         lease: LeaseId,
     ) -> Result<Option<Item>, StoreError> {
-        let key = format!("{}{SHARD_KEY}{shard}", self.followed.member_prefix);
-        let value = serde_json::to_vec(&self.record(lease)).unwrap_or_default();
+        let key = ShardRecord::key(&self.followed.member_prefix, shard);
+        let value = self.record(lease).to_bytes();
         let write = Write {
             expect: vec![(key.clone(), revision)],
             put: vec![(key, value)],
@@ -222,7 +197,7 @@
     }
 
     fn pass_over(&mut self, shard: ShardNumber, record: &ShardRecord) {
-        self.shared.limits.quota.directory.learn(shard, record.place());
+        self.shared.limits.quota.directory.learn(shard, holder_of(record));
         self.noticed.insert(shard, clock::now().plus(HELD_ELSEWHERE_PAUSE));
     }
 
--- a/crates/seamhatchd/src/controllers/roster.rs
+++ b/crates/seamhatchd/src/controllers/roster.rs
@@ -1,6 +1,6 @@
 //! The witness roster that this daemon knows, and the coordinator's view of it.
 
-use crate::controllers::roster_change::TransitionResult;
+use crate::control::TransitionResult;
 use seamhatch_core::Instant;
 use seamhatch_core::claims::Epoch;
 use seamhatch_core::identity::Incarnation;
--- a/crates/seamhatchd/src/controllers/roster_change.rs
+++ b/crates/seamhatchd/src/controllers/roster_change.rs
@@ -1,5 +1,6 @@
 //! Carrying out a shard's change of witnesses: seal, take the union, install.
 
+use crate::control::TransitionResult;
 use crate::controllers::registration::{ask_witness, newer};
 use crate::shared::Shared;
 use futures_util::future::join_all;
@@ -29,21 +30,6 @@
     pub newest: Option<StoredConfiguration>,
 }
 
-/// How far a change came.
-#[derive(Debug, Clone)]
-pub struct TransitionResult {
-    /// Number of the shard.
-    pub shard: usize,
-    /// Its present epoch.
-    pub epoch: Epoch,
-    /// Installed at a majority.
-    pub confirmed: bool,
-    /// Installed at all witnesses.
-    pub complete: bool,
-    /// Earlier epochs that are over, whose claims may be lost: the change waits for them.
-    pub lossy: Vec<Epoch>,
-}
-
 impl Transition {
     /// Takes the change as far as it goes at present; safe to repeat.
     pub async fn run(self) -> TransitionResult {
--- a/crates/seamhatchd/src/controllers/status.rs
+++ b/crates/seamhatchd/src/controllers/status.rs
@@ -1,76 +1,21 @@
 //! The state of the deployment as one daemon sees it, for operators.
 
+use crate::control::{MemberStatus, ShardStatus, StatusReport};
 use crate::controllers::ask::{ask_daemon, ask_generation};
 use crate::shared::Shared;
 use futures_util::StreamExt;
 use futures_util::future::join_all;
 use futures_util::stream;
 use seamhatch_core::generation::Generation;
-use seamhatch_core::membership::{Lifecycle, Liveness, MemberRecord};
+use seamhatch_core::membership::MemberRecord;
 use seamhatch_core::priority::AdmissionFloor;
 use seamhatch_core::roster::{Roster, ShardRoster};
 use seamhatch_wire::{ControlReply, ControlRequest};
-use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
 /// Members that are asked at once.
 const ASKED_AT_ONCE: usize = 32;
 
-/// One member.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MemberStatus {
-    /// Gossip address, which names it.
-    pub member: String,
-    /// Zone.
-    pub zone: String,
-    /// Service.
-    pub service: String,
-    /// Slots.
-    pub slots: u32,
-    /// Its own word.
-    pub lifecycle: Lifecycle,
-    /// The others' word.
-    pub liveness: Liveness,
-    /// Told to leave.
-    pub leaving: bool,
-    /// Configuration in force there; none when it did not answer.
-    pub generation: Option<u64>,
-}
-
-/// The witnesses of one shard.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShardStatus {
-    /// Number.
-    pub shard: usize,
-    /// Epoch.
-    pub epoch: u64,
-    /// Peer addresses.
-    pub witnesses: Vec<String>,
-    /// How many of them grant claims in this epoch.
-    pub serving: usize,
-}
-
-/// The whole state.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StatusReport {
-    /// The daemon that reports, by its gossip address.
-    pub member: String,
-    /// Whether it takes work.
-    pub ready: bool,
-    /// Whether it is leaving.
-    pub draining: bool,
-    /// Requests and calls in progress there.
-    pub in_flight: usize,
-    /// Configuration in force there.
-    pub generation: u64,
-    /// First priority level that it refuses for its server; 512 admits all.
-    pub floor: u16,
-    /// All members that it knows.
-    pub members: Vec<MemberStatus>,
-    /// Witnesses of the claims.
-    pub shards: Vec<ShardStatus>,
-}
-
 /// What the report is made of, gathered by the control thread.
 pub struct StatusInput {
     /// This daemon's record.
--- a/crates/seamhatchd/src/controllers/submission.rs
+++ b/crates/seamhatchd/src/controllers/submission.rs
@@ -3,16 +3,15 @@
 //! witnesses hold it before the operator is told.
 
 use crate::base::clock;
-use crate::controllers::events::SubmitRequest;
+use crate::control::{SubmitError, SubmitRequest};
 use crate::controllers::registration::{Held, ask_held, newer, register};
 use crate::shared::Shared;
 use crate::store::{CONFIGURATION_KEY, StoreClient, StoreError, Stored, Swap};
 use log::{info, warn};
 use seamhatch_core::generation::{Generation, SubmissionStep, SubmissionView, submission_step};
-use seamhatch_policy::{Configuration, ConfigurationError, StoredConfiguration};
+use seamhatch_policy::{Configuration, StoredConfiguration};
 use std::sync::Arc;
 use std::time::Duration;
-use thiserror::Error;
 use tokio::time::Instant;
 
 /// How long a submission tries before it tells what it knows.
@@ -20,49 +19,6 @@
 /// Pause after a failure of the store.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// Why a submission was not accepted.
-#[derive(Debug, Error)]
-pub enum SubmitError {
-    /// The document is wrong; nothing was written.
-    #[error("{0}")]
-    Invalid(#[from] ConfigurationError),
-    /// Another submission came first; this one was not and won't be accepted.
-    #[error(
-        "generation {actual} by {by:?} is in force, not {expected} on which this submission {id:016x} is based; \
-         look at it, then submit again with --expect-generation {actual}",
-        actual = actual.0, expected = expected.0
-    )]
-    Conflict {
-        /// This submission.
-        id: u64,
-        /// What it was based on.
-        expected: Generation,
-        /// What is in force.
-        actual: Generation,
-        /// Who submitted that.
-        by: String,
-    },
-    /// The store can't be used; nothing was written.
-    #[error("the key-value service can't be used ({detail}); nothing was written, submit again later")]
-    Unavailable {
-        /// Why.
-        detail: String,
-    },
-    /// A write was sent and its result can't be read yet.
-    #[error(
-        "it is not known yet whether submission {id:016x} was accepted ({detail}); \
-         submit the same again with --id {id:016x} to find out"
-    )]
-    Unknown {
-        /// This submission.
-        id: u64,
-        /// What its write was based on, if it is known.
-        based_on: Option<Generation>,
-        /// Why.
-        detail: String,
-    },
-}
-
 /// A submission that lies in the store.
 #[derive(Debug)]
 pub struct AcceptedSubmission {
--- a/crates/seamhatchd/src/lib.rs
+++ b/crates/seamhatchd/src/lib.rs
@@ -17,6 +17,7 @@
 
 pub mod base;
 pub mod claims;
+pub mod control;
 pub mod controllers;
 pub mod conventions;
 pub mod dispatch;
--- a/crates/seamhatchd/src/listeners/admin.rs
+++ b/crates/seamhatchd/src/listeners/admin.rs
@@ -1,6 +1,6 @@
 //! The operators' listener.
 
-use crate::controllers::{DrainTarget, SubmitError, SubmitRequest};
+use crate::control::{DrainTarget, SubmitError, SubmitRequest};
 use crate::listeners::answers::{self, json, typed};
 use crate::server::crashes::crash_report;
 use crate::shared::Shared;
--- a/crates/seamhatchd/src/listeners/registry.rs
+++ b/crates/seamhatchd/src/listeners/registry.rs
@@ -1,7 +1,7 @@
 //! The listener at which the back end beside the daemon registers: heartbeats, and its goodbye.
 
 use crate::base::metrics::BadInput;
-use crate::controllers::InstanceAnswer;
+use crate::control::InstanceAnswer;
 use crate::listeners::answers::{json, read_json, typed};
 use crate::shared::Shared;
 use http::{Method, StatusCode};
--- a/crates/seamhatchd/src/server/crashes/mod.rs
+++ b/crates/seamhatchd/src/server/crashes/mod.rs
@@ -14,7 +14,6 @@
 pub use trials::{CRASHES_TO_ISOLATE, Trial, Trials};
 
 use crate::base::clock;
-use crate::controllers::ControlEvent;
 use crate::shared::Shared;
 use log::warn;
 use seamhatch_core::clock::Microseconds;
@@ -73,7 +72,7 @@
     shared.metrics.crashes.inc();
     shared.control.tell_suspects(suspects.iter().map(|suspect| suspect.request).collect());
     if !condemned.is_empty() {
-        shared.control.send(ControlEvent::Condemned(condemned));
+        shared.control.remember_condemned(condemned);
     }
 }
 
--- a/crates/seamhatchd/src/shared.rs
+++ b/crates/seamhatchd/src/shared.rs
@@ -3,7 +3,7 @@
 use crate::base::clock;
 use crate::base::metrics::Metrics;
 use crate::claims::ClaimState;
-use crate::controllers::ControlHandle;
+use crate::control::ControlHandle;
 use crate::conventions::HttpConventions;
 use crate::filters::EntryFloors;
 use crate::lifecycle::DaemonLifecycle;
--- a/crates/seamhatchd/src/startup.rs
+++ b/crates/seamhatchd/src/startup.rs
@@ -3,7 +3,8 @@
 use crate::base::clock;
 use crate::base::logging;
 use crate::base::metrics::Metrics;
-use crate::controllers::{ControlHandle, ControlThread, DrainTarget};
+use crate::control::{ControlEvent, ControlHandle, DrainTarget};
+use crate::controllers::ControlThread;
 use crate::filters::EntryFloors;
 use crate::lifecycle::{DaemonLifecycle, END_MARGIN};
 use crate::limits::SharedLimits;
@@ -195,7 +196,7 @@
 
 fn start_control(
     shared: Arc<Shared>,
-    events: tokio::sync::mpsc::UnboundedReceiver<crate::controllers::ControlEvent>,
+    events: tokio::sync::mpsc::UnboundedReceiver<ControlEvent>,
     gossip: std::net::UdpSocket,
     ports: Ports,
 ) -> std::io::Result<()> {
--- a/crates/seamhatchd/src/controllers/machines.rs
+++ b/crates/seamhatchd/src/store/machine_list.rs
@@ -1,7 +1,7 @@
 //! The platform's list of machines: a hint that lags, never the only evidence.
 
+use super::StoreError;
 use crate::server::backend::http_client;
-use crate::store::StoreError;
 use bytes::Bytes;
 use http::Request;
 use http_body_util::{BodyExt, Full, Limited};
@@ -27,7 +27,7 @@
 
 /// One machine of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Machine {
+pub struct ListedMachine {
     /// Its IP address.
     pub address: IpAddr,
     /// Its state.
@@ -38,7 +38,7 @@
 ///
 /// # Errors
 /// [`StoreError`], as for the key-value service.
-pub async fn read_machines(address: Address) -> Result<Vec<Machine>, StoreError> {
+pub async fn read_machines(address: Address) -> Result<Vec<ListedMachine>, StoreError> {
     let lost = |detail: String| StoreError::AnswerLost { detail };
     let request = Request::get(format!("http://{address}/machines"))
         .body(Full::new(Bytes::new()))
--- a/crates/seamhatchd/src/store/mod.rs
+++ b/crates/seamhatchd/src/store/mod.rs
@@ -7,10 +7,14 @@
 mod error;
 mod etcd;
 mod exchange;
+mod machine_list;
+mod records;
 
 pub use error::StoreError;
 pub use etcd::{CONFIGURATION_KEY, ROSTER_KEY, StoreClient, Stored, Swap};
 pub use exchange::{StoreExchange, StoreReply};
+pub use machine_list::{ListedMachine, MachineState, read_machines};
+pub use records::{DaemonRecord, ShardRecord};
 
 use std::fmt;
 use std::future::Future;
--- a/crates/seamhatchd/tests/behind.rs
+++ b/crates/seamhatchd/tests/behind.rs
@@ -3,7 +3,7 @@
 use seamhatch_core::Instant;
 use seamhatch_core::clock::SECOND;
 use seamhatch_core::generation::Generation;
-use seamhatchd::controllers::ControlHandle;
+use seamhatchd::control::ControlHandle;
 
 struct BehindCase {
     name: &'static str,
--- a/crates/seamhatchd/tests/operator_interface.rs
+++ b/crates/seamhatchd/tests/operator_interface.rs
@@ -10,7 +10,7 @@
 use seamhatch_core::outcome::{Outcome, Reason};
 use seamhatch_core::priority::PriorityClass;
 use seamhatchd::base::metrics::{BadInput, Metrics};
-use seamhatchd::controllers::{MemberStatus, ShardStatus, StatusReport};
+use seamhatchd::control::{MemberStatus, ShardStatus, StatusReport};
 use seamhatchd::conventions::headers;
 use seamhatchd::conventions::{AnswerMark, BackEndCall, HttpConventions, OwnAnswer, OwnConventions};
 use seamhatchd::server::crashes::{CrashReport, SuspectStatus};
--- a/crates/seamhatchd/tests/stopping.rs
+++ b/crates/seamhatchd/tests/stopping.rs
@@ -1,6 +1,6 @@
 //! The end of a process must not wait for its control thread.
 
-use seamhatchd::controllers::{ControlHandle, DrainTarget};
+use seamhatchd::control::{ControlHandle, DrainTarget};
 use std::time::Duration;
 
 /// Much longer than either may take.
