--- a/crates/seamhatchd/src/control/findings.rs
+++ b/crates/seamhatchd/src/control/findings.rs
@@ -6,18 +6,18 @@
 use seamhatch_core::identity::Address;
 use seamhatch_core::quota::ShardNumber;
 
-/// What the records of all daemons tell.
+/// What the records of all daemons in the store contain.
 #[derive(Debug, Default)]
 pub struct Discovery {
     /// Gossip addresses of the daemons.
     pub members: Vec<Address>,
-    /// Requests that were condemned, as any of them has noted.
+    /// Requests that were condemned, as any of them has recorded.
     pub condemned: Vec<SuspectReport>,
     /// Shards of the tenants' limits and who holds them.
     pub shards: Vec<(ShardNumber, ShardRecord)>,
 }
 
-/// How far a change came.
+/// How far a shard's change of witnesses came.
 #[derive(Debug, Clone)]
 pub struct TransitionResult {
     /// Number of the shard.
@@ -28,6 +28,6 @@
     pub confirmed: bool,
     /// Installed at all witnesses.
     pub complete: bool,
-    /// Earlier epochs that are over, whose claims may be lost: the change waits for them.
+    /// Earlier epochs that are over and whose claims may be lost: the change waits them out.
     pub lossy: Vec<Epoch>,
 }
--- a/crates/seamhatchd/src/controllers/configuration.rs
+++ b/crates/seamhatchd/src/controllers/configuration.rs
@@ -1,4 +1,7 @@
 //! The configuration that this daemon holds. It only moves forward.
+//!
+//! [`ConfigurationController`] owns it for the control thread, which offers what it learns from the store, from other daemons and from
+//! submissions. A daemon that is a witness also holds here what may soon be in force.
 
 use crate::controllers::registration::newer;
 use crate::ports::DocumentFormat;
@@ -7,8 +10,8 @@
 use seamhatch_policy::{Configuration, StoredConfiguration};
 use std::sync::Arc;
 
-/// Holds the configuration in force, the newest one that may be (they differ only
-/// where this build can't compile it), and, as a witness, what may be in force soon.
+/// Holds the configuration in force, the newest one that may be in force (they differ only where this version of the daemon
+/// can't compile it), and, as a witness, what may soon be in force.
 #[derive(Debug)]
 pub struct ConfigurationController {
     documents: Arc<dyn DocumentFormat>,
@@ -33,7 +36,7 @@
         self.newest.as_ref()
     }
 
-    /// Its generation, zero for none.
+    /// Generation of the newest configuration that may be in force; zero for none.
     pub fn generation(&self) -> Generation {
         self.newest.as_ref().map(|stored| stored.generation).unwrap_or_default()
     }
@@ -58,12 +61,12 @@
         highest.is_some_and(|highest| highest.includes(stored))
     }
 
-    /// What decides at present.
+    /// The configuration that decides now, and its generation.
     pub fn in_force(&self) -> Option<(Generation, Arc<Configuration>)> {
         self.in_force.clone()
     }
 
-    /// Takes in an accepted configuration, if it is newer than the one held.
+    /// Adopts an accepted configuration if it is newer than the one held.
     pub fn offer(&mut self, stored: StoredConfiguration) -> Offer {
         let current = self.newest.as_ref().map(StoredConfiguration::version);
         let offer = judge_offer(current, stored.version());
@@ -84,7 +87,7 @@
                 info!(generation = stored.generation.0; "configuration in force");
                 self.in_force = Some((stored.generation, Arc::new(configuration)));
             }
-            // It was checked when it was accepted, so this daemon is of another build.
+            // It was checked when it was accepted, so this daemon is another version of the program.
             Err(problem) => error!(
                 generation = stored.generation.0,
                 problem = problem.to_string().as_str();
--- a/crates/seamhatchd/src/controllers/membership.rs
+++ b/crates/seamhatchd/src/controllers/membership.rs
@@ -1,4 +1,6 @@
-//! The membership part on the wire: datagrams in and out, and who watches the platform.
+//! Membership on the wire: datagrams in and out, and which members do common work.
+//!
+//! [`MembershipController`] owns the protocol's state ([`Membership`]) and the gossip socket for the control thread.
 
 use crate::base::clock;
 use crate::base::metrics::{BadInput, Metrics};
@@ -11,11 +13,11 @@
 use std::sync::Arc;
 use tokio::net::UdpSocket;
 
-/// Watchers of the platform in each zone.
+/// Watchers of the store and of the list of machines in each zone: two, so that one may be lost unnoticed. Chosen, not measured.
 const WATCHERS_PER_ZONE: usize = 2;
-/// Seed of the choice of watchers.
+/// Seed of the choice of watchers. The seeds of rendezvous hashing only differ from each other, so that one daemon isn't chosen for everything.
 const WATCHER_SEED: u64 = 1;
-/// Seed of the choice of the one that looks after the roster.
+/// Seed of the choice of the coordinator.
 const COORDINATOR_SEED: u64 = 2;
 
 /// Membership with its socket.
@@ -37,13 +39,13 @@
         self.socket.clone()
     }
 
-    /// Moves time on.
+    /// Lets the protocol act on the time that has passed.
     pub fn tick(&mut self) {
         let outgoing = self.state.tick(clock::now(), |below| rand::random_range(0..below));
         self.send_all(outgoing);
     }
 
-    /// Takes in a datagram. Returns what the control thread needs of it.
+    /// Processes a datagram. Returns the message in it; none where it can't be decoded.
     pub fn datagram(&mut self, bytes: &[u8], from: SocketAddr) -> Option<GossipMessage> {
         self.metrics.gossip_received_bytes.inc_by(bytes.len() as u64);
         let message = match decode_datagram(bytes) {
@@ -59,7 +61,7 @@
         Some(message)
     }
 
-    /// Sends messages; one that can't be sent is as good as lost on the way.
+    /// Sends messages. The protocol expects losses, so one that can't be sent is not sent again.
     pub fn send_all(&self, outgoing: Vec<Outgoing>) {
         for (target, message) in outgoing {
             match encode_datagram(&message) {
@@ -74,21 +76,21 @@
         }
     }
 
-    /// Whether this daemon is among those that watch the platform for its zone.
+    /// Whether this daemon watches the store and the list of machines for its zone.
     pub fn is_watcher(&self) -> bool {
         let zone = &self.state.me().info.zone;
         let same_zone = |record: &&MemberRecord| record.info.zone == *zone;
-        let live = self.takers().filter(same_zone);
+        let live = self.candidates().filter(same_zone);
         self.is_chosen(WATCHER_SEED, live, WATCHERS_PER_ZONE)
     }
 
-    /// Whether this daemon looks after the roster.
+    /// Whether this daemon looks after the roster of witnesses.
     pub fn is_coordinator(&self) -> bool {
-        self.is_chosen(COORDINATOR_SEED, self.takers(), 1)
+        self.is_chosen(COORDINATOR_SEED, self.candidates(), 1)
     }
 
-    /// Live members that take part in common work, this one included.
-    pub fn takers(&self) -> impl Iterator<Item = &MemberRecord> {
+    /// Live members that may be chosen for common work, this one included.
+    fn candidates(&self) -> impl Iterator<Item = &MemberRecord> {
         std::iter::once(self.state.me())
             .chain(self.state.others())
             .filter(|record| record.is_live() && record.lifecycle != Lifecycle::Draining)
--- a/crates/seamhatchd/src/controllers/mod.rs
+++ b/crates/seamhatchd/src/controllers/mod.rs
@@ -1,8 +1,8 @@
 //! The controllers of the daemon's state, on a thread of their own.
 //!
-//! [`control_thread::ControlThread`] owns them all and feeds them events; what
-//! they decide is published as a snapshot. Traffic threads talk to them through
-//! a [`crate::control::ControlHandle`] and never wait for them on a request's path.
+//! [`ControlThread`] owns them all and feeds them events; their decisions are published as a snapshot. Threads that carry traffic
+//! reach it through a [`crate::control::ControlHandle`] and never wait for it on a request's path. Nothing below this layer
+//! names a controller.
 
 mod ask;
 mod configuration;
--- a/crates/seamhatchd/src/controllers/publish.rs
+++ b/crates/seamhatchd/src/controllers/publish.rs
@@ -1,4 +1,6 @@
-//! Making the snapshot that traffic threads work with.
+//! What a snapshot contains: the servers that may be given work, and those that the policy takes out of use.
+//!
+//! Pure functions over the controllers' state, called by the control thread.
 
 use crate::base::clock;
 use crate::shared::Shared;
@@ -11,7 +13,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// The snapshot of what the controllers know at present.
+/// The snapshot of what the controllers know now.
 pub fn snapshot<'a>(
     configuration: Option<(Generation, Arc<Configuration>)>,
     members: impl Iterator<Item = &'a MemberRecord>,
--- a/crates/seamhatchd/src/controllers/roster.rs
+++ b/crates/seamhatchd/src/controllers/roster.rs
@@ -1,9 +1,11 @@
-//! The witness roster that this daemon knows, and the coordinator's view of it.
+//! The witness roster that this daemon knows, and how far the coordinator has carried out its changes.
+//!
+//! [`RosterController`] owns both for the control thread. What each shard should become is decided by [`seamhatch_core::roster`];
+//! a [`super::roster_change::Transition`] carries it out.
 
 use crate::control::TransitionResult;
 use seamhatch_core::Instant;
 use seamhatch_core::claims::Epoch;
-use seamhatch_core::identity::Incarnation;
 use seamhatch_core::membership::{Liveness, MemberRecord};
 use seamhatch_core::roster::{
     LossWaits, Roster, ShardRoster, WitnessCandidate, WitnessHealth, WitnessId, first_roster, plan_change,
@@ -17,11 +19,16 @@
 #[derive(Debug, Default)]
 pub struct RosterController {
     roster: Arc<Roster>,
+    /// By shard: the epoch at which this coordinator has looked.
     checked: BTreeMap<usize, Epoch>,
+    /// By shard: the epoch that is installed at a majority.
     confirmed: BTreeMap<usize, Epoch>,
+    /// By shard: the epoch that is installed at all witnesses.
     complete: BTreeMap<usize, Epoch>,
+    /// Shards with a transition in progress.
     running: BTreeSet<usize>,
     loss_waits: LossWaits,
+    /// Machines that were listed and are no longer.
     gone_machines: BTreeSet<IpAddr>,
     listed_machines: BTreeSet<IpAddr>,
 }
@@ -32,7 +39,7 @@
         &self.roster
     }
 
-    /// Takes in a roster; false when it isn't newer.
+    /// Adopts a roster; false when it isn't newer.
     pub fn offer(&mut self, roster: Roster) -> bool {
         if roster.version <= self.roster.version {
             return false;
@@ -41,7 +48,7 @@
         true
     }
 
-    /// Takes in the machine list: machines that were listed and are no longer are gone.
+    /// Compares the platform's list of machines with the one before: those that are no longer listed are gone.
     pub fn take_machines(&mut self, listed: BTreeSet<IpAddr>) {
         let vanished: Vec<IpAddr> = self.listed_machines.difference(&listed).copied().collect();
         self.gone_machines.extend(vanished);
@@ -72,9 +79,9 @@
         changed.then(|| Roster { version: self.roster.version + 1, shards })
     }
 
-    /// What one shard should become. Only a shard that this coordinator has
-    /// looked at is changed: one that was just chosen does not know yet whether
-    /// the present epoch was installed, and would seal long-ended epochs again.
+    /// What one shard should become. Only a shard that this coordinator has looked at is changed: a coordinator
+    /// that was just chosen does not know yet whether the present epoch was installed, and would seal
+    /// epochs again that ended long ago.
     fn plan_shard(
         &self,
         index: usize,
@@ -92,8 +99,8 @@
         change.or_else(|| over.then(|| ShardRoster { previous: Vec::new(), ..shard.clone() }))
     }
 
-    /// Shards whose present epoch isn't yet installed at all its witnesses and
-    /// that no task works on; they are marked as worked on.
+    /// Shards whose present epoch isn't yet installed at all its witnesses and that have no transition in progress;
+    /// they are marked as having one.
     pub fn start_transitions(&mut self) -> Vec<(usize, ShardRoster)> {
         let pending: Vec<(usize, ShardRoster)> = self
             .roster
@@ -108,7 +115,7 @@
         pending
     }
 
-    /// Takes in how far a transition came; the epochs that turned out to have ended with a loss.
+    /// Records how far a transition came. Returns the epochs that turned out to have ended with a loss.
     pub fn finish_transition(&mut self, result: &TransitionResult, now: Instant) -> Vec<Epoch> {
         self.running.remove(&result.shard);
         self.checked.insert(result.shard, result.epoch);
@@ -125,12 +132,12 @@
         lossy.filter(|epoch| self.loss_waits.note(result.shard, *epoch, now)).collect()
     }
 
-    /// Epochs of a shard that ended with a loss, whose wait is over.
+    /// Epochs of a shard that ended with a loss and have been waited out.
     pub fn waited(&self, shard: usize, now: Instant) -> BTreeSet<Epoch> {
         self.loss_waits.over(shard, now)
     }
 
-    /// Looks at every shard anew, for a coordinator that has just been chosen or now and then.
+    /// Has every shard looked at again: for a coordinator that has just been chosen, and from time to time.
     pub fn recheck(&mut self) {
         self.complete.clear();
     }
@@ -151,13 +158,13 @@
         let Some(record) = members.iter().find(|record| record.info.peer == id.daemon) else {
             return if gone { WitnessHealth::Ended } else { WitnessHealth::Unsure };
         };
-        let restarted: bool = record.incarnation > id.incarnation;
+        let restarted = record.incarnation > id.incarnation;
         let dead = record.liveness == Liveness::Dead;
         if restarted || (gone && dead) {
             WitnessHealth::Ended
         } else if record.takes_work()
             && record.liveness == Liveness::Alive
-            && same_life(record, id.incarnation)
+            && record.incarnation == id.incarnation
         {
             WitnessHealth::Live
         } else {
@@ -166,10 +173,6 @@
     }
 }
 
-fn same_life(record: &MemberRecord, incarnation: Incarnation) -> bool {
-    record.incarnation == incarnation
-}
-
 fn candidates(members: &[MemberRecord]) -> Vec<WitnessCandidate> {
     members
         .iter()
--- a/crates/seamhatchd/src/controllers/roster_change.rs
+++ b/crates/seamhatchd/src/controllers/roster_change.rs
@@ -1,9 +1,12 @@
-//! Carrying out a shard's change of witnesses: seal, take the union, install.
+//! Carrying out a shard's change of witnesses: seal the earlier epochs, unite their claims, install the new epoch.
+//!
+//! A [`Transition`] is a task of the coordinator. It keeps no state between attempts, so that it can be repeated by any daemon
+//! and from any point; [`super::roster::RosterController`] records how far each shard came.
 
 use crate::control::TransitionResult;
-use crate::controllers::registration::{ask_witness, newer};
+use crate::controllers::ask::ask_witnesses;
+use crate::controllers::registration::newer;
 use crate::shared::Shared;
-use futures_util::future::join_all;
 use log::info;
 use seamhatch_core::claims::{Claim, Epoch};
 use seamhatch_core::roster::{
@@ -24,14 +27,14 @@
     pub target: ShardRoster,
     /// Witnesses that are known to have ended.
     pub ended: BTreeSet<WitnessId>,
-    /// Epochs that ended with a loss, whose wait is over.
+    /// Epochs that ended with a loss and have been waited out.
     pub waited: BTreeSet<Epoch>,
     /// The newest accepted configuration that this daemon knows.
     pub newest: Option<StoredConfiguration>,
 }
 
 impl Transition {
-    /// Takes the change as far as it goes at present; safe to repeat.
+    /// Carries the change as far as it goes now; safe to repeat.
     pub async fn run(self) -> TransitionResult {
         let missing = self.missing_witnesses().await;
         let mut result = self.result(missing.len());
@@ -39,7 +42,7 @@
             return result;
         }
         let sealed = if result.confirmed {
-            // A majority has the claims of earlier epochs; a late witness may start without.
+            // A majority has the claims of earlier epochs; a late witness may start without them.
             Sealed { claims: Vec::new(), held: self.newest.clone(), lossy: Vec::new() }
         } else {
             match self.seal_previous().await {
@@ -71,15 +74,13 @@
     async fn missing_witnesses(&self) -> Vec<WitnessId> {
         let current = &self.target.current;
         let request = ControlRequest::WitnessStatus { shard: self.shard as u32 };
-        let replies =
-            join_all(current.witnesses.iter().map(|id| ask_witness(&self.shared, *id, request.clone())))
-                .await;
+        let replies = ask_witnesses(&self.shared, &current.witnesses, &request).await;
         let serving = Some(ControlReply::Serving(current.epoch));
         let pairs = current.witnesses.iter().zip(replies);
         pairs.filter(|(_, reply)| *reply != serving).map(|(id, _)| *id).collect()
     }
 
-    /// Seals every earlier assignment; none while one of them may still grant.
+    /// Seals every earlier assignment and unites what their witnesses remember; none while one of them may still grant.
     async fn seal_previous(&self) -> Option<Sealed> {
         let mut claims = Vec::new();
         let mut held = self.newest.clone();
@@ -92,23 +93,21 @@
                 SealProgress::Complete => {}
                 SealProgress::CompleteWithLoss => lossy.push(assignment.epoch),
             }
-            for (told, configuration) in replies.into_values() {
-                claims.extend(told);
-                held = newer(held, configuration);
+            for memory in replies.into_values() {
+                claims.extend(memory.claims);
+                held = newer(held, memory.held);
             }
         }
         Some(Sealed { claims: union_of_claims(claims), held, lossy })
     }
 
-    async fn seal(&self, assignment: &Assignment) -> BTreeMap<WitnessId, Memory> {
+    async fn seal(&self, assignment: &Assignment) -> BTreeMap<WitnessId, WitnessMemory> {
         let request = ControlRequest::Seal { shard: self.shard as u32, epoch: assignment.epoch };
-        let replies =
-            join_all(assignment.witnesses.iter().map(|id| ask_witness(&self.shared, *id, request.clone())))
-                .await;
+        let replies = ask_witnesses(&self.shared, &assignment.witnesses, &request).await;
         let pairs = assignment.witnesses.iter().zip(replies);
         pairs
             .filter_map(|(id, reply)| match reply {
-                Some(ControlReply::Sealed { claims, held }) => Some((*id, (claims, held))),
+                Some(ControlReply::Sealed { claims, held }) => Some((*id, WitnessMemory { claims, held })),
                 _ => None,
             })
             .collect()
@@ -121,18 +120,22 @@
             claims: sealed.claims,
             held: sealed.held.filter(|_| self.shard == CONFIGURATION_SHARD),
         };
-        let replies =
-            join_all(missing.iter().map(|id| ask_witness(&self.shared, *id, request.clone()))).await;
+        let replies = ask_witnesses(&self.shared, missing, &request).await;
         replies.iter().filter(|reply| **reply == Some(ControlReply::Done)).count()
     }
 }
 
-/// What a sealed witness remembers: its claims, and the configuration it holds.
-type Memory = (Vec<Claim>, Option<StoredConfiguration>);
+/// What one sealed witness remembers.
+struct WitnessMemory {
+    claims: Vec<Claim>,
+    /// The newest configuration that it holds.
+    held: Option<StoredConfiguration>,
+}
 
+/// What the witnesses of all earlier epochs remember together.
 struct Sealed {
     claims: Vec<Claim>,
     held: Option<StoredConfiguration>,
-    /// Epochs that are over, whose claims may be lost.
+    /// Epochs that are over and whose claims may be lost.
     lossy: Vec<Epoch>,
 }
--- a/crates/seamhatchd/src/controllers/status.rs
+++ b/crates/seamhatchd/src/controllers/status.rs
@@ -1,4 +1,6 @@
-//! The state of the deployment as one daemon sees it, for operators.
+//! Making the report on the deployment for operators: what this daemon knows, and what it asks of each live member.
+//!
+//! A task of the control thread, as it waits for other daemons. It keeps nothing.
 
 use crate::control::{MemberStatus, ShardStatus, StatusReport};
 use crate::controllers::ask::{ask_daemon, ask_generation};
@@ -13,10 +15,10 @@
 use seamhatch_wire::{ControlReply, ControlRequest};
 use std::sync::Arc;
 
-/// Members that are asked at once.
+/// Members that are asked at the same time. Chosen, not measured.
 const ASKED_AT_ONCE: usize = 32;
 
-/// What the report is made of, gathered by the control thread.
+/// What the control thread knows for the report.
 pub struct StatusInput {
     /// This daemon's record.
     pub me: MemberRecord,
@@ -28,7 +30,7 @@
     pub generation: Generation,
 }
 
-/// Makes the report, asking each live member for its generation.
+/// Makes the report. Each live member is asked for its generation, and each witness for its epoch.
 pub async fn report(shared: Arc<Shared>, input: StatusInput) -> StatusReport {
     let own = member_status(&input.me, Some(input.generation.0));
     let asking = input.others.into_iter().map(|record| ask_member(shared.clone(), record));
--- a/crates/seamhatchd/src/controllers/submission.rs
+++ b/crates/seamhatchd/src/controllers/submission.rs
@@ -1,6 +1,8 @@
-//! Accepting an operator's configuration: compare-and-swap on the store, finding
-//! out what became of a write whose answer was lost, and having a majority of
-//! witnesses hold it before the operator is told.
+//! Accepting an operator's configuration, in deployments where daemons accept them.
+//!
+//! A [`Submission`] writes it into the store by compare-and-swap, finds out what became of a write whose answer was lost, and has a majority of
+//! witnesses hold it before the operator is answered. Each next step is decided by [`seamhatch_core::generation::submission_step`]. It is
+//! a task that the control thread starts; it owns nothing beyond its own attempt.
 
 use crate::base::clock;
 use crate::control::{SubmitError, SubmitRequest};
@@ -14,12 +16,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a submission tries before it tells what it knows.
+/// How long a submission tries before the operator is told that it is unavailable or unknown. Chosen, not measured.
 const LONGEST_SUBMISSION: Duration = Duration::from_secs(15);
-/// Pause after a failure of the store.
+/// Pause after a failure of the store or a lost compare-and-swap: even, as an operator waits. Chosen, not measured.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// A submission that lies in the store.
+/// A submission that the store has.
 #[derive(Debug)]
 pub struct AcceptedSubmission {
     /// The generation it made.
@@ -33,9 +35,12 @@
     shared: Arc<Shared>,
     store: StoreClient,
     request: SubmitRequest,
+    /// The newest accepted configuration that this daemon knows.
     known: Option<StoredConfiguration>,
+    /// Generation that the write replaces; none before the store was read.
     based_on: Option<Generation>,
-    written: bool,
+    /// A write may have been done.
+    may_be_written: bool,
 }
 
 impl Submission {
@@ -52,10 +57,10 @@
         known: Option<StoredConfiguration>,
     ) -> Result<Self, SubmitError> {
         Configuration::compile(&request.document)?;
-        Ok(Self { shared, store, request, known, based_on: None, written: false })
+        Ok(Self { shared, store, request, known, based_on: None, may_be_written: false })
     }
 
-    /// Carries it out.
+    /// Carries the submission out, for at most [`LONGEST_SUBMISSION`].
     ///
     /// # Errors
     /// [`SubmitError`].
@@ -69,10 +74,10 @@
         }
         loop {
             let detail = match self.step().await {
-                // Before anyone is told: a store that goes back must not take it along.
+                // Before the operator is answered: a store that goes back in time must not undo it.
                 Ok(Some(accepted)) if register(&self.shared, &accepted.newest).await => return Ok(accepted),
                 Ok(Some(_)) => {
-                    self.written = true;
+                    self.may_be_written = true;
                     "no majority of the configuration's witnesses holds it yet".to_owned()
                 }
                 Ok(None) => "the write is not confirmed yet".to_owned(),
@@ -90,7 +95,7 @@
     }
 
     fn give_up(&self, detail: String) -> SubmitError {
-        if self.written {
+        if self.may_be_written {
             SubmitError::Unknown { id: self.request.id.0, based_on: self.based_on, detail }
         } else {
             SubmitError::Unavailable { detail }
@@ -144,7 +149,7 @@
             Ok(Swap::Written) => Ok(Some(AcceptedSubmission { generation: next.generation, newest: next })),
             Ok(Swap::Refused) => Ok(None),
             Err(error @ StoreError::AnswerLost { .. }) => {
-                self.written = true;
+                self.may_be_written = true;
                 Err(error.into())
             }
             Err(error) => Err(error.into()),
@@ -162,7 +167,7 @@
         StepError::Final(SubmitError::Conflict { id: self.request.id.0, expected, actual, by })
     }
 
-    /// The store came back with an older copy: writes the newest accepted one over it.
+    /// Writes the newest accepted configuration over an older copy with which the store came back.
     async fn restore(&self, stored: &Stored<Option<StoredConfiguration>>) -> Result<(), StepError> {
         let Some(known) = &self.known else { return Ok(()) };
         warn!(generation = known.generation.0; "the store holds an older configuration; restoring the newest");
@@ -170,7 +175,7 @@
         Ok(())
     }
 
-    /// Learns what a majority of the witnesses holds: this daemon may have missed it.
+    /// Learns the newest configuration that a majority of the witnesses holds: this daemon may have missed it.
     async fn ask_witnesses(&mut self) -> Result<(), SubmitError> {
         let have = self.known.as_ref().map(|known| known.generation).unwrap_or_default();
         match ask_held(&self.shared, have).await {
