--- a/crates/seamhatchd/src/control/handle.rs
+++ b/crates/seamhatchd/src/control/handle.rs
@@ -1,4 +1,7 @@
-//! How other threads reach the control thread.
+//! The handle through which other threads reach the control thread.
+//!
+//! Events go through an unbounded queue, in order. The handle also owns the newest generation that any daemon has reported, so that the
+//! request path sees without waiting whether this daemon's configuration may be out of date.
 
 use super::{
     ConfigurationEvent, ControlEvent, DrainTarget, InstanceAnswer, InstanceEvent, MemberEvent, OperatorEvent,
@@ -19,10 +22,12 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Longest wait for the control thread when a drain begins or the process ends.
+/// Longest wait for the control thread when a drain begins or the process ends: the process must end also where that thread is stuck.
+/// Chosen, not measured.
 const STOP_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A generation that nobody has is not waited for longer. Whoever tells one has it, and gives it within a second.
+/// A reported generation counts as missing here for this long, in microseconds: the daemon that reports one has it and hands it over
+/// within a second, so one that is missing for longer exists nowhere. Chosen, not measured.
 const LONGEST_BEHIND: Microseconds = 10 * SECOND;
 
 /// Sends events to the control thread; cheap to clone.
@@ -30,56 +35,62 @@
 pub struct ControlHandle {
     events: mpsc::UnboundedSender<ControlEvent>,
     generation_in_force: Arc<AtomicU64>,
-    /// The newest that any daemon has told.
-    generation_told: Arc<AtomicU64>,
-    /// When it was first told, in microseconds of the boot clock.
-    told_at: Arc<AtomicU64>,
+    /// The newest generation that any daemon has reported.
+    generation_reported: Arc<AtomicU64>,
+    /// When it was first reported, in microseconds of the boot clock.
+    reported_at: Arc<AtomicU64>,
 }
 
 impl ControlHandle {
-    /// A handle and the events it sends.
+    /// A handle, and the receiving end of its queue.
     #[must_use]
     pub fn new() -> (Self, mpsc::UnboundedReceiver<ControlEvent>) {
         let (events, receiver) = mpsc::unbounded_channel();
-        let (generation_in_force, generation_told, told_at) = Default::default();
-        (Self { events, generation_in_force, generation_told, told_at }, receiver)
+        let handle = Self {
+            events,
+            generation_in_force: Arc::default(),
+            generation_reported: Arc::default(),
+            reported_at: Arc::default(),
+        };
+        (handle, receiver)
     }
 
-    /// Puts an event in; lost when the control thread has ended, as at a stop.
+    /// Puts an event into the queue.
     pub fn send(&self, event: impl Into<ControlEvent>) {
+        // Lost when the control thread has ended, which only the end of the process does.
         let _ = self.events.send(event.into());
     }
 
-    /// A daemon told its generation. Cheap unless it is news.
+    /// A daemon reported its generation. Cheap unless that is newer than the one in force.
     pub fn note_peer_generation(&self, peer: Address, generation: Generation) {
         self.note_generation(Some(peer), generation);
     }
 
-    /// A call told its sender's generation.
+    /// A call carried the generation of the daemon that sent it.
     pub fn note_call_generation(&self, generation: Generation) {
         self.note_generation(None, generation);
     }
 
-    /// A claim found no majority.
+    /// A claim or a configuration found no majority of witnesses.
     pub fn check_roster(&self) {
         self.send(RosterEvent::Check);
     }
 
-    /// Asks as another daemon's controller; declined when the thread has ended.
+    /// Asks on behalf of another daemon's controller; declined when the control thread has ended.
     pub fn ask(&self, request: ControlRequest) -> impl Future<Output = ControlReply> + Send + use<> {
         let (sender, receiver) = oneshot::channel();
         self.send(ControlEvent::Request(request, sender));
         async { receiver.await.unwrap_or(ControlReply::Declined) }
     }
 
-    /// Takes in a heartbeat of the back end.
+    /// Passes on a heartbeat of the back end; not remembered when the control thread has ended.
     pub async fn heartbeat(&self, heartbeat: Heartbeat) -> InstanceAnswer {
         let (sender, receiver) = oneshot::channel();
         self.send(InstanceEvent::Heartbeat(heartbeat, sender));
         receiver.await.unwrap_or(InstanceAnswer::NotRemembered)
     }
 
-    /// Takes in that an instance of the back end says goodbye.
+    /// Passes on that an instance of the back end says goodbye; not remembered when the control thread has ended.
     pub async fn instance_departs(&self, instance: InstanceId) -> InstanceAnswer {
         let (sender, receiver) = oneshot::channel();
         self.send(InstanceEvent::Departs(instance, sender));
@@ -91,8 +102,8 @@
         self.send(InstanceEvent::Lost(instance, reason));
     }
 
-    /// What is known of these suspects has changed here.
-    pub fn tell_suspects(&self, requests: Vec<RequestDigest>) {
+    /// The evidence about these suspects has changed here.
+    pub fn suspects_changed(&self, requests: Vec<RequestDigest>) {
         self.send(SuspectEvent::Changed(requests));
     }
 
@@ -102,14 +113,14 @@
     }
 
     /// A daemon has connected.
-    pub fn met(&self, gossip: Address) {
+    pub fn daemon_connected(&self, gossip: Address) {
         self.send(MemberEvent::Connected(gossip));
     }
 
     /// Submits a configuration.
     ///
     /// # Errors
-    /// [`SubmitError`].
+    /// [`SubmitError`]; [`SubmitError::Unknown`] when the control thread has ended meanwhile.
     pub async fn submit(&self, request: SubmitRequest) -> Result<Generation, SubmitError> {
         let (sender, receiver) = oneshot::channel();
         let id = request.id;
@@ -118,21 +129,21 @@
         receiver.await.unwrap_or(Err(stopped))
     }
 
-    /// The state as operators see it.
+    /// The state of the deployment for operators; none when the control thread has ended.
     pub async fn status(&self) -> Option<StatusReport> {
         let (sender, receiver) = oneshot::channel();
         self.send(OperatorEvent::Status(sender));
         receiver.await.ok()
     }
 
-    /// The configuration in force.
-    pub async fn stored(&self) -> Option<StoredConfiguration> {
+    /// The newest configuration; none where there is none, or the control thread has ended.
+    pub async fn configuration(&self) -> Option<StoredConfiguration> {
         let (sender, receiver) = oneshot::channel();
         self.send(OperatorEvent::GetConfiguration(sender));
         receiver.await.ok().flatten()
     }
 
-    /// Drains a daemon; false when it isn't known.
+    /// Drains a daemon. False when it isn't known, or the control thread has not answered within 0.4 s.
     pub async fn drain(&self, target: DrainTarget) -> bool {
         let (sender, receiver) = oneshot::channel();
         self.send(OperatorEvent::Drain(target, sender));
@@ -140,38 +151,38 @@
         matches!(answer, Ok(Ok(true)))
     }
 
-    /// Tells everyone that this daemon has left; waits for that no longer than 0.4 s.
+    /// Announces to all members that this daemon has left; waits for that no longer than 0.4 s.
     pub async fn leave(&self) {
         let (sender, receiver) = oneshot::channel();
         self.send(ControlEvent::Leave(sender));
-        // When the control thread has ended or is held up, nobody can be told.
+        // Where the control thread has ended or is stuck, the members find out by its silence.
         let _ = tokio::time::timeout(STOP_TIMEOUT, receiver).await;
     }
 
     fn note_generation(&self, peer: Option<Address>, generation: Generation) {
-        if self.note_told(generation, clock::now()) {
+        if self.record_generation(generation, clock::now()) {
             self.send(ConfigurationEvent::PeerGeneration { peer, generation });
         }
     }
 
-    /// Notes a generation that a daemon told. True when it is newer than the one in force.
-    pub fn note_told(&self, generation: Generation, now: Instant) -> bool {
+    /// Records a generation that a daemon reported. True when it is newer than the one in force.
+    pub fn record_generation(&self, generation: Generation, now: Instant) -> bool {
         let newer = generation.0 > self.generation_in_force.load(Ordering::Relaxed);
-        if newer && self.generation_told.fetch_max(generation.0, Ordering::Relaxed) < generation.0 {
-            self.told_at.store(now.0, Ordering::Relaxed);
+        if newer && self.generation_reported.fetch_max(generation.0, Ordering::Relaxed) < generation.0 {
+            self.reported_at.store(now.0, Ordering::Relaxed);
         }
         newer
     }
 
-    /// Whether a daemon has lately told a newer generation than the one in force.
+    /// Whether a daemon has recently reported a newer generation than the one in force.
     #[must_use]
     pub fn is_behind(&self, now: Instant) -> bool {
-        let told = self.generation_told.load(Ordering::Relaxed);
-        let told_at = Instant(self.told_at.load(Ordering::Relaxed));
-        told > self.generation_in_force.load(Ordering::Relaxed) && now.since(told_at) < LONGEST_BEHIND
+        let reported = self.generation_reported.load(Ordering::Relaxed);
+        let reported_at = Instant(self.reported_at.load(Ordering::Relaxed));
+        reported > self.generation_in_force.load(Ordering::Relaxed) && now.since(reported_at) < LONGEST_BEHIND
     }
 
-    /// Sets the generation in force; only higher ones are passed on from here on.
+    /// Sets the generation in force; from now on only higher ones are passed on.
     pub fn set_generation(&self, generation: Generation) {
         self.generation_in_force.fetch_max(generation.0, Ordering::Relaxed);
     }
--- a/crates/seamhatchd/src/controllers/control_thread/configuration.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/configuration.rs
@@ -85,7 +85,7 @@
         self.apply_service_settings();
         self.publish();
         // After the snapshot, and only a generation that can be used: until then this daemon is behind.
-        self.shared.control.note_told(generation, clock::now());
+        self.shared.control.record_generation(generation, clock::now());
         if let Some((in_force, configuration)) = self.configuration.in_force() {
             self.shared.control.set_generation(in_force);
             self.apply_tenants(in_force, &configuration);
@@ -156,7 +156,7 @@
 
     /// Compares the versions in a datagram with those held here.
     pub(super) fn note_versions(&mut self, message: &GossipMessage) {
-        self.shared.control.note_told(message.generation, clock::now());
+        self.shared.control.record_generation(message.generation, clock::now());
         if message.generation > self.configuration.generation() {
             let peer = self.membership.state.member(message.from).map(|record| record.info.peer);
             match self.backing {
--- a/crates/seamhatchd/src/controllers/publish.rs
+++ b/crates/seamhatchd/src/controllers/publish.rs
@@ -32,26 +32,35 @@
     Snapshot { configuration, servers, roster }
 }
 
-/// Servers that the policy's `stop_sending` takes out of use. A service keeps
-/// at least half of its servers, whatever the policy says.
+/// The servers of one service that take work, and those of them that the policy takes out of use.
+#[derive(Debug, Default)]
+struct ServiceServers {
+    total: usize,
+    stopped: Vec<Address>,
+}
+
+/// Servers that the policy's `stop_sending` takes out of use, by their peer address. A service keeps at least half of its servers,
+/// whatever the policy says.
 pub fn stopped_servers(
     shared: &Shared,
     configuration: &Configuration,
     members: &[MemberRecord],
 ) -> BTreeSet<Address> {
-    let mut by_service: HashMap<&str, (usize, Vec<Address>)> = HashMap::new();
+    let mut by_service: HashMap<&str, ServiceServers> = HashMap::new();
     for record in members.iter().filter(|record| record.takes_work()) {
-        let entry = by_service.entry(&record.info.service).or_default();
-        entry.0 += 1;
+        let servers = by_service.entry(&record.info.service).or_default();
+        servers.total += 1;
         if let Some(view) = server_view(shared, record)
             && configuration.policy().stop_sending(&view)
         {
-            entry.1.push(record.info.peer);
+            servers.stopped.push(record.info.peer);
         }
     }
-    by_service.into_values().flat_map(|(total, stopped)| stopped.into_iter().take(total / 2)).collect()
+    let at_most_half = |servers: ServiceServers| servers.stopped.into_iter().take(servers.total / 2);
+    by_service.into_values().flat_map(at_most_half).collect()
 }
 
+/// What the policy sees of a server; none where its daemon isn't connected or is silent.
 fn server_view(shared: &Shared, record: &MemberRecord) -> Option<ServerView> {
     let connection = shared.pool.existing(record.info.peer)?;
     let view = connection.view();
--- a/crates/seamhatchd/src/listeners/admin.rs
+++ b/crates/seamhatchd/src/listeners/admin.rs
@@ -106,7 +106,7 @@
 }
 
 async fn configuration(shared: &Shared) -> WebResponse {
-    match shared.control.stored().await {
+    match shared.control.configuration().await {
         Some(stored) => json(StatusCode::OK, &without_keys(shared, stored)),
         None => problem(StatusCode::NOT_FOUND, "no-configuration", "no configuration yet; submit one"),
     }
@@ -206,7 +206,7 @@
         let detail = "nothing speaks against a request with this digest; see `seamhatch crashes`";
         return problem(StatusCode::NOT_FOUND, "no-suspect", detail);
     }
-    shared.control.tell_suspects(vec![digest]);
+    shared.control.suspects_changed(vec![digest]);
     json(StatusCode::OK, &serde_json::json!({ "cleared": request.digest }))
 }
 
--- a/crates/seamhatchd/src/peer/server.rs
+++ b/crates/seamhatchd/src/peer/server.rs
@@ -69,7 +69,7 @@
     if hello.cluster != shared.settings.cluster {
         return Err(WireError::NotSeamhatch);
     }
-    shared.control.met(hello.gossip);
+    shared.control.daemon_connected(hello.gossip);
     let (outbox, messages) = Outbox::new();
     // The outbox was made just now and can't be closed.
     let _ = outbox.send(PeerMessage::Hello(link::hello(shared)));
--- a/crates/seamhatchd/src/peer/server_call.rs
+++ b/crates/seamhatchd/src/peer/server_call.rs
@@ -274,7 +274,7 @@
     /// A request that crashes every server never comes to a good end.
     fn note_good_end(&self) {
         if self.shared.suspects.ended_well(self.head.request) {
-            self.shared.control.tell_suspects(vec![self.head.request]);
+            self.shared.control.suspects_changed(vec![self.head.request]);
         }
     }
 
--- a/crates/seamhatchd/src/server/crashes/mod.rs
+++ b/crates/seamhatchd/src/server/crashes/mod.rs
@@ -70,7 +70,7 @@
     let condemned = shared.suspects.report_crash(life, suspects);
     log_crash(shared, instance, suspects);
     shared.metrics.crashes.inc();
-    shared.control.tell_suspects(suspects.iter().map(|suspect| suspect.request).collect());
+    shared.control.suspects_changed(suspects.iter().map(|suspect| suspect.request).collect());
     if !condemned.is_empty() {
         shared.control.remember_condemned(condemned);
     }
--- a/crates/seamhatchd/src/shared.rs
+++ b/crates/seamhatchd/src/shared.rs
@@ -1,4 +1,8 @@
-//! What all threads of a daemon share.
+//! The parts of a daemon that its threads share.
+//!
+//! Made once at the start by [`crate::startup`] and never replaced. Fields are grouped by layer, so that a piece can be handed only the
+//! group that it uses. What a call may do while the daemon starts, drains or ends is asked here, as it depends on the state of
+//! the process and of the back end together.
 
 use crate::base::clock;
 use crate::base::metrics::Metrics;
@@ -26,13 +30,13 @@
 pub struct Shared {
     /// Checked settings.
     pub settings: Settings,
-    /// This life of the process.
+    /// This run of the process.
     pub incarnation: Incarnation,
     /// Counters and gauges.
     pub metrics: Arc<Metrics>,
     /// The back end beside this daemon.
     pub server: Arc<ServerSide>,
-    /// Requests that were at work when servers crashed, here and elsewhere.
+    /// Evidence about requests that were at work when servers crashed, here and elsewhere.
     pub suspects: SuspectBook,
     /// How HTTP carries names, deadlines and outcomes.
     pub conventions: Arc<dyn HttpConventions>,
--- a/crates/seamhatchd/tests/behind.rs
+++ b/crates/seamhatchd/tests/behind.rs
@@ -31,9 +31,9 @@
         let (control, _events) = ControlHandle::new();
         let now = Instant(100 * SECOND);
         control.set_generation(Generation(case.in_force));
-        control.note_told(Generation(case.told), now);
+        control.record_generation(Generation(case.told), now);
         // Told again, it is not newer.
-        control.note_told(Generation(case.told), now.plus(case.after));
+        control.record_generation(Generation(case.told), now.plus(case.after));
         assert_eq!(control.is_behind(now.plus(case.after)), case.behind, "{}", case.name);
     }
 }
