--- a/crates/seamhatchd/src/settings/checks.rs
+++ b/crates/seamhatchd/src/settings/checks.rs
@@ -1,26 +1,38 @@
 //! Checks of the settings, each with an error that names key, value and remedy.
+//!
+//! One function for each table of the settings file. What is wrong is reported in the order of the checks, one value at a time. Called by
+//! [`super::from_arguments`] only, at the start and when the settings are read again.
 
-use super::file::{LogFile, QuotasFile, RetriesFile, SettingsFile, StopFile, TenantsFile};
+use super::file::{
+    AdvertiseFile, BackendFile, ListenFile, LogFile, MembershipFile, QuotasFile, RetriesFile, SettingsFile,
+    StopFile, TenantsFile, ThreadsFile,
+};
 use super::{AdvertiseSettings, ListenSettings, LogFormat, LogSettings, RetryBound, Settings, SettingsError};
 use seamhatch_core::clock::Microseconds;
 use seamhatch_core::identity::Address;
 use seamhatch_core::quota::QuotaPolicy;
 use std::time::Duration;
 
-/// Most threads of one kind.
+/// Most traffic threads. Chosen, not measured: more than a machine beside one back end has cores.
 const MAX_THREADS: usize = 64;
-/// Span in which a tenant's limit is judged, in seconds, and the part by which it may be exceeded.
+/// Traffic threads where the settings don't say. Chosen, not measured.
+const DEFAULT_TRAFFIC_THREADS: usize = 2;
+/// Span in seconds in which a tenant's limit is judged, where the settings don't say. Chosen, not measured.
 const DEFAULT_QUOTA_WINDOW_S: f64 = 5.0;
+/// Part by which a tenant's limit may be exceeded in that span, where the settings don't say. Chosen, not measured.
 const DEFAULT_QUOTA_OVERAGE: f64 = 0.1;
-/// Parts of each limit: the loss of one holder costs an eighth, and an eighth of some tens of requests a second still
-/// is some requests a second.
+/// Shards of each limit, where the settings don't say. Chosen, not measured: the loss of one holder costs an eighth of the limit, and an
+/// eighth of some tens of requests a second is still some requests a second.
 const DEFAULT_QUOTA_SHARDS: u32 = 8;
-/// Most parts of a limit: a bit each in what members tell.
-const MOST_QUOTA_SHARDS: usize = 64;
-/// Most slots of a back end.
+/// Most shards of a limit: members report those that they hold as the bits of a 64-bit number.
+const MOST_QUOTA_SHARDS: usize = u64::BITS as usize;
+/// Most slots of a back end. Chosen, not measured: finds a mistyped number.
 const MAX_SLOTS: u32 = 10_000;
-/// Longest name of a cluster, region, zone or service.
+/// Longest name of a cluster, region, zone or service, in bytes. Chosen, not measured: names go with each member's record.
 const LONGEST_NAME: usize = 40;
+/// Shortest bound on how long a key may outlive its end, in milliseconds. Chosen, not measured: less leaves no time to ask the store
+/// again after an answer that was lost.
+const SHORTEST_REVOCATION_MS: f64 = 2_000.0;
 
 impl SettingsFile {
     /// Checks all values.
@@ -28,33 +40,10 @@
     /// # Errors
     /// The first value that can't be used.
     pub(super) fn check(self) -> Result<Settings, SettingsError> {
-        let listen = ListenSettings {
-            ingress: address("listen.ingress", "--ingress", self.listen.ingress)?,
-            egress: optional_address("listen.egress", self.listen.egress)?,
-            peer: address("listen.peer", "--peer", self.listen.peer)?,
-            gossip: address("listen.gossip", "--gossip", self.listen.gossip)?,
-            admin: address("listen.admin", "--admin", self.listen.admin)?,
-            registry: optional_address("listen.registry", self.listen.registry)?,
-            metrics: optional_address("listen.metrics", self.listen.metrics)?,
-        };
-        check_listeners(&listen)?;
-        let advertise = AdvertiseSettings {
-            peer: optional_address("advertise.peer", self.advertise.peer)?.unwrap_or(listen.peer),
-            gossip: optional_address("advertise.gossip", self.advertise.gossip)?.unwrap_or(listen.gossip),
-        };
-        // A back end that registers tells its slots itself.
-        let slots = match (self.backend.slots, listen.registry) {
-            (Some(slots), _) => slots,
-            (None, Some(_)) => 1,
-            (None, None) => {
-                return Err(SettingsError::Missing { key: "backend.slots", flag: "--slots" });
-            }
-        };
-        in_range("backend.slots", slots as usize, 1..=MAX_SLOTS as usize, "a number from 1 to 10000")?;
-        let traffic_threads = self.threads.traffic.unwrap_or(2);
-        in_range("threads.traffic", traffic_threads, 1..=MAX_THREADS, "a number from 1 to 64")?;
-        let seeds: Result<Vec<Address>, SettingsError> =
-            self.membership.seeds.into_iter().map(|seed| parse_address("membership.seeds", seed)).collect();
+        let listen = self.listen.check()?;
+        let advertise = self.advertise.check(&listen)?;
+        let slots = self.backend.check_slots(&listen)?;
+        let traffic_threads = self.threads.check()?;
         Ok(Settings {
             cluster: name("cluster", "--cluster", self.cluster)?,
             region: name("region", "--region", self.region)?,
@@ -66,8 +55,8 @@
             slots,
             store: address("platform.store", "--store", self.platform.store)?,
             machines: optional_address("platform.machines", self.platform.machines)?,
-            seeds: seeds?,
             first_start: self.membership.first_start,
+            seeds: self.membership.check_seeds()?,
             grace: self.stop.check()?,
             retries: self.retries.check()?,
             revocation: self.tenants.check()?,
@@ -78,6 +67,61 @@
     }
 }
 
+impl ListenFile {
+    fn check(&self) -> Result<ListenSettings, SettingsError> {
+        let listen = ListenSettings {
+            ingress: address("listen.ingress", "--ingress", self.ingress.clone())?,
+            egress: optional_address("listen.egress", self.egress.clone())?,
+            peer: address("listen.peer", "--peer", self.peer.clone())?,
+            gossip: address("listen.gossip", "--gossip", self.gossip.clone())?,
+            admin: address("listen.admin", "--admin", self.admin.clone())?,
+            registry: optional_address("listen.registry", self.registry.clone())?,
+            metrics: optional_address("listen.metrics", self.metrics.clone())?,
+        };
+        check_listeners(&listen)?;
+        Ok(listen)
+    }
+}
+
+impl AdvertiseFile {
+    /// Addresses that aren't set are those of the listeners.
+    fn check(&self, listen: &ListenSettings) -> Result<AdvertiseSettings, SettingsError> {
+        Ok(AdvertiseSettings {
+            peer: optional_address("advertise.peer", self.peer.clone())?.unwrap_or(listen.peer),
+            gossip: optional_address("advertise.gossip", self.gossip.clone())?.unwrap_or(listen.gossip),
+        })
+    }
+}
+
+impl BackendFile {
+    /// A back end that registers reports its slots itself; until then it has one.
+    fn check_slots(&self, listen: &ListenSettings) -> Result<u32, SettingsError> {
+        let slots = match (self.slots, listen.registry) {
+            (Some(slots), _) => slots,
+            (None, Some(_)) => 1,
+            (None, None) => {
+                return Err(SettingsError::Missing { key: "backend.slots", flag: "--slots" });
+            }
+        };
+        in_range("backend.slots", slots as usize, 1..=MAX_SLOTS as usize, "a number from 1 to 10000")?;
+        Ok(slots)
+    }
+}
+
+impl ThreadsFile {
+    fn check(&self) -> Result<usize, SettingsError> {
+        let threads = self.traffic.unwrap_or(DEFAULT_TRAFFIC_THREADS);
+        in_range("threads.traffic", threads, 1..=MAX_THREADS, "a number from 1 to 64")?;
+        Ok(threads)
+    }
+}
+
+impl MembershipFile {
+    fn check_seeds(self) -> Result<Vec<Address>, SettingsError> {
+        self.seeds.into_iter().map(|seed| parse_address("membership.seeds", seed)).collect()
+    }
+}
+
 impl StopFile {
     fn check(self) -> Result<Option<Duration>, SettingsError> {
         let Some(grace) = self.grace_s else { return Ok(None) };
@@ -89,8 +133,8 @@
 impl TenantsFile {
     fn check(self) -> Result<Option<Duration>, SettingsError> {
         let Some(milliseconds) = self.revocation_ms else { return Ok(None) };
-        // Less leaves no time to ask the store again after an answer that was lost.
-        number_in("tenants.revocation_ms", milliseconds, 2e3..=36e5, "a number from 2000 to 3600000")?;
+        let range = SHORTEST_REVOCATION_MS..=3_600_000.0;
+        number_in("tenants.revocation_ms", milliseconds, range, "a number from 2000 to 3600000")?;
         Ok(Some(Duration::from_secs_f64(milliseconds / 1e3)))
     }
 }
@@ -113,10 +157,11 @@
 impl RetriesFile {
     fn check(self) -> Result<Option<RetryBound>, SettingsError> {
         let Some(ratio) = self.ratio else { return Ok(None) };
-        let bound = RetryBound { ratio, slack: self.slack.unwrap_or_default() };
-        number_in("retries.ratio", bound.ratio, 0.0..=1.0, "a number from 0 to 1")?;
-        number_in("retries.slack", bound.slack, 0.0..=1e6, "a number from 0 to 1000000")?;
-        Ok(Some(bound))
+        let slack = self.slack.unwrap_or_default();
+        number_in("retries.ratio", ratio, 0.0..=1.0, "a number from 0 to 1")?;
+        // Accepted and not used: daemons keep within the ratio without it.
+        number_in("retries.slack", slack, 0.0..=1e6, "a number from 0 to 1000000")?;
+        Ok(Some(RetryBound { ratio }))
     }
 }
 
--- a/crates/seamhatchd/src/settings/file.rs
+++ b/crates/seamhatchd/src/settings/file.rs
@@ -1,4 +1,6 @@
-//! The settings file as it is written.
+//! The form of the settings file.
+//!
+//! Only names and types; values are checked in `checks`. Unknown keys are refused.
 
 use super::SettingsError;
 use serde::Deserialize;
--- a/crates/seamhatchd/src/settings/flags.rs
+++ b/crates/seamhatchd/src/settings/flags.rs
@@ -1,4 +1,4 @@
-//! Flags of the command line, which win over the settings file.
+//! Flags of the command line, which win over the settings file, and the help text.
 
 use super::SettingsError;
 use super::file::SettingsFile;
@@ -57,7 +57,7 @@
     text.parse().map(Some).map_err(|_| invalid(()))
 }
 
-/// Takes over what flags say.
+/// Replaces values of the settings file by those of flags.
 ///
 /// # Errors
 /// A flag's value can't be read.
--- a/crates/seamhatchd/src/settings/mod.rs
+++ b/crates/seamhatchd/src/settings/mod.rs
@@ -1,4 +1,7 @@
 //! A daemon's settings, from a TOML file and from flags; flags win.
+//!
+//! [`from_arguments`] reads and checks them: at the start, and again when the process receives SIGHUP. [`Settings`] never changes
+//! afterwards. Names of keys and flags are part of the operators' interface (docs/OPERATIONS.md).
 
 mod checks;
 mod file;
@@ -88,24 +91,24 @@
     pub advertise: AdvertiseSettings,
     /// HTTP address of the back end.
     pub backend: Address,
-    /// Slots that the back end has; one that registers tells its own.
+    /// Slots that the back end has; one that registers reports its own.
     pub slots: u32,
     /// HTTP address of the key-value service.
     pub store: Address,
     /// HTTP address of the machine list, if there is one.
     pub machines: Option<Address>,
-    /// Gossip addresses to ask first.
+    /// Gossip addresses of the members that are asked first.
     pub seeds: Vec<Address>,
-    /// Whether the whole deployment starts for the first time, so that there is nothing to ask for.
+    /// Whether the whole deployment starts for the first time, so that no departure can have been forgotten.
     pub first_start: bool,
-    /// Time between a stop request and the end of the process, at most; none for a patient stop.
+    /// Time between a stop request and the end of the process, at most; none for a stop that waits for all work.
     pub grace: Option<Duration>,
     /// Bound on the retries that the whole deployment may cause at one service, if there is one.
     pub retries: Option<RetryBound>,
-    /// Time after the acceptance of a configuration from which no daemon, however it is cut off, goes by a key that the
-    /// configuration took away; none where a daemon may go by the newest one that it knows.
+    /// Longest time after the acceptance of a configuration for which any daemon, however it is cut off, still accepts a key that the
+    /// configuration removed; none where a daemon may always use the newest configuration that it knows.
     pub revocation: Option<Duration>,
-    /// How exactly the tenants' limits are kept.
+    /// How exactly the tenants' limits are enforced.
     pub quota: QuotaPolicy,
     /// Logs.
     pub log: LogSettings,
@@ -113,14 +116,11 @@
     pub traffic_threads: usize,
 }
 
-/// Bound on the retries of all daemons at one service, in any short window.
+/// Bound on the retries of all daemons at one service, in any window of some seconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBound {
-    /// Retries for each request to the service.
+    /// Retries for each request to the service, from 0 to 1.
     pub ratio: f64,
-    /// Retries on top of these, whatever the number of requests. What each daemon keeps where calls are rare
-    /// comes out of it.
-    pub slack: f64,
 }
 
 /// Listening addresses.
@@ -138,12 +138,12 @@
     pub admin: Address,
     /// HTTP, for the back end's heartbeats; none where it is always there.
     pub registry: Option<Address>,
-    /// HTTP, where the operators' pages are served too, at a port that stays the same for collectors of
-    /// metrics. The daemon runs without it where it can't be bound.
+    /// HTTP, where the operators' pages are served too, at a fixed port for collectors of metrics. The daemon
+    /// runs without it where it can't be bound.
     pub metrics: Option<Address>,
 }
 
-/// Addresses told to other daemons; those of the listeners unless set.
+/// Addresses announced to other daemons; those of the listeners unless set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdvertiseSettings {
     /// TCP.
