--- a/crates/seamhatchd/src/base/metrics.rs
+++ b/crates/seamhatchd/src/base/metrics.rs
@@ -1,4 +1,7 @@
 //! Counters, gauges and latency histograms in the Prometheus text format.
+//!
+//! [`Metrics`] owns them for the whole daemon; every layer counts, and the operators' listener writes them out. Names and help texts are
+//! part of the operators' interface (docs/OPERATIONS.md).
 
 use crate::base::clock;
 use crate::base::lock::lock;
@@ -8,7 +11,7 @@
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
-use prometheus_client::registry::Registry;
+use prometheus_client::registry::{Metric, Registry};
 use seamhatch_core::clock::Microseconds;
 use seamhatch_core::outcome::{Outcome, Reason};
 use seamhatch_core::priority::PriorityClass;
@@ -22,7 +25,7 @@
     class: &'static str,
 }
 
-/// Labels of a request that is over.
+/// Labels of a finished request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct EndLabels {
     outcome: &'static str,
@@ -41,7 +44,7 @@
     kind: &'static str,
 }
 
-/// Kinds of input that a daemon turned away.
+/// Kinds of input that a daemon refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BadInput {
     /// A datagram on the gossip port.
@@ -74,7 +77,7 @@
     }
 }
 
-/// From half a millisecond to about four seconds, doubling.
+/// Buckets from half a millisecond to about four seconds, doubling.
 fn latency_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.0005, 2.0, 14))
 }
@@ -104,11 +107,11 @@
     pub queue_seconds: Histogram,
     /// Crashes of the back end.
     pub crashes: Counter,
-    /// Requests that are turned away as they crash servers.
+    /// Requests that are refused because they crash servers.
     pub condemned: Gauge,
     /// Calls that the back end works on.
     pub running: Gauge,
-    /// Calls that wait.
+    /// Calls that wait for a slot.
     pub waiting: Gauge,
     /// Calls that may run at once.
     pub limit: Gauge,
@@ -116,7 +119,7 @@
     pub lost: Gauge,
     /// First refused priority level.
     pub floor: Gauge,
-    /// Configuration in force.
+    /// Generation of the configuration in force.
     pub generation: Gauge,
     /// Live members.
     pub members: Gauge,
@@ -124,7 +127,7 @@
     pub gossip_sent_bytes: Counter,
     /// Gossip bytes received.
     pub gossip_received_bytes: Counter,
-    /// Requests to the key-value service.
+    /// Requests to the store.
     pub store_requests: Counter,
     /// Those that failed.
     pub store_failures: Counter,
@@ -140,79 +143,67 @@
     }
 }
 
+/// Registers a metric under its name and help text, and returns it.
+fn register<M: Metric + Clone>(registry: &mut Registry, name: &str, help: &str, metric: M) -> M {
+    registry.register(name, help, metric.clone());
+    metric
+}
+
+fn counter(registry: &mut Registry, name: &str, help: &str) -> Counter {
+    register(registry, name, help, Counter::default())
+}
+
+fn gauge(registry: &mut Registry, name: &str, help: &str) -> Gauge {
+    register(registry, name, help, Gauge::default())
+}
+
+fn latency(registry: &mut Registry, name: &str, help: &str) -> Histogram {
+    register(registry, name, help, latency_histogram())
+}
+
 impl Metrics {
-    /// Metrics at zero.
+    /// Metrics at zero, in the order in which they are written.
     #[must_use]
     pub fn new() -> Self {
-        let metrics = Self {
-            registry: Mutex::new(Registry::with_prefix("seamhatch")),
-            requests: Family::default(),
-            refusals: Family::default(),
-            executions: Family::default(),
-            bad_input: Family::default(),
-            request_seconds: Family::new_with_constructor(latency_histogram),
-            retries: Counter::default(),
-            backend_seconds: latency_histogram(),
-            store_seconds: latency_histogram(),
-            queue_seconds: latency_histogram(),
-            crashes: Counter::default(),
-            condemned: Gauge::default(),
-            running: Gauge::default(),
-            waiting: Gauge::default(),
-            limit: Gauge::default(),
-            lost: Gauge::default(),
-            floor: Gauge::default(),
-            generation: Gauge::default(),
-            members: Gauge::default(),
-            gossip_sent_bytes: Counter::default(),
-            gossip_received_bytes: Counter::default(),
-            store_requests: Counter::default(),
-            store_failures: Counter::default(),
-            control_cpu_milliseconds: Gauge::default(),
-            claims: Gauge::default(),
-        };
-        metrics.register();
-        metrics
-    }
-
-    fn register(&self) {
-        let mut registry = lock(&self.registry);
-        registry.register("requests", "Requests from outside, by class", self.requests.clone());
-        registry.register("refusals", "Calls without a back end answer", self.refusals.clone());
-        registry.register("executions", "Calls given to the back end", self.executions.clone());
-        registry.register("bad_input", "Input that was turned away", self.bad_input.clone());
-        registry.register("retries", "Dispatches that cost a retry token", self.retries.clone());
-        registry.register(
-            "request_seconds",
-            "Time from a request's arrival to the head of its answer",
-            self.request_seconds.clone(),
-        );
-        registry.register("backend_seconds", "Time the back end took", self.backend_seconds.clone());
-        registry.register("store_seconds", "Time the key-value service took", self.store_seconds.clone());
-        registry.register("queue_seconds", "Wait for a slot", self.queue_seconds.clone());
-        registry.register("crashes", "Crashes of the back end", self.crashes.clone());
-        registry.register(
-            "condemned_requests",
-            "Requests turned away as they crash servers",
-            self.condemned.clone(),
-        );
-        registry.register("running_calls", "Calls the back end works on", self.running.clone());
-        registry.register("waiting_calls", "Calls that wait for a slot", self.waiting.clone());
-        registry.register("lost_calls", "Calls whose answer seems to be lost", self.lost.clone());
-        registry.register("limit_calls", "Calls that may run at once", self.limit.clone());
-        registry.register("admission_floor", "First refused priority level", self.floor.clone());
-        registry.register("generation", "Configuration in force", self.generation.clone());
-        registry.register("live_members", "Live members, this one included", self.members.clone());
-        registry.register("gossip_sent_bytes", "Gossip sent", self.gossip_sent_bytes.clone());
-        registry.register("gossip_received_bytes", "Gossip received", self.gossip_received_bytes.clone());
-        registry.register("store_requests", "Requests to the key-value service", self.store_requests.clone());
-        registry.register("store_failures", "Failed ones", self.store_failures.clone());
-        registry.register(
-            "control_cpu_milliseconds",
-            "Processor time of the control thread",
-            self.control_cpu_milliseconds.clone(),
-        );
-        registry.register("claims", "Claims remembered as a witness", self.claims.clone());
+        let mut registry = Registry::with_prefix("seamhatch");
+        let to = &mut registry;
+        let request_seconds = Family::new_with_constructor(latency_histogram as fn() -> Histogram);
+        Self {
+            requests: register(to, "requests", "Requests from outside, by class", Family::default()),
+            refusals: register(to, "refusals", "Calls without a back end answer", Family::default()),
+            executions: register(to, "executions", "Calls given to the back end", Family::default()),
+            bad_input: register(to, "bad_input", "Input that was turned away", Family::default()),
+            retries: counter(to, "retries", "Dispatches that cost a retry token"),
+            request_seconds: register(
+                to,
+                "request_seconds",
+                "Time from a request's arrival to the head of its answer",
+                request_seconds,
+            ),
+            backend_seconds: latency(to, "backend_seconds", "Time the back end took"),
+            store_seconds: latency(to, "store_seconds", "Time the key-value service took"),
+            queue_seconds: latency(to, "queue_seconds", "Wait for a slot"),
+            crashes: counter(to, "crashes", "Crashes of the back end"),
+            condemned: gauge(to, "condemned_requests", "Requests turned away as they crash servers"),
+            running: gauge(to, "running_calls", "Calls the back end works on"),
+            waiting: gauge(to, "waiting_calls", "Calls that wait for a slot"),
+            lost: gauge(to, "lost_calls", "Calls whose answer seems to be lost"),
+            limit: gauge(to, "limit_calls", "Calls that may run at once"),
+            floor: gauge(to, "admission_floor", "First refused priority level"),
+            generation: gauge(to, "generation", "Configuration in force"),
+            members: gauge(to, "live_members", "Live members, this one included"),
+            gossip_sent_bytes: counter(to, "gossip_sent_bytes", "Gossip sent"),
+            gossip_received_bytes: counter(to, "gossip_received_bytes", "Gossip received"),
+            store_requests: counter(to, "store_requests", "Requests to the key-value service"),
+            store_failures: counter(to, "store_failures", "Failed ones"),
+            control_cpu_milliseconds: gauge(
+                to,
+                "control_cpu_milliseconds",
+                "Processor time of the control thread",
+            ),
+            claims: gauge(to, "claims", "Claims remembered as a witness"),
+            registry: Mutex::new(registry),
+        }
     }
 
     /// Counts a request from outside.
@@ -220,7 +211,7 @@
         self.requests.get_or_create(&ClassLabel { class: class.name() }).inc();
     }
 
-    /// Takes in how long a request took from its arrival to the head of its answer.
+    /// Records how long a request took from its arrival to the head of its answer.
     pub fn request_ended(&self, outcome: Outcome, class: PriorityClass, took: Microseconds) {
         let labels = EndLabels { outcome: outcome.name(), class: class.name() };
         self.request_seconds.get_or_create(&labels).observe(seconds(took));
@@ -237,7 +228,7 @@
         self.refusals.get_or_create(&labels).inc();
     }
 
-    /// Counts a call to the store and takes in how long its answer takes.
+    /// Counts a call to the store and records how long its answer takes.
     pub async fn time_store_call<T>(&self, call: impl Future<Output = T>) -> T {
         self.store_requests.inc();
         let started = clock::now();
@@ -246,7 +237,7 @@
         answer
     }
 
-    /// Counts input that was turned away.
+    /// Counts input that was refused.
     pub fn bad_input(&self, kind: BadInput) {
         self.bad_input.get_or_create(&KindLabel { kind: kind.name() }).inc();
     }
--- a/crates/seamhatchd/src/settings/flags.rs
+++ b/crates/seamhatchd/src/settings/flags.rs
@@ -52,9 +52,12 @@
     flag: &'static str,
 ) -> Result<Option<T>, SettingsError> {
     let Some(text) = optional(arguments, flag)? else { return Ok(None) };
-    let invalid =
-        |_| SettingsError::Invalid { key: flag.to_owned(), value: text.clone(), wanted: "a whole number" };
-    text.parse().map(Some).map_err(|_| invalid(()))
+    let number = text.parse();
+    number.map(Some).map_err(|_| SettingsError::Invalid {
+        key: flag.to_owned(),
+        value: text,
+        wanted: "a whole number",
+    })
 }
 
 /// Replaces values of the settings file by those of flags.
