--- a/crates/seamhatchd/src/base/logging.rs
+++ b/crates/seamhatchd/src/base/logging.rs
@@ -1,7 +1,8 @@
-//! Structured logs: one line an event, as text or JSON, to standard output.
+//! Structured logs: one line for each event, as text or JSON, to standard output.
 //!
-//! Lines go through a bounded queue to a thread of their own, so that neither requests nor controllers
-//! wait for whoever reads them. What doesn't fit is dropped and counted; the count is logged.
+//! Lines go through a bounded queue to a thread of their own, so that neither requests nor controllers wait for the reader of
+//! standard output. Lines that don't fit are dropped and counted, and the count is logged. The queue is the process's: [`start`] is called
+//! once at the start, [`flush`] at the end; every layer logs through the `log` crate.
 
 use crate::settings::{LogFormat, LogSettings};
 use log::Record;
@@ -14,11 +15,11 @@
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::time::{Duration, SystemTime};
 
-/// Lines that may wait to be written.
+/// Lines that may wait to be written. Chosen, not measured.
 const QUEUE: usize = 1024;
-/// Bytes that are gathered for one write.
+/// Bytes that are gathered for one write. Chosen, not measured.
 const BATCH: usize = 16 * 1024;
-/// Longest wait for the queue to empty when the process ends.
+/// Longest wait for the queue to empty when the process ends. Chosen, not measured.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Lines that did not fit into the queue since the last one that did.
@@ -27,7 +28,7 @@
 
 enum Message {
     Line(String),
-    /// Everything before it has been written when this is answered.
+    /// Answered once everything before it has been written.
     Flush(SyncSender<()>),
 }
 
@@ -45,17 +46,18 @@
         .apply()?;
     log::set_max_level(settings.level);
     if QUEUE_INPUT.set(sender).is_ok() {
-        // Without the thread, lines are dropped and counted.
+        // Where the thread can't be started, the queue fills up and lines are dropped and counted.
         let _ = std::thread::Builder::new().name("log".into()).spawn(move || write_lines(&lines));
     }
     Ok(())
 }
 
-/// Waits, not for long, until what was logged is written.
+/// Waits until what was logged is written, for at most 0.2 s.
 pub fn flush() {
     let Some(queue) = QUEUE_INPUT.get() else { return };
     let (done, flushed) = sync_channel(1);
     if queue.try_send(Message::Flush(done)).is_ok() {
+        // The process ends all the same; nothing more can be logged.
         let _ = flushed.recv_timeout(FLUSH_TIMEOUT);
     }
 }
@@ -89,6 +91,7 @@
                 }
                 Message::Flush(done) => {
                     write(&mut batch);
+                    // The process may have stopped waiting.
                     let _ = done.send(());
                 }
             }
@@ -103,7 +106,7 @@
     if dropped > 0 {
         batch.push_str(&format!("{} WARN log lines dropped count={dropped}\n", timestamp()));
     }
-    // Whoever reads may have gone away; there is nobody else to tell.
+    // The reader may have gone away, and there is no other place to report that.
     let _ = std::io::stdout().write_all(batch.as_bytes());
     batch.clear();
 }
--- a/crates/seamhatchd/src/listeners/admin.rs
+++ b/crates/seamhatchd/src/listeners/admin.rs
@@ -1,4 +1,7 @@
-//! The operators' listener.
+//! The operators' listener: state, metrics, submissions, drains and suspects, as HTTP with JSON bodies.
+//!
+//! Answers come from the control thread, or from shared state where that is enough. Paths, JSON keys and problem kinds are part of the
+//! operators' interface, as the `seamhatch` client speaks it (docs/OPERATIONS.md).
 
 use crate::control::{DrainTarget, SubmitError, SubmitRequest};
 use crate::listeners::answers::{self, json, typed};
@@ -15,11 +18,12 @@
 use xitca_web::body::RequestBody;
 use xitca_web::http::WebResponse;
 
-/// Largest body that an operator sends.
+/// Largest body of a request, in bytes. Chosen, not measured.
 const LARGEST_BODY: usize = 1024 * 1024;
+/// Media type of the OpenMetrics text format.
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// A submission as sent by the client.
+/// A submission as the client sends it.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct SubmissionBody {
@@ -29,14 +33,14 @@
     expect_generation: Option<u64>,
 }
 
-/// A drain as sent by the client; without `member`, this daemon.
+/// A drain as the client sends it; of this daemon where there is no `member`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct DrainBody {
     member: Option<Address>,
 }
 
-/// A request that is to be cleared, by its digest in hexadecimal digits.
+/// The suspect that is to be cleared, by its digest in hexadecimal digits.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ClearBody {
@@ -112,7 +116,7 @@
     }
 }
 
-/// A document with tenants is not shown, as it may hold their keys.
+/// Leaves out a document with tenants, as it may contain their keys.
 fn without_keys(shared: &Shared, stored: StoredConfiguration) -> StoredConfiguration {
     let has_tenants = shared.snapshot().configuration().is_some_and(|known| !known.tenants().is_empty());
     let document = if has_tenants { String::new() } else { stored.document };
--- a/crates/seamhatchd/src/listeners/registry.rs
+++ b/crates/seamhatchd/src/listeners/registry.rs
@@ -1,4 +1,7 @@
-//! The listener at which the back end beside the daemon registers: heartbeats, and its goodbye.
+//! The listener at which the back end beside the daemon registers: its heartbeats, and its goodbye.
+//!
+//! Decodes and checks them, and passes them to the control thread, which decides and answers. Paths and JSON keys are part of the back ends'
+//! interface.
 
 use crate::base::metrics::BadInput;
 use crate::control::InstanceAnswer;
@@ -17,16 +20,16 @@
 
 /// Path below which each instance has its record.
 const INSTANCES: &str = "/v1/instances/";
-/// Largest heartbeat, in bytes.
+/// Largest heartbeat, in bytes. Chosen, not measured.
 const LARGEST_HEARTBEAT: usize = 16 * 1024;
-/// Longest name of an instance, in bytes.
+/// Longest name of an instance, in bytes. Chosen, not measured.
 const LONGEST_NAME: usize = 200;
-/// Longest time for which an instance may call itself cold, in milliseconds.
+/// Longest time for which an instance may report to be cold, in milliseconds. Chosen, not measured.
 const LONGEST_COLD_MS: f64 = 600_000.0;
-/// Most slots that an instance may tell.
+/// Most slots that an instance may report. Chosen, not measured.
 const MOST_SLOTS: u32 = 100_000;
 
-/// A heartbeat as sent. Fields that are not known are passed over, so that back ends may tell more.
+/// A heartbeat as sent. Unknown fields are ignored, so that back ends may report more.
 #[derive(Debug, Deserialize)]
 struct HeartbeatBody {
     service: String,
@@ -35,7 +38,7 @@
     #[serde(default)]
     cold_for_ms: f64,
     sequence: u64,
-    /// When this life started, in milliseconds since the Unix epoch.
+    /// When this instance started, in milliseconds since the Unix epoch.
     born: Option<u64>,
 }
 
@@ -71,7 +74,7 @@
     let response = match parts.method {
         Method::PUT => heartbeat(&shared, instance, body).await,
         Method::DELETE => {
-            // What can't be read tells as little as nothing.
+            // A body that can't be read says as little as none: the name is in the path.
             let GoodbyeBody { born } = read_json(body, LARGEST_HEARTBEAT).await.unwrap_or_default();
             answer(shared.control.instance_departs(InstanceId { born, ..instance }).await)
         }
--- a/crates/seamhatchd/src/ports.rs
+++ b/crates/seamhatchd/src/ports.rs
@@ -1,7 +1,7 @@
 //! What a deployment plugs into the daemon: its store, its documents, its HTTP conventions.
 //!
-//! Everything that decides, keeps state or recovers is the daemon's. An adapter for a platform only
-//! translates, through the traits named here.
+//! The daemon decides, keeps state and recovers; an adapter for a platform only translates, through the traits named here. A program
+//! chooses its [`Ports`] once, at the start; the product's own are [`Ports::own`].
 
 use crate::conventions::{HttpConventions, OwnConventions};
 use crate::settings::Settings;
@@ -12,7 +12,7 @@
 
 /// How configurations are written down.
 pub trait DocumentFormat: fmt::Debug + Send + Sync {
-    /// Reads what an operator has put into a followed store.
+    /// Reads the value that an operator has written into a followed store.
     ///
     /// # Errors
     /// It is not a configuration of this format.
@@ -40,7 +40,7 @@
     }
 }
 
-/// A store that operators write into and that keeps what it acknowledged.
+/// A store that operators write into and that keeps what it acknowledged, with the names of its keys.
 #[derive(Debug, Clone)]
 pub struct FollowedStore {
     /// The store.
@@ -51,7 +51,7 @@
     pub member_prefix: String,
 }
 
-/// Where configurations come from and what lasts.
+/// Where configurations come from, and who remembers accepted ones.
 #[derive(Debug, Clone)]
 pub enum Backing {
     /// Operators submit to daemons, whose witnesses hold what was accepted; the store may go back in time.
@@ -65,11 +65,11 @@
 pub enum EntryLayout {
     /// Callers and the back end beside the daemon use listeners of their own.
     Separate,
-    /// Callers and the back end share one listener; the back end's calls are told by their names.
+    /// Callers and the back end share one listener; the back end's calls are recognized by their names.
     Shared,
 }
 
-/// All that a deployment plugs in.
+/// Everything that a deployment plugs in.
 #[derive(Debug, Clone)]
 pub struct Ports {
     /// How HTTP carries names, deadlines and outcomes.
--- a/crates/seamhatchd/src/reload.rs
+++ b/crates/seamhatchd/src/reload.rs
@@ -1,4 +1,7 @@
-//! Reading the settings again when the process is told to (SIGHUP).
+//! Reading the settings again at SIGHUP.
+//!
+//! Only the log level changes at once; for all else a warning names the table that counts after the next start. Runs as a task of the
+//! traffic runtime, started by [`crate::startup`].
 
 use crate::settings::{self, Invocation, Settings};
 use crate::shared::Shared;
@@ -7,7 +10,7 @@
 use std::sync::Arc;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Reads the settings again at each SIGHUP. The log level changes at once; what can't change says so.
+/// Reads the settings again at each SIGHUP, with the arguments of the start.
 pub async fn reload_on_hangup(shared: Arc<Shared>, arguments: Vec<OsString>) {
     let mut hangups = match signal(SignalKind::hangup()) {
         Ok(hangups) => hangups,
@@ -18,7 +21,8 @@
     while hangups.recv().await.is_some() {
         match settings::from_arguments(arguments.clone()) {
             Ok(Invocation::Run(read)) => apply(&shared.settings, &read),
-            Ok(_) => {}
+            // The arguments are those of a start, so they ask to run.
+            Ok(Invocation::Help | Invocation::Version | Invocation::Check(_)) => {}
             Err(problem) => {
                 error!(error = problem.to_string().as_str(); "the settings can't be read again; the earlier ones stay");
             }
--- a/crates/seamhatchd/src/snapshot.rs
+++ b/crates/seamhatchd/src/snapshot.rs
@@ -1,4 +1,7 @@
-//! What the control thread publishes to the threads that carry traffic; never changed in place.
+//! What the control thread publishes to the threads that carry traffic: configuration, servers, and witnesses.
+//!
+//! A [`Snapshot`] is never changed in place, so that one request sees one state. The control thread makes and replaces it; everything on
+//! the request path reads it without waiting.
 
 use seamhatch_core::claims::{ClaimKey, Epoch};
 use seamhatch_core::generation::Generation;
@@ -15,9 +18,9 @@
     pub peer: Address,
     /// Its zone.
     pub zone: String,
-    /// Slots it reports.
+    /// Slots that it reported.
     pub slots: u32,
-    /// Its daemon is about to stop: for calls that no other can take.
+    /// Its daemon drains: only for calls that no other server can take.
     pub leaving: bool,
 }
 
@@ -28,11 +31,11 @@
     pub shard: u32,
     /// Epoch to claim in.
     pub epoch: Epoch,
-    /// Whom to ask.
+    /// The daemons to ask.
     pub witnesses: &'a [WitnessId],
 }
 
-/// One immutable state of all that decides where calls go.
+/// One immutable state of everything that decides where calls go.
 #[derive(Debug, Default)]
 pub struct Snapshot {
     /// Configuration in force and its generation; none before the first.
--- a/crates/seamhatchd/src/store/error.rs
+++ b/crates/seamhatchd/src/store/error.rs
@@ -1,4 +1,4 @@
-//! Why a store gave no usable answer.
+//! Why a store gave no usable answer, and what that says of a write.
 
 use thiserror::Error;
 
--- a/crates/seamhatchd/src/store/etcd.rs
+++ b/crates/seamhatchd/src/store/etcd.rs
@@ -1,5 +1,4 @@
-//! Client of the platform's key-value service, by the JSON form of the etcd v3
-//! protocol (`/v3/kv/range`, `/v3/kv/txn`).
+//! Client of a store that speaks the JSON form of the etcd v3 protocol (`/v3/kv/range`, `/v3/kv/txn`).
 
 use super::{StoreError, StoreExchange};
 use base64::Engine as _;
@@ -15,8 +14,9 @@
 /// Key of the witness roster.
 pub const ROSTER_KEY: &str = "/seamhatch/roster";
 
-/// Longest wait for an answer.
+/// Longest wait for an answer. Chosen, not measured.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+
 /// A value and the revision of its last change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Stored<T> {
--- a/crates/seamhatchd/src/store/exchange.rs
+++ b/crates/seamhatchd/src/store/exchange.rs
@@ -1,4 +1,5 @@
-//! One HTTP exchange with a store: what every client of one has to get right, whatever it speaks.
+//! One HTTP exchange with a store, whatever protocol it speaks: finding silent connections, bounding answers, and telling a request that was
+//! never sent from one whose answer is lost.
 
 use super::StoreError;
 use crate::server::backend::{HttpClient, probing_http_client};
@@ -9,7 +10,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Largest answer in bytes.
+/// Largest answer in bytes. Chosen, not measured.
 const LARGEST_ANSWER: usize = 8 * 1024 * 1024;
 
 /// An HTTP client of one store; cheap to clone.
--- a/crates/seamhatchd/src/store/machine_list.rs
+++ b/crates/seamhatchd/src/store/machine_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of machines: a hint that lags, never the only evidence.
+//! Client of the platform's list of machines. The list lags, so it is a hint and never the only evidence.
 
 use super::StoreError;
 use crate::server::backend::http_client;
@@ -10,9 +10,9 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// Longest wait for the list.
+/// Longest wait for the list. Chosen, not measured.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest list in bytes.
+/// Largest list in bytes. Chosen, not measured.
 const LARGEST_LIST: usize = 4 * 1024 * 1024;
 
 /// State of a machine in the list.
--- a/crates/seamhatchd/src/store/mod.rs
+++ b/crates/seamhatchd/src/store/mod.rs
@@ -1,8 +1,8 @@
-//! The key-value service of a deployment.
+//! The store: the key-value service of a deployment, and the platform's list of machines.
 //!
-//! [`Store`] is what the daemon needs of one that keeps what it acknowledged. An adapter for a
-//! platform implements it; [`StoreClient`] speaks the JSON form of the etcd v3 protocol and serves
-//! deployments in which the daemons themselves accept configurations.
+//! [`Store`] is what the daemon needs of a store that keeps what it acknowledged; an adapter for a platform implements it.
+//! [`StoreClient`] speaks the JSON form of the etcd v3 protocol, for deployments in which the daemons themselves accept configurations.
+//! Nothing is kept here but connections. The controllers call it; nothing on the request path does.
 
 mod error;
 mod etcd;
@@ -49,10 +49,10 @@
     pub at: Revision,
 }
 
-/// Items in the order of their keys.
+/// A part of a range: items in the order of their keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Page {
-    /// The items.
+    /// Its items.
     pub items: Vec<Item>,
     /// Whether further ones follow the last of these.
     pub more: bool,
@@ -83,7 +83,7 @@
     pub lease: Option<LeaseId>,
 }
 
-/// Names a lease of the store. The keys that go with it are removed when it ends.
+/// Names a lease of the store. Its keys are removed when it ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseId(pub u64);
 
@@ -105,7 +105,8 @@
     fn range<'a>(&'a self, prefix: &'a str, after: Option<&'a str>) -> StoreFuture<'a, Reading<Page>>;
 
     /// Waits up to `wait` for changes after `after` to keys that begin with `prefix`.
-    /// [`StoreError::HistoryLost`] says that they can't be told any more.
+    ///
+    /// Fails with [`StoreError::HistoryLost`] where the store has forgotten them: the state has to be read again.
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
