--- a/crates/seamhatchd/src/controllers/control_thread/departures.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/departures.rs
@@ -22,11 +22,11 @@
 
 /// Time between two questions to other daemons about departures. Chosen, not measured.
 const DEPARTURE_POLL: Microseconds = 250 * MILLISECOND;
-/// Daemons that are told of a departure: one is enough, the others are for those that restart or can't be reached. Chosen, not measured.
+/// Daemons that are asked to remember a departure: one is enough, the others are for those that restart or can't be reached. Chosen, not measured.
 const DEPARTURE_HOLDERS: usize = 3;
 /// Daemons that are asked for departures: more than hold them, as the membership may have changed. Chosen, not measured.
 const DEPARTURE_ASKED: usize = 5;
-/// Seed of the choice of these daemons. Only differs from the other seeds of rendezvous hashing.
+/// Seed of the choice of these daemons. Any number will do that differs from the other seeds of rendezvous hashing.
 const DEPARTURE_SEED: u64 = 3;
 
 /// What is known of departed instances, here and on behalf of other daemons.
--- a/crates/seamhatchd/src/controllers/control_thread/followed.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/followed.rs
@@ -23,8 +23,8 @@
 const PULL_PATIENCE: Microseconds = 300 * MILLISECOND;
 /// Time between two attempts to get a generation that peers reported. Chosen, not measured.
 const PULL_INTERVAL: Microseconds = 400 * MILLISECOND;
-/// Seed of the order in which daemons ask the store whether the configuration is the newest. Only differs from the other seeds
-/// of rendezvous hashing, so that one daemon isn't first everywhere.
+/// Seed of the order in which daemons ask the store whether the configuration is the newest. Any number will do that differs from the
+/// other seeds of rendezvous hashing, so that one daemon isn't first everywhere.
 const ASKING_SEED: u64 = 4;
 
 /// A generation that peers have and this daemon has not.
--- a/crates/seamhatchd/src/controllers/control_thread/instances.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/instances.rs
@@ -1,7 +1,7 @@
 //! The instance of the back end beside this daemon: its heartbeats, its goodbye, and its loss.
 //!
 //! [`crate::server::instances`] owns which instance takes work; this file applies what follows from a change: the gate's slots, the
-//! connections to the back end, and what other daemons are told.
+//! connections to the back end, and what other daemons learn.
 
 use super::ControlThread;
 use crate::base::clock;
--- a/crates/seamhatchd/src/controllers/control_thread/mod.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/mod.rs
@@ -42,13 +42,13 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 use verification::Verification;
-use witnessed::StoreCopy;
+use witnessed::StoreView;
 
 /// Time between two ticks. Chosen, not measured.
 const TICK: Duration = Duration::from_millis(100);
 /// Time between two evaluations of the policy's `stop_sending`. Chosen, not measured.
 const STOP_SENDING_INTERVAL: Microseconds = 500 * MILLISECOND;
-/// Time between two rounds of housekeeping, at which the coordinator also looks at the roster. Chosen, not measured.
+/// Time between two rounds of housekeeping, at which the coordinator also checks the roster. Chosen, not measured.
 const HOUSEKEEPING_INTERVAL: Microseconds = SECOND;
 /// Share by which intervals vary, so that daemons don't act in step. Chosen, not measured.
 const JITTER: f64 = 0.25;
@@ -77,7 +77,7 @@
     verification: Verification,
     exchanges: ConfigurationExchanges,
     /// Used where daemons accept configurations.
-    store_copy: StoreCopy,
+    store_view: StoreView,
     /// Used where the store is followed.
     following: Following,
     departures: Departures,
@@ -107,7 +107,7 @@
             backing: ports.backing.clone(),
             verification: Verification::default(),
             exchanges: ConfigurationExchanges::default(),
-            store_copy: StoreCopy::default(),
+            store_view: StoreView::default(),
             following: Following::default(),
             departures: Departures::default(),
             suspect_news: SuspectNews::default(),
@@ -185,7 +185,7 @@
     }
 }
 
-/// What this daemon tells the other members about itself.
+/// What the other members learn about this daemon.
 fn own_info(settings: &Settings) -> MemberInfo {
     MemberInfo {
         gossip: settings.advertise.gossip,
--- a/crates/seamhatchd/src/controllers/control_thread/quota_shards.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/quota_shards.rs
@@ -14,7 +14,7 @@
 use seamhatch_core::quota::ShardNumber;
 use seamhatch_core::rendezvous;
 
-/// Seed of the order in which daemons may take shards. Only differs from the other seeds of rendezvous hashing.
+/// Seed of the order in which daemons may take shards. Any number will do that differs from the other seeds of rendezvous hashing.
 const SHARD_SEED: u64 = 5;
 /// Daemons that may take a vacant shard, one after the other. Chosen, not measured.
 const MOST_CONTENDERS: usize = 3;
--- a/crates/seamhatchd/src/controllers/control_thread/requests.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/requests.rs
@@ -104,14 +104,15 @@
     }
 
     pub(super) fn handle_operator(&mut self, event: OperatorEvent) {
-        // Results are dropped where the operator has gone away.
         match event {
             OperatorEvent::Submit(request, reply) => self.submit(request, reply),
             OperatorEvent::Status(reply) => self.report_status(reply),
             OperatorEvent::GetConfiguration(reply) => {
+                // The operator may have gone away.
                 let _ = reply.send(self.configuration.newest().cloned());
             }
             OperatorEvent::Drain(target, reply) => {
+                // The drain goes on, also where the operator has gone away.
                 let _ = reply.send(self.drain(target));
             }
         }
--- a/crates/seamhatchd/src/controllers/control_thread/suspects.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/suspects.rs
@@ -16,7 +16,7 @@
 const SECOND_SENDING: Microseconds = 300 * MILLISECOND;
 /// Datagrams of suspects that answer an exchange of member lists. Chosen, not measured.
 const DATAGRAMS_PER_EXCHANGE: usize = 8;
-/// Records that an exchange of member lists brings, those with the most crashes.
+/// Records that an exchange of member lists brings, those with the most crashes. Derived from the datagrams.
 const RECORDS_PER_EXCHANGE: usize = DATAGRAMS_PER_EXCHANGE * SUSPECTS_PER_MESSAGE;
 /// Time between two searches for records that are too old to count. Chosen, not measured.
 const FORGET_INTERVAL: Microseconds = 10 * SECOND;
--- a/crates/seamhatchd/src/controllers/control_thread/verification.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/verification.rs
@@ -20,7 +20,7 @@
 /// How far this daemon has verified that it knows the newest accepted configuration.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum Verification {
-    /// Not verified, and nobody is being asked.
+    /// Not verified, and no witness is being asked.
     #[default]
     Pending,
     /// A task is asking the witnesses.
@@ -50,10 +50,10 @@
         if no_roster {
             self.pull_roster();
         }
-        let store_was_read = self.store_copy.was_read();
+        let store_was_read = self.store_view.was_read();
         let attempt = VerificationAttempt {
             shared: self.shared.clone(),
-            in_store: self.store_copy.configuration().cloned(),
+            in_store: self.store_view.configuration().cloned(),
             first_start: store_was_read && no_roster,
             store_is_enough: store_was_read && now.since(self.started) > WITNESS_PATIENCE,
         };
--- a/crates/seamhatchd/src/controllers/control_thread/witnessed.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/witnessed.rs
@@ -21,7 +21,7 @@
 
 /// The store's configuration as it was last read, and whether a read is in progress.
 #[derive(Debug, Default)]
-pub(super) struct StoreCopy {
+pub(super) struct StoreView {
     reading: bool,
     content: StoreContent,
 }
@@ -37,7 +37,7 @@
     Configuration(StoredConfiguration),
 }
 
-impl StoreCopy {
+impl StoreView {
     /// Begins a read; false when one is in progress.
     fn begin_read(&mut self) -> bool {
         !std::mem::replace(&mut self.reading, true)
@@ -90,7 +90,7 @@
 
     fn read_store(&mut self) {
         let Backing::Witnessed(store) = &self.backing else { return };
-        if !self.store_copy.begin_read() {
+        if !self.store_view.begin_read() {
             return;
         }
         let (store, shared) = (store.clone(), self.shared.clone());
@@ -104,7 +104,7 @@
     }
 
     pub(super) fn store_read(&mut self, result: Result<Stored<Option<StoredConfiguration>>, StoreError>) {
-        self.store_copy.end_read();
+        self.store_view.end_read();
         let stored = match result {
             Ok(stored) => stored,
             Err(error) => return self.note_unread_store(&error),
@@ -113,8 +113,8 @@
         if self.configuration.generation() > in_store && self.membership.is_coordinator() {
             self.restore_store(stored.revision);
         }
-        self.store_copy.update(stored.value);
-        if let (true, Some(found)) = (self.is_verified(), self.store_copy.configuration().cloned()) {
+        self.store_view.update(stored.value);
+        if let (true, Some(found)) = (self.is_verified(), self.store_view.configuration().cloned()) {
             self.register(found);
         }
     }
--- a/crates/seamhatchd/src/controllers/membership.rs
+++ b/crates/seamhatchd/src/controllers/membership.rs
@@ -15,9 +15,10 @@
 
 /// Watchers of the store and of the list of machines in each zone: two, so that one may be lost unnoticed. Chosen, not measured.
 const WATCHERS_PER_ZONE: usize = 2;
-/// Seed of the choice of watchers. The seeds of rendezvous hashing only differ from each other, so that one daemon isn't chosen for everything.
+/// Seed of the choice of watchers. Any number will do that differs from the other seeds of rendezvous
+/// hashing, so that one daemon isn't chosen for everything.
 const WATCHER_SEED: u64 = 1;
-/// Seed of the choice of the coordinator.
+/// Seed of the choice of the coordinator, as above.
 const COORDINATOR_SEED: u64 = 2;
 
 /// Membership with its socket.
--- a/crates/seamhatchd/src/controllers/roster.rs
+++ b/crates/seamhatchd/src/controllers/roster.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Default)]
 pub struct RosterController {
     roster: Arc<Roster>,
-    /// By shard: the epoch at which this coordinator has looked.
+    /// By shard: the epoch that this coordinator has checked.
     checked: BTreeMap<usize, Epoch>,
     /// By shard: the epoch that is installed at a majority.
     confirmed: BTreeMap<usize, Epoch>,
@@ -79,7 +79,7 @@
         changed.then(|| Roster { version: self.roster.version + 1, shards })
     }
 
-    /// What one shard should become. Only a shard that this coordinator has looked at is changed: a coordinator
+    /// What one shard should become. Only a shard that this coordinator has checked is changed: a coordinator
     /// that was just chosen does not know yet whether the present epoch was installed, and would seal
     /// epochs again that ended long ago.
     fn plan_shard(
@@ -137,7 +137,7 @@
         self.loss_waits.over(shard, now)
     }
 
-    /// Has every shard looked at again: for a coordinator that has just been chosen, and from time to time.
+    /// Has every shard checked again: for a coordinator that has just been chosen, and from time to time.
     pub fn recheck(&mut self) {
         self.complete.clear();
     }
--- a/crates/seamhatchd/src/lifecycle.rs
+++ b/crates/seamhatchd/src/lifecycle.rs
@@ -127,8 +127,8 @@
         clock::now().since(Instant(self.stop_requested_at.load(Ordering::Acquire)))
     }
 
-    /// Counts a readiness check that was answered with "not ready" during a drain: whoever sends callers to this daemon has
-    /// learned from it that the daemon leaves.
+    /// Counts a readiness check that was answered with "not ready" during a drain: the load balancer that asked has learned
+    /// from it that the daemon leaves.
     pub fn count_not_ready_answer(&self) {
         self.not_ready_answers.fetch_add(1, Ordering::Relaxed);
     }
--- a/crates/seamhatchd/src/listeners/registry.rs
+++ b/crates/seamhatchd/src/listeners/registry.rs
@@ -90,32 +90,32 @@
 }
 
 async fn heartbeat(shared: &Shared, instance: InstanceId, body: RequestBody) -> WebResponse {
-    let told: HeartbeatBody = match read_json(body, LARGEST_HEARTBEAT).await {
-        Ok(told) => told,
+    let sent: HeartbeatBody = match read_json(body, LARGEST_HEARTBEAT).await {
+        Ok(sent) => sent,
         Err(unusable) => {
             shared.metrics.bad_input(BadInput::Heartbeat);
             warn!(instance = instance.name.as_str(), detail = unusable.detail.as_str(); "a heartbeat can't be read and is passed over");
             return problem(unusable.status, "bad-heartbeat", &unusable.detail);
         }
     };
-    if told.service != shared.settings.service {
+    if sent.service != shared.settings.service {
         let detail =
             "the instance is of another service than this daemon's; check `service` in both settings";
         return problem(StatusCode::CONFLICT, "other-service", detail);
     }
-    if told.slots == 0 || told.slots > MOST_SLOTS || !(0.0..=LONGEST_COLD_MS).contains(&told.cold_for_ms) {
+    if sent.slots == 0 || sent.slots > MOST_SLOTS || !(0.0..=LONGEST_COLD_MS).contains(&sent.cold_for_ms) {
         let detail = "slots must be 1 to 100000 and cold_for_ms 0 to 600000";
         return problem(StatusCode::BAD_REQUEST, "bad-heartbeat", detail);
     }
     let heartbeat = Heartbeat {
-        instance: InstanceId { born: told.born, ..instance },
-        sequence: told.sequence,
-        state: match told.state {
+        instance: InstanceId { born: sent.born, ..instance },
+        sequence: sent.sequence,
+        state: match sent.state {
             StateName::Ready => InstanceState::Ready,
             StateName::Draining => InstanceState::Draining,
         },
-        slots: told.slots,
-        cold_for: (told.cold_for_ms * MILLISECOND as f64) as u64,
+        slots: sent.slots,
+        cold_for: (sent.cold_for_ms * MILLISECOND as f64) as u64,
     };
     answer(shared.control.heartbeat(heartbeat).await)
 }
