--- a/crates/seamhatchd/src/controllers/control_thread/configuration.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/configuration.rs
@@ -139,7 +139,7 @@
     }
 
     /// Asks a peer for its configuration where `generation`, which it or another daemon reported, is newer than the one held.
-    pub(super) fn pull_if_behind(&mut self, peer: Option<Address>, generation: Generation) {
+    fn pull_if_behind(&mut self, peer: Option<Address>, generation: Generation) {
         let have = self.configuration.generation();
         if generation <= have {
             return;
--- a/crates/seamhatchd/src/controllers/control_thread/witnessed.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/witnessed.rs
@@ -145,7 +145,7 @@
     }
 
     /// Brings an accepted configuration into force once a majority of the witnesses holds it.
-    pub(super) fn register(&mut self, stored: StoredConfiguration) {
+    fn register(&mut self, stored: StoredConfiguration) {
         let is_newer = stored.generation > self.configuration.generation();
         if !is_newer || !self.exchanges.begin_registration(stored.generation) {
             return;
