--- a/crates/seamhatchd/src/controllers/follow/quota_shards.rs
+++ b/crates/seamhatchd/src/controllers/follow/quota_shards.rs
@@ -153,7 +153,7 @@
             }
             Some(record) => self.pass_over(shard, &record),
             None => {
-                warn!(shard = shard; "a shard's record in the store can't be read, so no daemon holds it");
+                warn!(shard = shard; "a shard's record in the store can't be read, so it is nobody's");
                 self.write(shard, found.revision, lease).await?;
             }
         }
