--- a/crates/seamhatchd/src/peer/call.rs
+++ b/crates/seamhatchd/src/peer/call.rs
@@ -1,8 +1,8 @@
 //! One call as its sender sees it: events of the answer, and the answer's body.
 
 use crate::peer::CreditWindow;
-use crate::peer::connection::CallSlot;
 use crate::peer::link::Outbox;
+use crate::peer::outgoing_calls::OutgoingCalls;
 use bytes::Bytes;
 use seamhatch_core::identity::CallId;
 use seamhatch_wire::{AnswerHead, AnswerTail, PeerMessage, Refusal};
@@ -31,7 +31,7 @@
     pub window: Arc<CreditWindow>,
     pub(super) outbox: Outbox,
     pub(super) events: mpsc::UnboundedReceiver<CallEvent>,
-    pub(super) slot: CallSlot,
+    pub(super) calls: Arc<OutgoingCalls>,
     pub(super) ended: bool,
 }
 
@@ -59,7 +59,7 @@
 
 impl Drop for CallStream {
     fn drop(&mut self) {
-        self.slot.release(self.call);
+        self.calls.remove(self.call);
         if !self.ended {
             let _ = self.outbox.send(PeerMessage::Cancel { call: self.call });
         }
--- /dev/null
+++ b/crates/seamhatchd/src/peer/handshake.rs
@@ -0,0 +1,61 @@
+//! Opening a connection to another daemon: TCP, the preface, and the first message in each direction.
+//!
+//! Called by the pool. Nothing of a call is written before the handshake is done, so a failure here is safe to
+//! repeat elsewhere.
+
+use crate::peer::connection::{ConnectionState, PeerConnection};
+use crate::peer::link::{self, Outbox};
+use crate::peer::upkeep;
+use crate::shared::Shared;
+use seamhatch_core::identity::Address;
+use seamhatch_wire::{FrameReader, PeerMessage, WireError, read_preface, write_preface};
+use std::net::{IpAddr, SocketAddr};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::{TcpSocket, TcpStream};
+
+/// Longest wait for the TCP connection and the peer's first message. Chosen, not measured.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
+
+/// Connects to a daemon and exchanges first messages.
+///
+/// # Errors
+/// [`WireError`], also where the peer belongs to another cluster; no call was sent.
+pub(super) async fn open(shared: &Arc<Shared>, address: Address) -> Result<PeerConnection, WireError> {
+    tokio::time::timeout(CONNECT_TIMEOUT, shake_hands(shared, address))
+        .await
+        .map_err(|_| WireError::Io(std::io::ErrorKind::TimedOut.into()))?
+}
+
+async fn shake_hands(shared: &Arc<Shared>, address: Address) -> Result<PeerConnection, WireError> {
+    let mut stream = connect_from(shared.settings.listen.peer.ip, address.into()).await?;
+    stream.set_nodelay(true)?;
+    write_preface(&mut stream).await?;
+    let (outbox, messages) = Outbox::new();
+    let (mut reader, writer) = stream.into_split();
+    // The outbox was made just now and can't be closed.
+    let _ = outbox.send(PeerMessage::Hello(link::hello(shared)));
+    let writing = tokio::spawn(link::write_messages(writer, messages));
+    read_preface(&mut reader).await?;
+    let mut frames = FrameReader::new(reader);
+    let first = frames.next().await?;
+    let hello = link::first_hello(first, &shared.settings.cluster).inspect_err(|_| writing.abort())?;
+    let connection = PeerConnection {
+        address,
+        incarnation: hello.incarnation,
+        service: hello.service.into(),
+        outbox,
+        state: Arc::new(ConnectionState::new(hello.clock)),
+    };
+    upkeep::spawn(&connection, shared, frames, writing);
+    Ok(connection)
+}
+
+/// Connects from the daemon's own address, so that the other side's logs and filters see which machine it is.
+async fn connect_from(own: IpAddr, target: SocketAddr) -> std::io::Result<TcpStream> {
+    let socket = if target.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    if own.is_ipv4() == target.is_ipv4() {
+        socket.bind(SocketAddr::new(own, 0))?;
+    }
+    socket.connect(target).await
+}
--- a/crates/seamhatchd/src/peer/link.rs
+++ b/crates/seamhatchd/src/peer/link.rs
@@ -131,6 +131,18 @@
     }
 }
 
+/// Takes the peer's first message for its `Hello`.
+///
+/// # Errors
+/// [`WireError::NotSeamhatch`] when the connection ended, began with another message, or the peer belongs to another
+/// cluster.
+pub fn first_hello(first: Option<PeerMessage>, cluster: &str) -> Result<Hello, WireError> {
+    match first {
+        Some(PeerMessage::Hello(hello)) if hello.cluster == cluster => Ok(hello),
+        _ => Err(WireError::NotSeamhatch),
+    }
+}
+
 /// Logs how a connection ended.
 pub fn log_end(peer: &str, result: &Result<(), WireError>) {
     if let Err(error) = result {
--- a/crates/seamhatchd/src/peer/mod.rs
+++ b/crates/seamhatchd/src/peer/mod.rs
@@ -3,10 +3,15 @@
 mod call;
 mod connection;
 mod credit;
+mod handshake;
+mod incoming;
 mod link;
+mod outgoing_calls;
+mod pending_replies;
 mod pool;
 mod server;
 mod server_call;
+mod upkeep;
 mod view;
 
 pub use call::{AnswerBody, AnswerPiece, CallEvent, CallStream};
--- a/crates/seamhatchd/src/peer/pool.rs
+++ b/crates/seamhatchd/src/peer/pool.rs
@@ -3,6 +3,7 @@
 use crate::base::clock;
 use crate::base::lock::lock;
 use crate::peer::connection::PeerConnection;
+use crate::peer::handshake;
 use crate::shared::Shared;
 use seamhatch_core::Instant;
 use seamhatch_core::balance::{CallEnd, Ejection};
@@ -62,7 +63,7 @@
             return Ok(connection);
         }
         let shared = shared.clone();
-        let opened = self.runtime.spawn(async move { PeerConnection::open(&shared, address).await }).await;
+        let opened = self.runtime.spawn(async move { handshake::open(&shared, address).await }).await;
         let result = match opened {
             Ok(result) => result.map_err(|error| error.to_string()),
             Err(error) => Err(error.to_string()),
--- a/crates/seamhatchd/src/peer/server.rs
+++ b/crates/seamhatchd/src/peer/server.rs
@@ -2,6 +2,7 @@
 //! claims for this witness, and control messages.
 
 use crate::base::clock;
+use crate::base::lock::lock;
 use crate::base::metrics::BadInput;
 use crate::limits::quota;
 use crate::peer::credit::CreditWindow;
@@ -132,7 +133,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, PeerClock> {
-        self.0.lock().expect("a thread panicked inside the clock of a peer")
+        lock(&self.0)
     }
 }
 
--- /dev/null
+++ b/crates/seamhatchd/src/peer/upkeep.rs
@@ -0,0 +1,99 @@
+//! The tasks of an open connection: reading, heartbeats, and its end when it is idle, silent or closed.
+//!
+//! One task runs for each connection that this daemon opened. When it ends, calls and requests that wait are ended,
+//! and the pool forgets the connection.
+
+use crate::base::clock;
+use crate::peer::connection::PeerConnection;
+use crate::peer::link;
+use crate::shared::Shared;
+use seamhatch_core::Instant;
+use seamhatch_core::clock::{Microseconds, SECOND};
+use seamhatch_wire::{FrameReader, WireError};
+use std::sync::Arc;
+use tokio::net::tcp::OwnedReadHalf;
+use tokio::task::JoinHandle;
+
+/// A connection on which nothing was sent for this long is closed, so that random exchanges between controllers
+/// don't add up to a full mesh. Chosen, not measured.
+const IDLE_TO_CLOSE: Microseconds = 10 * SECOND;
+/// A peer that was silent for this long is given up, with the calls it has. Chosen, not measured.
+const SILENCE_TO_CLOSE: Microseconds = 20 * SECOND;
+/// Pause after the first attempt to reach a silent peer on a new connection, doubled after each further attempt.
+/// The first attempt comes at once and costs a handshake. Chosen, not measured.
+const FIRST_RENEWAL_PAUSE: Microseconds = SECOND;
+/// Longest pause between two such attempts: a peer that is frozen or cut off costs one handshake in this time.
+/// Chosen, not measured.
+const LONGEST_RENEWAL_PAUSE: Microseconds = 4 * SECOND;
+
+/// Starts the task of a connection whose handshake is done.
+pub(super) fn spawn(
+    connection: &PeerConnection,
+    shared: &Arc<Shared>,
+    frames: FrameReader<OwnedReadHalf>,
+    writing: JoinHandle<Result<(), WireError>>,
+) {
+    let (connection, shared) = (connection.clone(), shared.clone());
+    tokio::spawn(async move { connection.run(&shared, frames, writing).await });
+}
+
+impl PeerConnection {
+    async fn run(
+        &self,
+        shared: &Arc<Shared>,
+        frames: FrameReader<OwnedReadHalf>,
+        mut writing: JoinHandle<Result<(), WireError>>,
+    ) {
+        let to_peer_clock = |instant| self.to_peer_clock(instant);
+        let result = tokio::select! {
+            result = self.read(shared, frames) => result,
+            _ = link::send_pulses(shared, self.outbox.clone(), || false, to_peer_clock) => Ok(()),
+            () = self.until_silent_or_idle(shared) => Ok(()),
+            () = self.state.closing.notified() => Ok(()),
+            result = &mut writing => result.unwrap_or(Ok(())),
+        };
+        // The writer ends first, so that no call can be added after all were ended.
+        writing.abort();
+        while !self.outbox.is_closed() {
+            tokio::task::yield_now().await;
+        }
+        self.state.end_all();
+        shared.limits.service_floors.forget(&self.service, self.address);
+        shared.pool.forget(self);
+        link::log_end(&self.address.to_string(), &result);
+    }
+
+    /// Waits until the connection should be closed. Meanwhile opens another one beside it while the peer is silent.
+    async fn until_silent_or_idle(&self, shared: &Arc<Shared>) {
+        let mut next_renewal = Instant(0);
+        let mut pause = FIRST_RENEWAL_PAUSE;
+        loop {
+            tokio::time::sleep(link::PULSE_INTERVAL).await;
+            let now = clock::now();
+            let view = self.view();
+            let silent = now.since(view.last_heard) > SILENCE_TO_CLOSE;
+            if silent || self.is_idle(now) {
+                return;
+            }
+            if !view.is_silent(now) {
+                pause = FIRST_RENEWAL_PAUSE;
+            } else if now >= next_renewal {
+                self.renew(shared);
+                next_renewal = now.plus(pause);
+                pause = (2 * pause).min(LONGEST_RENEWAL_PAUSE);
+            }
+        }
+    }
+
+    fn is_idle(&self, now: Instant) -> bool {
+        now.since(self.state.last_used()) > IDLE_TO_CLOSE && self.in_flight() == 0
+    }
+
+    /// Has the pool open a new connection beside this silent one, since only the connection may have failed. Calls on
+    /// this one go on, as it may be heard again.
+    fn renew(&self, shared: &Arc<Shared>) {
+        let (shared, address) = (shared.clone(), self.address);
+        // An attempt that fails is repeated after the pause.
+        tokio::spawn(async move { drop(shared.pool.get(&shared, address).await) });
+    }
+}
--- a/crates/seamhatchd/src/peer/view.rs
+++ b/crates/seamhatchd/src/peer/view.rs
@@ -105,7 +105,7 @@
     }
 
     /// Takes in a heartbeat.
-    pub(super) fn take_pulse(&mut self, pulse: &seamhatch_wire::Pulse) {
+    pub(super) fn apply_pulse(&mut self, pulse: &seamhatch_wire::Pulse) {
         self.clock.observe(pulse.clock, clock::now());
         self.intake = pulse.intake;
         if let CallIntake::FallbackOnly { left } = pulse.intake {
