--- a/crates/seamhatchd/src/peer/mod.rs
+++ b/crates/seamhatchd/src/peer/mod.rs
@@ -5,12 +5,14 @@
 mod credit;
 mod handshake;
 mod incoming;
+mod incoming_calls;
 mod link;
 mod outgoing_calls;
 mod pending_replies;
 mod pool;
 mod server;
 mod server_call;
+mod session;
 mod upkeep;
 mod view;
 
--- a/crates/seamhatchd/src/peer/server.rs
+++ b/crates/seamhatchd/src/peer/server.rs
@@ -1,39 +1,24 @@
-//! The receiving end of connections: calls for the back end beside this daemon,
-//! claims for this witness, and control messages.
+//! The receiving end of connections: accepts other daemons, does the handshake, and runs a session for each.
+//!
+//! Started once at startup. Nothing of a peer is handled before it has shown that it belongs to this cluster.
 
-use crate::base::clock;
-use crate::base::lock::lock;
 use crate::base::metrics::BadInput;
-use crate::limits::quota;
-use crate::peer::credit::CreditWindow;
+use crate::peer::incoming_calls::IncomingCalls;
 use crate::peer::link::{self, Outbox};
-use crate::peer::server_call::ServerCall;
-use crate::server::backend::{self, BodyPiece, BrokenOff};
+use crate::peer::session::{SenderClock, Session};
 use crate::shared::Shared;
-use bytes::Bytes;
 use log::warn;
-use seamhatch_core::Instant;
-use seamhatch_core::clock::PeerClock;
-use seamhatch_core::identity::CallId;
-use seamhatch_core::quota::QuotaGrant;
-use seamhatch_wire::{
-    CallHead, ControlReply, ControlRequest, FrameReader, Hello, PeerMessage, WireError, read_preface,
-    write_preface,
-};
-use std::collections::HashMap;
-use std::sync::{Arc, Mutex, MutexGuard};
+use seamhatch_wire::{FrameReader, PeerMessage, WireError, read_preface, write_preface};
+use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::{Notify, mpsc};
 
-/// Longest wait for a new connection's first message.
+/// Longest wait for the preface of a new connection, and again for its first message. Chosen, not measured.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// Wait after a failed accept, so that a lack of file descriptors doesn't spin.
+/// Wait after a failed accept, so that a lack of file descriptors doesn't spin. Chosen, not measured.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// A peer that was silent for this long is gone.
-const SILENCE_TO_CLOSE: Duration = Duration::from_secs(20);
 
-/// Accepts connections of other daemons for ever.
+/// Accepts connections of other daemons forever.
 pub async fn serve(shared: Arc<Shared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -66,33 +51,35 @@
     let (reader, writer) = stream.into_split();
     let mut frames = FrameReader::new(reader);
     let first = tokio::time::timeout(HELLO_TIMEOUT, frames.next()).await.map_err(timed_out)??;
-    let Some(PeerMessage::Hello(hello)) = first else { return Err(WireError::NotSeamhatch) };
-    if hello.cluster != shared.settings.cluster {
-        return Err(WireError::NotSeamhatch);
-    }
+    let hello = link::first_hello(first, &shared.settings.cluster)?;
     shared.control.daemon_connected(hello.gossip);
     let (outbox, messages) = Outbox::new();
     // The outbox was made just now and can't be closed.
     let _ = outbox.send(PeerMessage::Hello(link::hello(shared)));
     let writing = AbortOnDrop(tokio::spawn(link::write_messages(writer, messages)));
-    let calls = Calls::default();
-    let peer_clock = SenderClock::default();
-    peer_clock.observe(hello.clock);
-    let pulses = AbortOnDrop(tokio::spawn({
-        let (shared, outbox, calls, peer_clock) =
-            (shared.clone(), outbox.clone(), calls.clone(), peer_clock.clone());
-        async move {
-            let is_busy = || !calls.lock().expect("calls lock").is_empty();
-            link::send_pulses(&shared, outbox, is_busy, |instant| peer_clock.translate(instant)).await;
-        }
-    }));
+    let (calls, peer_clock) = (IncomingCalls::default(), SenderClock::new(hello.clock));
+    let pulses = spawn_pulses(shared, &outbox, &calls, &peer_clock);
     let session = Session { shared: shared.clone(), outbox, hello, calls, peer_clock };
-    let result = session.read(frames).await;
-    session.cancel_all();
+    let result = session.run(frames).await;
     drop((writing, pulses));
     result
 }
 
+fn spawn_pulses(
+    shared: &Arc<Shared>,
+    outbox: &Outbox,
+    calls: &IncomingCalls,
+    peer_clock: &SenderClock,
+) -> AbortOnDrop<()> {
+    let (shared, outbox) = (shared.clone(), outbox.clone());
+    let (calls, peer_clock) = (calls.clone(), peer_clock.clone());
+    AbortOnDrop(tokio::spawn(async move {
+        let is_busy = || !calls.is_empty();
+        link::send_pulses(&shared, outbox, is_busy, |instant| peer_clock.translate(instant)).await;
+    }))
+}
+
+/// A task that ends with its connection.
 struct AbortOnDrop<T>(tokio::task::JoinHandle<T>);
 
 impl<T> Drop for AbortOnDrop<T> {
@@ -100,171 +87,3 @@
         self.0.abort();
     }
 }
-
-/// What the connection keeps of a call in progress.
-pub(super) struct CallEntry {
-    body: Option<mpsc::UnboundedSender<BodyPiece>>,
-    window: Arc<CreditWindow>,
-    cancelled: Arc<Cancellation>,
-}
-
-/// Tells a call that its sender has given it up.
-#[derive(Debug, Default)]
-pub(super) struct Cancellation {
-    pub(super) notify: Notify,
-}
-
-/// Calls in progress on one connection.
-pub(super) type Calls = Arc<Mutex<HashMap<CallId, CallEntry>>>;
-
-/// The boot clock of the daemon that sends calls.
-#[derive(Debug, Clone, Default)]
-struct SenderClock(Arc<Mutex<PeerClock>>);
-
-impl SenderClock {
-    fn observe(&self, sent: Instant) {
-        self.lock().observe(sent, clock::now());
-    }
-
-    /// Translates a local instant, erring early.
-    fn translate(&self, instant: Instant) -> Instant {
-        // The first message has told the clock.
-        self.lock().to_peer(instant).unwrap_or_default()
-    }
-
-    fn lock(&self) -> MutexGuard<'_, PeerClock> {
-        lock(&self.0)
-    }
-}
-
-/// One connection of a daemon that sends calls here.
-struct Session {
-    shared: Arc<Shared>,
-    outbox: Outbox,
-    hello: Hello,
-    calls: Calls,
-    peer_clock: SenderClock,
-}
-
-impl Session {
-    async fn read(&self, mut frames: FrameReader<tokio::net::tcp::OwnedReadHalf>) -> Result<(), WireError> {
-        loop {
-            let next = tokio::time::timeout(SILENCE_TO_CLOSE, frames.next()).await;
-            let next = next.map_err(|_| WireError::Io(std::io::ErrorKind::TimedOut.into()))?;
-            let Some(message) = next? else { return Ok(()) };
-            self.handle(message);
-        }
-    }
-
-    fn handle(&self, message: PeerMessage) {
-        match message {
-            PeerMessage::Suspects(reports) => self.shared.suspects.merge(&reports),
-            PeerMessage::Call(head) => self.start_call(*head),
-            PeerMessage::RequestChunk { call, bytes } => self.feed(call, Bytes::from(bytes)),
-            PeerMessage::RequestEnd { call } => self.end_body(call),
-            PeerMessage::Cancel { call } => self.cancel(call),
-            PeerMessage::Credit { call, bytes } => {
-                if let Some(entry) = self.calls.lock().expect("calls lock").get(&call) {
-                    entry.window.refill(bytes);
-                }
-            }
-            PeerMessage::Claim { exchange, shard, epoch, claim } => {
-                let reply = self.shared.claims.witnesses.claim(shard, epoch, claim);
-                let _ = self.outbox.send(PeerMessage::ClaimReply { exchange, reply });
-            }
-            PeerMessage::ReleaseClaim { shard, epoch, key, holder } => {
-                self.shared.claims.witnesses.release(shard, epoch, key, holder);
-            }
-            PeerMessage::ControlRequest {
-                exchange,
-                request: ControlRequest::GetTokens { shard, tenant, wanted },
-            } => {
-                let grant = quota::grant(&self.shared, shard, &tenant, wanted);
-                let reply = grant.map_or(ControlReply::Declined, |QuotaGrant { tokens, pause }| {
-                    ControlReply::Tokens { tokens, pause }
-                });
-                let _ = self.outbox.send(PeerMessage::ControlReply { exchange, reply });
-            }
-            PeerMessage::ControlRequest { exchange, request } => {
-                let outbox = self.outbox.clone();
-                let reply = self.shared.control.ask(request);
-                tokio::spawn(async move {
-                    let reply = reply.await;
-                    let _ = outbox.send(PeerMessage::ControlReply { exchange, reply });
-                });
-            }
-            PeerMessage::Pulse(pulse) => {
-                self.peer_clock.observe(pulse.clock);
-                pulse.proof.into_iter().for_each(|proof| self.shared.limits.freshness.prove(proof));
-                self.shared.control.note_peer_generation(self.hello.peer, pulse.generation);
-            }
-            _ => self.shared.metrics.bad_input(BadInput::PeerConnection),
-        }
-    }
-
-    fn start_call(&self, head: CallHead) {
-        let (body_sender, body) = if head.has_body {
-            let (sender, body) = backend::request_body();
-            (Some(sender), body)
-        } else {
-            (None, backend::no_body())
-        };
-        let window = Arc::new(CreditWindow::default());
-        let cancelled = Arc::new(Cancellation::default());
-        let entry = CallEntry { body: body_sender, window: window.clone(), cancelled: cancelled.clone() };
-        let call = head.call;
-        let earlier = self.calls.lock().expect("calls lock").insert(call, entry);
-        if earlier.is_some() {
-            self.shared.metrics.bad_input(BadInput::PeerConnection);
-        }
-        let server_call = ServerCall {
-            shared: self.shared.clone(),
-            outbox: self.outbox.clone(),
-            calls: self.calls.clone(),
-            window,
-            cancelled,
-            head,
-            from: self.hello.peer,
-            arrived: clock::now(),
-        };
-        tokio::spawn(async move { server_call.run(body).await });
-    }
-
-    fn feed(&self, call: CallId, bytes: Bytes) {
-        let calls = self.calls.lock().expect("calls lock");
-        let Some(body) = calls.get(&call).and_then(|entry| entry.body.as_ref()) else { return };
-        let size = bytes.len() as u32;
-        // The channel is bounded by the credit that is given here.
-        if body.send(Ok(bytes)).is_ok() {
-            let _ = self.outbox.send(PeerMessage::Credit { call, bytes: size });
-        }
-    }
-
-    fn end_body(&self, call: CallId) {
-        if let Some(entry) = self.calls.lock().expect("calls lock").get_mut(&call) {
-            entry.body = None;
-        }
-    }
-
-    fn cancel(&self, call: CallId) {
-        if let Some(entry) = self.calls.lock().expect("calls lock").get_mut(&call) {
-            entry.give_up();
-        }
-    }
-
-    fn cancel_all(&self) {
-        for entry in self.calls.lock().expect("calls lock").values_mut() {
-            entry.give_up();
-        }
-    }
-}
-
-impl CallEntry {
-    fn give_up(&mut self) {
-        if let Some(body) = self.body.take() {
-            // The back end must not take the part it has for the whole.
-            let _ = body.send(Err(BrokenOff));
-        }
-        self.cancelled.notify.notify_one();
-    }
-}
--- /dev/null
+++ b/crates/seamhatchd/src/peer/server_call/answer.rs
@@ -0,0 +1,93 @@
+//! Passing a back end's answer on to the daemon that sent the call.
+
+use super::ServerCall;
+use crate::conventions::headers;
+use crate::peer::BODY_PIECE;
+use crate::server::backend::{BackendAnswer, BackendError};
+use crate::server::running::RunningCall;
+use bytes::Bytes;
+use seamhatch_wire::{AnswerHead, AnswerTail, PeerMessage};
+
+/// Part of an answer that is read before its head is passed on, in bytes. Where the whole answer fits, one that breaks
+/// off is refused as a whole, so that the call can be repeated and no caller gets half an answer. Chosen, not measured.
+const ANSWER_START: usize = 64 * 1024;
+
+/// The start of an answer's body.
+pub(super) struct AnswerStart {
+    pieces: Vec<Bytes>,
+    /// It is the whole body.
+    is_whole: bool,
+}
+
+impl AnswerStart {
+    /// Reads until the body ends or [`ANSWER_START`] is reached.
+    pub(super) async fn read(answer: &mut BackendAnswer) -> Result<Self, BackendError> {
+        let mut pieces = Vec::new();
+        let mut length = 0;
+        while length < ANSWER_START {
+            let Some(piece) = answer.next().await? else { return Ok(Self { pieces, is_whole: true }) };
+            length += piece.len();
+            pieces.push(piece);
+        }
+        Ok(Self { pieces, is_whole: false })
+    }
+}
+
+impl ServerCall {
+    /// Passes the answer on; true when it was complete.
+    pub(super) async fn pass_answer(
+        &self,
+        running: &RunningCall,
+        mut answer: BackendAnswer,
+        start: AnswerStart,
+    ) -> bool {
+        self.send(PeerMessage::AnswerHead(Box::new(self.answer_head(running, &answer))));
+        for piece in start.pieces {
+            self.send_pieces(piece).await;
+        }
+        if !start.is_whole && !self.pass_rest(&mut answer).await {
+            return false;
+        }
+        self.shared.server.backend.finish(answer);
+        true
+    }
+
+    fn answer_head(&self, running: &RunningCall, answer: &BackendAnswer) -> AnswerHead {
+        let conventions = &self.shared.conventions;
+        AnswerHead {
+            call: self.head.call,
+            status: answer.status.as_u16(),
+            headers: headers::passing_fields(&answer.headers, |name| conventions.passes_through(name)),
+            server: self.shared.server.gate.report(),
+            chain_floor: running.chain_floor(),
+        }
+    }
+
+    /// Passes on what follows the start; true when the body came to its end.
+    async fn pass_rest(&self, answer: &mut BackendAnswer) -> bool {
+        loop {
+            match answer.next().await {
+                Ok(Some(piece)) => self.send_pieces(piece).await,
+                Ok(None) => return true,
+                // The sender learns of it by the tail, and the log by `complete` of the run.
+                Err(_) => return false,
+            }
+        }
+    }
+
+    /// Sends part of the body, as fast as its receiver gives credit.
+    async fn send_pieces(&self, mut data: Bytes) {
+        while !data.is_empty() {
+            let piece = data.split_to(data.len().min(BODY_PIECE));
+            self.window.ready().await;
+            self.window.spend(piece.len());
+            self.send(PeerMessage::AnswerChunk { call: self.head.call, bytes: piece.to_vec() });
+        }
+    }
+
+    /// Ends the answer and gives back the retry tokens that the call did not spend.
+    pub(super) fn end(&self, running: &RunningCall, complete: bool) {
+        let unspent_tokens = running.ledger().close();
+        self.send(PeerMessage::AnswerTail(AnswerTail { call: self.head.call, complete, unspent_tokens }));
+    }
+}
--- /dev/null
+++ b/crates/seamhatchd/src/peer/server_call/execute.rs
@@ -0,0 +1,178 @@
+//! Running an admitted call on the back end.
+//!
+//! The permit is held until the answer or the refusal is on its way. The order of the steps matters: what may have
+//! changed while the call waited is checked last, right before the request is written, and a crash is looked for only
+//! after the sender has been told how the call ended, unless the refusal depends on it.
+
+use super::ServerCall;
+use super::answer::AnswerStart;
+use crate::base::clock;
+use crate::base::metrics::seconds;
+use crate::server::backend::{self, BackendAnswer, BackendError, BackendRequest};
+use crate::server::crashes::{self, CallAtWork, Trial};
+use crate::server::gate::Permit;
+use crate::server::instances::OpenInstance;
+use crate::server::running::RunningCall;
+use log::info;
+use seamhatch_core::Instant;
+use seamhatch_core::clock::MILLISECOND;
+use seamhatch_core::instance::InstanceId;
+use seamhatch_core::outcome::{Outcome, Reason};
+use std::sync::Arc;
+
+/// A call that has been written to the back end, or is about to be.
+struct BackendRun {
+    /// The instance that it is meant for, where instances are registered.
+    instance: Option<InstanceId>,
+    /// Its entry among the calls that a crash of the back end would concern.
+    work: CallAtWork,
+    started: Instant,
+}
+
+impl ServerCall {
+    /// Runs the call on the back end and sends its answer, or the refusal that takes its place.
+    pub(super) async fn execute(
+        &self,
+        running: &Arc<RunningCall>,
+        permit: Permit,
+        trial: Option<&Trial>,
+        body: backend::RequestBody,
+    ) {
+        let registration = self.shared.server.running.register(running.clone(), self.request_name());
+        let instance = match self.check_before_run(running) {
+            Ok(OpenInstance { id }) => id,
+            Err(reason) => return self.refuse(running, Outcome::NotRun, reason, ""),
+        };
+        self.shared.metrics.execution(running.priority.class);
+        let is_isolated = trial.is_some_and(Trial::is_isolated);
+        let work = self.shared.server.crashes.begin(instance.as_ref(), self.head.request, is_isolated);
+        let run = BackendRun { instance, work, started: clock::now() };
+        let exchanged = tokio::select! {
+            exchanged = self.exchange(running, &run, registration.header(), body) => exchanged,
+            () = self.given_up() => return self.refuse(running, Outcome::Unknown, Reason::Cancelled, ""),
+        };
+        match exchanged {
+            Ok((answer, start)) => self.finish(running, &run, permit, answer, start).await,
+            Err(error) => self.fail(running, &run, error).await,
+        }
+    }
+
+    /// Checks once more what may have changed since the call was admitted: it waited for its slot, and the process may
+    /// have been frozen since.
+    fn check_before_run(&self, running: &RunningCall) -> Result<OpenInstance, Reason> {
+        if running.expiry <= clock::now() {
+            return Err(Reason::DeadlineExceeded);
+        }
+        if !self.shared.can_finish(running.expiry) {
+            return Err(Reason::Draining);
+        }
+        self.shared.server.instances.open().ok_or(Reason::NoInstance)
+    }
+
+    /// Sends the request to the back end and reads the start of its answer.
+    async fn exchange(
+        &self,
+        running: &RunningCall,
+        run: &BackendRun,
+        context: &str,
+        body: backend::RequestBody,
+    ) -> Result<(BackendAnswer, AnswerStart), BackendError> {
+        let request = BackendRequest {
+            method: &self.head.method,
+            path: &self.head.path,
+            headers: &self.head.headers,
+            context,
+            expiry: running.expiry,
+            instance: run.instance.as_ref(),
+        };
+        let mut answer = self.shared.server.backend.send(&request, body).await?;
+        let start = AnswerStart::read(&mut answer).await?;
+        Ok((answer, start))
+    }
+
+    /// Resolves when the sender has given up a call that may run again. A call that may not runs to its end, since its
+    /// effect is wanted or can't be undone.
+    async fn given_up(&self) {
+        self.cancelled.notified().await;
+        if !self.head.context.repeatable {
+            std::future::pending::<()>().await;
+        }
+    }
+
+    /// Passes the answer on and records how the run went.
+    async fn finish(
+        &self,
+        running: &RunningCall,
+        run: &BackendRun,
+        mut permit: Permit,
+        answer: BackendAnswer,
+        start: AnswerStart,
+    ) {
+        if let Some(load) = self.shared.conventions.back_end_load(&answer.headers) {
+            permit.note_load(load);
+        }
+        let status = answer.status.as_u16();
+        let passed = tokio::select! {
+            complete = self.pass_answer(running, answer, start) => Some(complete),
+            () = self.given_up() => None,
+        };
+        let complete = passed == Some(true);
+        if running.has_calls() {
+            permit.mark_calls_made();
+        }
+        if complete {
+            self.clear_suspicion();
+            permit.mark_succeeded();
+            self.shared.metrics.backend_seconds.observe(seconds(clock::now().since(run.started)));
+        }
+        // The slot is free before the sender learns that the call has ended.
+        drop(permit);
+        self.log_run(status, complete, run.started);
+        self.end(running, complete);
+        if passed == Some(false) {
+            self.has_crashed(run).await;
+        }
+    }
+
+    /// Refuses a call that the back end did not answer.
+    async fn fail(&self, running: &RunningCall, run: &BackendRun, error: BackendError) {
+        match error {
+            BackendError::NotRun { reason, detail } => {
+                let lost = matches!(reason, Reason::BackendUnreachable | Reason::OtherInstance);
+                if let Some(instance) = run.instance.as_ref().filter(|_| lost) {
+                    self.shared.control.lost_instance(instance.clone(), reason);
+                }
+                self.refuse(running, Outcome::NotRun, reason, &detail);
+            }
+            BackendError::Failed { detail } => {
+                let crashed = self.has_crashed(run).await;
+                let reason = if crashed { Reason::BackendCrashed } else { Reason::BackendFailed };
+                self.refuse(running, Outcome::Unknown, reason, &detail);
+            }
+        }
+    }
+
+    async fn has_crashed(&self, run: &BackendRun) -> bool {
+        crashes::has_crashed(&self.shared, &run.work, run.instance.as_ref()).await
+    }
+
+    /// Clears the request of any suspicion: one that crashes every server never runs to its end.
+    fn clear_suspicion(&self) {
+        if self.shared.suspects.ended_well(self.head.request) {
+            self.shared.control.suspects_changed(vec![self.head.request]);
+        }
+    }
+
+    fn log_run(&self, status: u16, complete: bool, started: Instant) {
+        info!(
+            request = self.log_name().as_str(),
+            digest = self.head.request.to_string().as_str(),
+            from = self.from.to_string().as_str(),
+            status = status,
+            complete = complete,
+            waited_ms = started.since(self.arrived) / MILLISECOND,
+            ran_ms = clock::now().since(started) / MILLISECOND;
+            "call ran"
+        );
+    }
+}
