--- a/crates/seamhatchd/src/dispatch/answer.rs
+++ b/crates/seamhatchd/src/dispatch/answer.rs
@@ -1,8 +1,8 @@
-//! An answer of a back end on its way to whoever made the call.
+//! An answer of a back end on its way to the caller.
 
 use crate::base::clock;
 use crate::claims::Claimed;
-use crate::dispatch::child::Child;
+use crate::dispatch::child::ChildCall;
 use crate::filters::Rejection;
 use crate::peer::{AnswerBody, AnswerPiece};
 use bytes::Bytes;
@@ -12,10 +12,10 @@
 use seamhatch_core::retry::ChildEnd;
 use seamhatch_wire::{AnswerHead, RecordedAnswer};
 
-/// Largest answer that is recorded for repeats of a claimed request.
+/// Largest answer that is recorded for repeats of a claimed request, in bytes of its body. Chosen, not measured.
 const LARGEST_RECORDED: usize = 64 * 1024;
 
-/// An answer of a back end on its way to whoever made the call.
+/// An answer of a back end on its way to the caller. Dropping it before its end cancels the call.
 pub struct Answer {
     /// Status and header fields.
     pub head: AnswerHead,
@@ -25,7 +25,7 @@
     pub dispatches: usize,
     pub(super) body: AnswerBody,
     pub(super) expiry: Instant,
-    pub(super) child: Child,
+    pub(super) child: ChildCall,
     pub(super) claimed: Option<Claimed>,
     pub(super) recording: Option<Vec<u8>>,
 }
--- a/crates/seamhatchd/src/dispatch/attempt.rs
+++ b/crates/seamhatchd/src/dispatch/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a call at one server.
+//! One attempt of a call at one server: the call is written, and the head of its answer awaited.
 
 use super::Dispatcher;
 use super::replay::next_of_rest;
@@ -11,14 +11,14 @@
 use seamhatch_core::priority::AdmissionFloor;
 use seamhatch_wire::{AnswerHead, CallContext, CallHead, Refusal, ServerReport};
 
-/// The receiver's deadline is this much earlier, so that its refusal arrives in time.
+/// The receiver's deadline is this much earlier, so that its refusal arrives in time. Chosen, not measured.
 const EXPIRY_MARGIN: Microseconds = 5 * MILLISECOND;
 
-/// What an attempt at one server came to.
-pub(super) enum Attempt {
-    Answered(Box<AnswerHead>, CallStream),
+/// Why an attempt at one server brought no answer.
+pub(super) enum AttemptFailure {
+    /// The server's daemon refused the call, or the call was never written.
     Refused(Refusal),
-    /// The connection was lost after the call was sent.
+    /// The connection was lost, or its peer fell silent, after the call was sent.
     Lost,
     /// The deadline passed.
     Expired,
@@ -26,17 +26,26 @@
     BrokenOff(Rejection),
 }
 
+/// The head of an answer, and the call whose body follows.
+pub(super) type AnswerBegun = (Box<AnswerHead>, CallStream);
+
 impl Dispatcher<'_> {
-    /// Sends the call to a server and waits for the head of its answer, or for what came instead.
-    pub(super) async fn attempt(&mut self, connection: &PeerConnection) -> Attempt {
+    /// Sends the call to a server and waits for the head of its answer.
+    ///
+    /// # Errors
+    /// [`AttemptFailure`]: what came instead.
+    pub(super) async fn attempt(
+        &mut self,
+        connection: &PeerConnection,
+    ) -> Result<AnswerBegun, AttemptFailure> {
         let head = self.call_head(connection);
         if let Some(claimed) = &mut self.claimed {
             claimed.dispatched();
         }
         self.tell_suspicion(connection);
-        let Ok(mut stream) = connection.start_call(head) else {
+        let Ok(stream) = connection.start_call(head) else {
             // Closed between the choice and here: nothing was written.
-            return Attempt::Refused(not_sent(self.child.handed_over));
+            return Err(AttemptFailure::Refused(not_sent(self.child.handed_over)));
         };
         for piece in &self.body.prefix {
             stream.send_piece(piece);
@@ -44,27 +53,33 @@
         if self.body.rest.is_none() && !self.body.is_empty() {
             stream.finish_body();
         }
+        self.await_head(connection, stream).await
+    }
+
+    /// Sends the rest of the body and waits for the head of the answer, until the deadline.
+    async fn await_head(
+        &mut self,
+        connection: &PeerConnection,
+        mut stream: CallStream,
+    ) -> Result<AnswerBegun, AttemptFailure> {
         let deadline = clock::sleep_until(self.parent.expiry);
         tokio::pin!(deadline);
         let window = stream.window.clone();
         loop {
             tokio::select! {
-                event = stream.next() => match event {
-                    Some(CallEvent::Head(head)) => return Attempt::Answered(head, stream),
-                    Some(CallEvent::Refused(refusal)) => return Attempt::Refused(refusal),
-                    Some(CallEvent::Chunk(_) | CallEvent::Tail(_)) | None => return Attempt::Lost,
+                event = stream.next() => return match event {
+                    Some(CallEvent::Head(head)) => Ok((head, stream)),
+                    Some(CallEvent::Refused(refusal)) => Err(AttemptFailure::Refused(refusal)),
+                    Some(CallEvent::Chunk(_) | CallEvent::Tail(_)) | None => Err(AttemptFailure::Lost),
                 },
                 piece = next_of_rest(&mut self.body, &window) => match piece {
                     Ok(Some(piece)) => stream.send_piece(&piece),
                     Ok(None) => stream.finish_body(),
-                    Err(rejection) => {
-                        self.may_have_run = true;
-                        return Attempt::BrokenOff(rejection);
-                    }
+                    Err(rejection) => return Err(AttemptFailure::BrokenOff(rejection)),
                 },
-                () = &mut deadline => return Attempt::Expired,
-                // Its daemon is frozen, dead or cut off. One that may not be repeated can only wait.
-                () = connection.until_silent(), if self.request.repeatable => return Attempt::Lost,
+                () = &mut deadline => return Err(AttemptFailure::Expired),
+                // Its daemon is frozen, dead or cut off. A call that is not repeatable can only wait.
+                () = connection.until_silent(), if self.request.repeatable => return Err(AttemptFailure::Lost),
             }
         }
     }
@@ -96,22 +111,19 @@
     }
 }
 
-/// What an attempt tells of its server.
-pub(super) fn call_end(attempt: &Attempt) -> CallEnd {
+/// What the end of an attempt shows of its server, for outlier ejection.
+pub(super) fn call_end(attempt: &Result<AnswerBegun, AttemptFailure>) -> CallEnd {
     match attempt {
-        Attempt::Lost => CallEnd::Lost,
-        Attempt::Refused(refusal)
-            if matches!(
-                refusal.reason,
-                Reason::BackendUnreachable | Reason::BackendFailed | Reason::BackendCrashed
-            ) =>
-        {
-            CallEnd::Lost
-        }
-        _ => CallEnd::Answered,
+        Err(AttemptFailure::Lost) => CallEnd::Lost,
+        Err(AttemptFailure::Refused(refusal)) => match refusal.reason {
+            Reason::BackendUnreachable | Reason::BackendFailed | Reason::BackendCrashed => CallEnd::Lost,
+            _ => CallEnd::Answered,
+        },
+        Ok(_) | Err(AttemptFailure::Expired | AttemptFailure::BrokenOff(_)) => CallEnd::Answered,
     }
 }
 
+/// Stands for the refusal of a call that was never written.
 fn not_sent(tokens: u32) -> Refusal {
     Refusal {
         outcome: Outcome::NotRun,
--- a/crates/seamhatchd/src/dispatch/candidates.rs
+++ b/crates/seamhatchd/src/dispatch/candidates.rs
@@ -1,13 +1,55 @@
-//! What is known of the servers that a call may go to.
+//! The choice of the next server for a call, from what is known of those that were not tried yet.
 
+use super::Dispatcher;
 use crate::base::clock;
+use crate::filters::Rejection;
+use crate::peer::PeerConnection;
 use crate::shared::Shared;
 use crate::snapshot::Server;
-use seamhatch_core::balance::{Candidate, CandidateStanding};
+use seamhatch_core::balance::{Candidate, CandidateStanding, pick};
 use seamhatch_core::clock::Microseconds;
+use seamhatch_core::identity::Address;
+use seamhatch_core::outcome::Reason;
+use seamhatch_wire::CallIntake;
 
-/// A server as the choice sees it.
-pub(super) fn candidate(shared: &Shared, server: &Server) -> Candidate {
+impl Dispatcher<'_> {
+    /// A connection to a server that was not tried yet.
+    pub(super) async fn connect(&mut self) -> Result<PeerConnection, Rejection> {
+        loop {
+            let Some(server) = self.choose() else {
+                let detail = "no server of this service can be reached; come back later";
+                return Err(Rejection::not_run(Reason::NoServer, detail));
+            };
+            match self.shared.pool.get(self.shared, server).await {
+                Ok(connection) if self.can_serve(&connection) => return Ok(connection),
+                // The pool counts failures to connect and leaves such a server out for a while.
+                Ok(_) | Err(_) => self.tried.push(server),
+            }
+        }
+    }
+
+    /// Whether the daemon takes calls for this service, as it says itself: the member's record may be older than the
+    /// server that has its address now.
+    fn can_serve(&self, connection: &PeerConnection) -> bool {
+        connection.view().intake != CallIntake::Closed && *connection.service == *self.request.service
+    }
+
+    fn choose(&self) -> Option<Address> {
+        let snapshot = self.shared.snapshot();
+        let servers = snapshot.servers.get(&self.request.service)?;
+        let servers_left: Vec<&Server> =
+            servers.iter().filter(|server| !self.tried.contains(&server.peer)).collect();
+        let candidates: Vec<Candidate> =
+            servers_left.iter().map(|server| candidate(self.shared, server)).collect();
+        let index = self
+            .home_of_suspect(&servers_left, &candidates)
+            .or_else(|| pick(&candidates, |below| rand::random_range(0..below)))?;
+        Some(servers_left[index].peer)
+    }
+}
+
+/// A server as the choice sees it: by its own reports where there is a connection to its daemon, else by its record.
+fn candidate(shared: &Shared, server: &Server) -> Candidate {
     let now = clock::now();
     let same_zone = server.zone == shared.settings.zone;
     let Some(connection) = shared.pool.existing(server.peer) else {
@@ -32,8 +74,8 @@
     }
 }
 
-/// The standing of a server whose daemon this one has no connection to. When one that leaves will be gone is
-/// told by its first heartbeat.
+/// The standing of a server whose daemon this one has no connection to. When a draining one ends is known only after its
+/// first heartbeat, so it counts as the last to end.
 fn standing_by_record(server: &Server) -> CandidateStanding {
     if server.leaving { CandidateStanding::Leaving(Microseconds::MAX) } else { CandidateStanding::Usual }
 }
--- a/crates/seamhatchd/src/dispatch/child.rs
+++ b/crates/seamhatchd/src/dispatch/child.rs
@@ -1,20 +1,25 @@
-//! A call's place in the retry ledger of the call that caused it.
+//! A call's entry in the retry ledger of the call that caused it.
 
 use crate::server::running::RunningCall;
 use seamhatch_core::identity::Fingerprint;
 use seamhatch_core::retry::{ChildEnd, Dispatch, TokensExhausted};
 use std::sync::Arc;
 
-/// A call's place in its parent's ledger. Unless [`Child::finish`] is called,
-/// the call counts as failed and the tokens it had as spent.
-pub(super) struct Child {
+/// A call's entry in its parent's retry ledger. Unless [`ChildCall::finish`] is called, the call counts as failed and
+/// the tokens that it was given as spent.
+pub(super) struct ChildCall {
     parent: Arc<RunningCall>,
     call: Fingerprint,
+    /// Retry tokens that went out with the attempt in progress.
     pub(super) handed_over: u32,
     pub(super) finished: bool,
 }
 
-impl Child {
+impl ChildCall {
+    /// Enters a call that is about to be sent.
+    ///
+    /// # Errors
+    /// The call repeats an earlier one and no token is left for that.
     pub(super) fn begin(
         parent: &Arc<RunningCall>,
         call: Fingerprint,
@@ -23,23 +28,26 @@
         Ok((Self { parent: parent.clone(), call, handed_over: 0, finished: false }, dispatch))
     }
 
+    /// Takes the tokens that go out with the next attempt.
     pub(super) fn hand_over(&mut self) -> u32 {
         self.handed_over = self.parent.ledger().hand_over();
         self.handed_over
     }
 
+    /// Puts back what the last attempt did not spend.
     pub(super) fn give_back(&mut self, unspent: u32) {
         self.parent.ledger().give_back(unspent, self.handed_over);
         self.handed_over = 0;
     }
 
+    /// Records how the call ended.
     pub(super) fn finish(&mut self, end: ChildEnd) {
         self.finished = true;
         self.parent.ledger().finish(self.call, end);
     }
 }
 
-impl Drop for Child {
+impl Drop for ChildCall {
     fn drop(&mut self) {
         if !self.finished {
             self.finish(ChildEnd::Failed);
--- a/crates/seamhatchd/src/dispatch/claiming.rs
+++ b/crates/seamhatchd/src/dispatch/claiming.rs
@@ -1,6 +1,7 @@
 //! Claiming the key of a call that may not be repeated, before anything that may refuse it.
 
-use super::{CallResult, Dispatcher, call_fingerprint};
+use super::digests::call_fingerprint;
+use super::{CallResult, Dispatcher};
 use crate::base::clock;
 use crate::claims::{self, ClaimRefused, Claimed};
 use crate::filters::Rejection;
@@ -15,8 +16,7 @@
     /// Claims the key of a call that has one.
     ///
     /// # Errors
-    /// What the caller is told instead: the key is another request's, its answer is recorded, or nobody
-    /// can tell.
+    /// The end of the call: the key belongs to another request, an earlier attempt holds it, or no majority answered.
     pub(super) async fn claim(&mut self, body: Fingerprint) -> Result<Option<Claimed>, CallResult> {
         let Some(text) = &self.request.claim_text else { return Ok(None) };
         // A key that the back end did not set is completed by the body.
--- /dev/null
+++ b/crates/seamhatchd/src/dispatch/prepare.rs
@@ -0,0 +1,73 @@
+//! What comes before the first attempt of a call: its settings, its parent's retry tokens, its claim, the limits.
+
+use super::child::ChildCall;
+use super::digests::{call_fingerprint, request_digest};
+use super::{CallResult, Dispatcher, ReplayBody};
+use crate::base::clock;
+use crate::filters::{Rejection, RequestState};
+use crate::shared::Shared;
+use seamhatch_core::identity::Fingerprint;
+use seamhatch_core::outcome::Reason;
+use seamhatch_core::retry::Dispatch;
+use seamhatch_policy::ServiceSettings;
+use std::sync::Arc;
+
+/// Makes a call ready for its first attempt.
+///
+/// # Errors
+/// The end of a call that is not sent: it is refused, or its answer is recorded.
+pub(super) async fn prepare<'a>(
+    shared: &'a Arc<Shared>,
+    request: &'a RequestState,
+    body: ReplayBody,
+) -> Result<Dispatcher<'a>, CallResult> {
+    let content = body.digest();
+    let (mut dispatcher, first) = begin(shared, request, body, content).map_err(CallResult::Rejected)?;
+    // Before anything that may refuse: `not-run` is true of a request with a key only while its key is held here.
+    dispatcher.claimed = dispatcher.claim(content).await?;
+    if let Err(rejection) = dispatcher.check_limits(first) {
+        return Err(dispatcher.reject(rejection));
+    }
+    Ok(dispatcher)
+}
+
+/// Enters the call in its parent's retry ledger.
+fn begin<'a>(
+    shared: &'a Arc<Shared>,
+    request: &'a RequestState,
+    body: ReplayBody,
+    content: Fingerprint,
+) -> Result<(Dispatcher<'a>, Dispatch), Rejection> {
+    let settings = service_settings(shared, request).ok_or_else(|| {
+        Rejection::not_run(Reason::NoRoute, "the service was removed from the configuration")
+    })?;
+    let parent = request.parent.clone().ok_or_else(|| {
+        Rejection::not_run(Reason::BadContext, "the request has no running call it belongs to")
+    })?;
+    let (child, first) = ChildCall::begin(&parent, call_fingerprint(request, content))
+        .map_err(|error| Rejection::not_run(Reason::RetriesExhausted, error.to_string()))?;
+    let dispatcher = Dispatcher {
+        shared,
+        request,
+        started: clock::now(),
+        settings,
+        repeat: first.repeat || parent.repeats,
+        parent,
+        digest: request_digest(shared, request, content),
+        body,
+        child,
+        claimed: None,
+        tried: Vec::new(),
+        pressed: 0,
+        last_refusal: None,
+        may_have_run: false,
+    };
+    Ok((dispatcher, first))
+}
+
+/// Settings of the called service in the configuration that decides the request, or else in the one in force.
+fn service_settings(shared: &Shared, request: &RequestState) -> Option<ServiceSettings> {
+    let snapshot = shared.snapshot();
+    let configuration = request.configuration.as_ref().or(snapshot.configuration())?;
+    configuration.service(&request.service).copied()
+}
--- a/crates/seamhatchd/src/dispatch/replay.rs
+++ b/crates/seamhatchd/src/dispatch/replay.rs
@@ -1,4 +1,4 @@
-//! Request bodies whose beginning is kept, so that a call can be sent again.
+//! Request bodies whose start is kept, so that a call can be sent again.
 
 use crate::filters::Rejection;
 use crate::peer::CreditWindow;
@@ -8,10 +8,10 @@
 use seamhatch_core::identity::Fingerprint;
 use seamhatch_core::outcome::Reason;
 
-/// Part of a request body that is kept, so that the call can be sent again.
+/// Part of a request body that is kept, so that the call can be sent again, in bytes. Chosen, not measured.
 const REPLAY_BYTES: usize = 64 * 1024;
 
-/// A request body, its beginning kept for a second dispatch.
+/// A request body whose start is kept for further attempts. The rest can be sent once.
 pub struct ReplayBody {
     pub(super) prefix: Vec<Bytes>,
     pub(super) rest: Option<Incoming>,
@@ -19,7 +19,7 @@
 }
 
 impl ReplayBody {
-    /// Reads the beginning of a body.
+    /// Reads the start of a body.
     ///
     /// # Errors
     /// The caller broke off.
@@ -50,6 +50,7 @@
         !self.rest_used
     }
 
+    /// Digest of the kept start: two bodies that differ only after it count as the same.
     pub(super) fn digest(&self) -> Fingerprint {
         let parts: Vec<u8> = self.prefix.iter().flat_map(|piece| piece.iter().copied()).collect();
         Fingerprint::of(&[&parts])
@@ -59,7 +60,7 @@
 async fn next_piece(body: &mut Incoming) -> Result<Option<Bytes>, Rejection> {
     while let Some(frame) = body.frame().await {
         let broken = |_| Rejection::not_run(Reason::BadRequest, "the request body broke off; send it again");
-        // Trailers are left out: no back end asked for them.
+        // Trailers are dropped: no back end asked for them.
         if let Ok(data) = frame.map_err(broken)?.into_data() {
             return Ok(Some(data));
         }
@@ -67,7 +68,7 @@
     Ok(None)
 }
 
-/// The next piece behind the kept beginning, once the window allows; pends for ever after the end.
+/// The next piece after the kept start, once the window allows; pends forever after the end.
 pub(super) async fn next_of_rest(
     body: &mut ReplayBody,
     window: &CreditWindow,
