--- a/crates/seamhatchd/src/server/backend/body.rs
+++ b/crates/seamhatchd/src/server/backend/body.rs
@@ -1,4 +1,4 @@
-//! Request bodies on their way to the back end.
+//! Request bodies on their way to the back end, fed piece by piece as they come from the peer.
 
 use bytes::Bytes;
 use http_body_util::{Either, Empty, StreamBody};
@@ -10,7 +10,7 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// The sender broke the request body off.
+/// The caller broke off the request body, or its call was cancelled.
 #[derive(Debug, Error)]
 #[error("the caller broke off the request body")]
 pub struct BrokenOff;
--- a/crates/seamhatchd/src/server/backend/client.rs
+++ b/crates/seamhatchd/src/server/backend/client.rs
@@ -1,4 +1,6 @@
-//! An HTTP client for what is not a call: the key-value service, the machine list, tools.
+//! HTTP clients for services other than the back end: the store, the machine list, operators' tools.
+//!
+//! Their connections are kept by `hyper-util`.
 
 use crate::base::keepalive::{KEEPALIVE_IDLE, KEEPALIVE_INTERVAL, KEEPALIVE_PROBES, SILENCE_TIMEOUT};
 use hyper::body::Body;
@@ -10,12 +12,12 @@
 /// An HTTP client with kept connections.
 pub type HttpClient<B> = Client<HttpConnector, B>;
 
-/// Longest wait for a TCP connection.
+/// Longest wait for a TCP connection. Chosen, not measured.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long an idle connection is kept.
+/// How long an idle connection is kept. Chosen, not measured.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A client with the project's time-outs.
+/// A client that keeps idle connections.
 #[must_use]
 pub fn http_client<B>() -> HttpClient<B>
 where
@@ -25,9 +27,9 @@
     client(connector(), usize::MAX)
 }
 
-/// A client whose connections are closed when they fall silent. What it sends must be short: bytes that
-/// the other side is slow to read count as silence. It keeps no idle connection, as a call on one that has
-/// fallen silent would wait for that to be found out; its calls are few.
+/// A client whose connections are closed when they fall silent. What it sends must be short, as bytes that the other side is
+/// slow to read count as silence. It keeps no idle connection: a request on one that has fallen silent would wait until the
+/// kernel notices.
 #[must_use]
 pub fn probing_http_client<B>() -> HttpClient<B>
 where
--- a/crates/seamhatchd/src/server/backend/connections.rs
+++ b/crates/seamhatchd/src/server/backend/connections.rs
@@ -20,13 +20,13 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// Longest wait for a TCP connection; the back end is on the same machine.
+/// Longest wait for a TCP connection; the back end is on the same machine. Chosen, not measured.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long an idle connection is kept when the back end doesn't say.
+/// How long an idle connection is kept when the back end doesn't say, margin included. Chosen, not measured.
 const DEFAULT_IDLE: Microseconds = 8 * SECOND;
-/// A connection is given up this long before the back end closes it, so that no call meets the close.
+/// An idle connection is closed this long before the back end does so, so that no call meets the close. Chosen, not measured.
 const IDLE_MARGIN: Microseconds = SECOND;
-/// Longest wait for a connection to be done with an exchange that has ended.
+/// Longest wait for a connection to be done with an exchange that has ended. Chosen, not measured.
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// An open connection; dropping it closes it at once, whatever is in progress on it.
@@ -57,12 +57,12 @@
 }
 
 impl Connections {
-    /// None yet.
+    /// No connections yet to the back end at `address`.
     pub fn new(address: Address) -> Self {
         Self { address, idle: Arc::default() }
     }
 
-    /// The connection that was used last, so that the others can age, of those that are watched so.
+    /// Takes the connection with this check that was used last, so that the others can age.
     pub fn take_idle(&self, check: SilenceCheck) -> Option<Connection> {
         let now = clock::now();
         let mut idle = self.lock();
@@ -71,8 +71,8 @@
         Some(idle.remove(position).connection)
     }
 
-    /// A new connection, in place of the one that has been idle for longest, if any: that is watched in
-    /// the other way, and the back end takes only so many.
+    /// Opens a connection, in place of the one that has been idle for longest, if any: that one has the other check, and the
+    /// back end takes only so many connections.
     ///
     /// # Errors
     /// It was refused or did not come up in time; nothing was written.
@@ -83,7 +83,7 @@
         stream.set_nodelay(true)?;
         close_when_silent(&stream, check)?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(std::io::Error::other)?;
-        // How it ended shows at the call that was on it.
+        // The call on the connection gets its error, so the task's result is dropped.
         let task = tokio::spawn(async move { drop(connection.await) });
         Ok(Connection { sender, task, check })
     }
@@ -117,12 +117,11 @@
     }
 }
 
-/// How long a connection may be kept idle after an answer with these fields: what `Keep-Alive` tells,
-/// less a margin.
+/// How long a connection may be kept idle after an answer with these fields: what `Keep-Alive` says, less a margin.
 pub fn idle_span(headers: &HeaderMap) -> Microseconds {
-    let told = headers.get("keep-alive").and_then(|value| value.to_str().ok()).and_then(|value| {
+    let stated = headers.get("keep-alive").and_then(|value| value.to_str().ok()).and_then(|value| {
         let timeout = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
         timeout.parse::<u64>().ok()
     });
-    told.map_or(DEFAULT_IDLE, |seconds| seconds * SECOND).saturating_sub(IDLE_MARGIN)
+    stated.map_or(DEFAULT_IDLE, |seconds| seconds * SECOND).saturating_sub(IDLE_MARGIN)
 }
--- /dev/null
+++ b/crates/seamhatchd/src/server/backend/error.rs
@@ -0,0 +1,53 @@
+//! Why the back end gave no answer.
+
+use seamhatch_core::outcome::Reason;
+use thiserror::Error;
+
+/// Why the back end gave no answer.
+#[derive(Debug, Error)]
+pub enum BackendError {
+    /// It did not run the call and won't: nothing was written, or it says so itself.
+    #[error(
+        "the back end did not run the call ({reason}): {detail}; check that it listens on backend.address"
+    )]
+    NotRun {
+        /// The kind of failure.
+        reason: Reason,
+        /// Why.
+        detail: String,
+    },
+    /// It may have begun to work.
+    #[error("the back end broke off: {detail}; its own log tells why")]
+    Failed {
+        /// Why.
+        detail: String,
+    },
+}
+
+impl BackendError {
+    pub(super) fn failed(detail: impl Into<String>) -> Self {
+        Self::Failed { detail: detail.into() }
+    }
+
+    pub(super) fn unreachable(detail: impl Into<String>) -> Self {
+        Self::NotRun { reason: Reason::BackendUnreachable, detail: detail.into() }
+    }
+
+    /// A failure of a request on a connection: one that was not written at all can be sent again.
+    pub(super) fn of_exchange(error: &hyper::Error, was_written: bool) -> Self {
+        let detail = describe(error);
+        if was_written { Self::failed(detail) } else { Self::unreachable(detail) }
+    }
+}
+
+/// An error with all its causes.
+pub(super) fn describe(error: &dyn std::error::Error) -> String {
+    let mut text = error.to_string();
+    let mut source = error.source();
+    while let Some(cause) = source {
+        text.push_str(": ");
+        text.push_str(&cause.to_string());
+        source = cause.source();
+    }
+    text
+}
