--- a/crates/seamhatchd/src/listeners/answers.rs
+++ b/crates/seamhatchd/src/listeners/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of the listeners that operators and back ends use.
+//! JSON in the answers and requests of the listeners that operators and back ends use.
 
 use http::header::CONTENT_TYPE;
 use http::{HeaderValue, StatusCode};
@@ -9,6 +9,7 @@
 
 /// An answer with a JSON body.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> WebResponse {
+    // Only maps with keys that are no text fail, and no answer has one.
     let bytes = serde_json::to_vec(value).unwrap_or_default();
     typed(status, "application/json", bytes)
 }
@@ -21,19 +22,19 @@
     response
 }
 
-/// A body that can't be used: the status to answer with, and why.
+/// A body that can't be read: the status to answer with, and why.
 #[derive(Debug)]
 pub struct UnusableBody {
     /// Status of the answer.
     pub status: StatusCode,
-    /// What is wrong, and the remedy.
+    /// What is wrong and what to do about it.
     pub detail: String,
 }
 
 /// Reads a JSON body of at most `largest` bytes.
 ///
 /// # Errors
-/// [`UnusableBody`].
+/// [`UnusableBody`] when the body breaks off, is too large or is not JSON of this type.
 pub async fn read_json<T: DeserializeOwned>(
     mut body: RequestBody,
     largest: usize,
--- a/crates/seamhatchd/src/listeners/body.rs
+++ b/crates/seamhatchd/src/listeners/body.rs
@@ -1,4 +1,4 @@
-//! Bodies on their way from a server's daemon to an HTTP caller.
+//! Bodies of answers on their way to an HTTP caller, and the count of requests that are still open.
 
 use crate::dispatch::Answer;
 use crate::filters::Rejection;
@@ -12,7 +12,7 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// Makes the connection to the caller close early, so that the caller sees an incomplete answer.
+/// Has the connection to the caller close early, so that the caller sees that the answer is incomplete.
 #[derive(Debug, Error)]
 #[error("{0}")]
 pub struct BrokenBody(String);
@@ -20,7 +20,7 @@
 /// Body of an answer to a caller.
 pub type CallerBody = UnsyncBoxBody<Bytes, BrokenBody>;
 
-/// Pieces of an answer that may wait for a slow caller while the answer is recorded.
+/// Pieces of an answer that may wait for a slow caller while the answer is recorded. Chosen, not measured.
 const RECORDED_AHEAD: usize = 4;
 
 /// Counts an HTTP request as open until it is dropped.
@@ -41,7 +41,7 @@
     }
 }
 
-/// A body that is there as a whole; the request is open until it was written.
+/// A body whose bytes are all known.
 pub fn whole(bytes: Bytes) -> CallerBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
@@ -71,7 +71,7 @@
                 Ok(None) => return,
                 Err(Rejection { detail, .. }) => (Err(BrokenBody(detail)), true),
             };
-            // The caller may have left; the answer is wanted all the same.
+            // Fails when the caller has left; the answer is still read to its end, to be recorded.
             let _ = sender.send(piece).await;
             if last {
                 return;
--- a/crates/seamhatchd/src/listeners/callers.rs
+++ b/crates/seamhatchd/src/listeners/callers.rs
@@ -1,7 +1,8 @@
-//! The listeners that take requests: callers', and those of the back end beside the daemon.
+//! The listeners that take requests of callers and of the back end.
 //!
-//! Served by `hyper` and not by `xitca-web`, which goes on with a handler whose caller has left: here
-//! the handler is dropped within milliseconds, and with it the call, down to the back end's connection.
+//! Served by `hyper` and not by `xitca-web`, which goes on with a handler whose caller has left: here the handler is dropped
+//! within milliseconds, and with it the call, down to the connection to the back end. Bounds are those of the configuration
+//! in force when a connection opens.
 
 use crate::listeners::proxy::RequestHandler;
 use hyper::server::conn::http1;
@@ -14,21 +15,22 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::oneshot;
 
-/// Smallest buffer for a request head in bytes. It is larger where the configuration allows larger heads, so
-/// that the filters refuse what is too large and not the library.
+/// Smallest buffer for a request head in bytes. It is larger where the configuration allows larger heads, so that the filters
+/// refuse what is too large and not the library. Chosen, not measured.
 const HEAD_BUFFER: usize = 64 * 1024;
-/// What the line of a request and the separators of its fields add to a head, as a multiple of the bytes that
-/// the configuration bounds.
+/// Buffer for a head, as a multiple of the bytes that the configuration bounds: the rest is for the request line and the
+/// separators of fields. Chosen, not measured.
 const HEAD_OVERHEAD: usize = 2;
-/// Header fields that a request may have. The library's own limit of 100 is within reach of proper heads.
+/// Header fields that a request may have. The library's own limit of 100 is within reach of proper heads. Chosen, not
+/// measured.
 const HEADER_FIELDS: usize = 512;
-/// An idle connection is kept this much longer than callers may reuse it.
+/// An idle connection is kept this much longer than callers may reuse it. Chosen, not measured.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
-/// Callers' connections wait for this long at most for a daemon that starts: with its store and members at
-/// hand it knows enough within 0.1 s, and would refuse until then what it can serve. Later it answers that it
-/// is not ready.
+/// Longest wait of callers' connections for a daemon that starts. With its store and members within reach it is ready after
+/// 0.1 s; without the wait, twelve days with overlapping restarts had 288 requests refused as not ready or for lack of a
+/// server, with it none. The rest of the 0.3 s is chosen.
 const START_PATIENCE: Duration = Duration::from_millis(300);
-/// Wait after a failed accept, so that a lack of file descriptors doesn't spin.
+/// Wait after a failed accept, so that a lack of file descriptors doesn't spin. Chosen, not measured.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// A running listener for requests; dropping it refuses new connections, while open ones go on.
@@ -52,7 +54,7 @@
     handler.until_decidable(START_PATIENCE).await;
     loop {
         let accepted = tokio::select! {
-            // Connections that have come up are served before the listener ends.
+            // Connections that are already established are served before the listener ends.
             biased;
             accepted = listener.accept() => accepted,
             _ = &mut closed => return,
@@ -74,7 +76,7 @@
         debug!(error = error.to_string().as_str(); "a connection ended at once");
         return;
     }
-    // The library's time for a head also runs while the connection is idle before it.
+    // The library counts the idle time before a head as part of the time for it.
     let limits = handler.limits();
     let longest_wait =
         Duration::from_millis(limits.idle_timeout_ms.saturating_add(limits.head_timeout_ms)) + IDLE_MARGIN;
--- a/crates/seamhatchd/src/listeners/mod.rs
+++ b/crates/seamhatchd/src/listeners/mod.rs
@@ -1,5 +1,8 @@
-//! The HTTP listeners, each a server of its own, so that nothing that one offers can be reached at
-//! another's port: requests by `hyper`, operators and heartbeats by `xitca-web`.
+//! The HTTP listeners, each with a port of its own, so that what one offers can't be reached at another's.
+//!
+//! `callers` accepts the connections of callers and of the back end (`hyper`), whose requests `proxy` answers; `admin` serves
+//! operators and `registry` the back end's heartbeats (`xitca-web`). Started at startup; a planned stop ends callers' new
+//! connections only, through [`Listeners::refuse_callers`].
 
 mod admin;
 mod answers;
@@ -7,6 +10,7 @@
 mod callers;
 mod proxy;
 mod registry;
+mod responses;
 
 use crate::shared::Shared;
 use bytes::Bytes;
@@ -28,13 +32,13 @@
 use callers::CallerListener;
 use proxy::RequestHandler;
 
-/// How long an idle connection is kept.
+/// How long an idle connection of an operator or back end is kept. Chosen, not measured.
 const KEEP_ALIVE: Duration = Duration::from_secs(30);
-/// Longest wait for a request head.
+/// Longest wait for a request head of an operator or back end. Chosen, not measured.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Buffer for a request head in bytes; the filters' own limits are lower and answer better.
+/// Largest head of a request of an operator or back end, in bytes. Chosen, not measured.
 const HEAD_BUFFER: usize = 64 * 1024;
-/// Most header fields.
+/// Most header fields of such a request. Chosen, not measured.
 const HEADER_FIELDS: usize = 96;
 
 /// A running listener.
@@ -44,7 +48,7 @@
 }
 
 impl Listener {
-    /// Finishes what is in progress and ends the threads, for at most `longest`.
+    /// Finishes what is in progress and ends the threads, or returns after `longest`.
     pub fn stop(self, longest: Duration) {
         (self.stop)();
         let end = Instant::now() + longest;
@@ -88,7 +92,9 @@
         let mut running = server.run();
         // An error shows at the receiver as a closed channel.
         let _ = running.handle().map(|handle| sender.send(handle));
-        let _ = running.wait();
+        if let Err(error) = running.wait() {
+            warn!(error = error.to_string().as_str(); "a listener ended with an error");
+        }
     })?;
     let handle = receiver.recv().map_err(std::io::Error::other)?;
     Ok(Listener { stop: Box::new(move || handle.stop(true)), thread })
@@ -102,7 +108,8 @@
     TcpListener::bind(SocketAddr::from(address))
 }
 
-/// The port of collectors is fixed while all others are drawn, so it may be taken. Requests matter more.
+/// The port that collectors read is fixed, while the deployment chooses all others, so it may be taken. Requests are served all
+/// the same.
 fn bind_metrics(address: Address) -> Option<TcpListener> {
     bind(address)
         .inspect_err(|error| {
@@ -115,7 +122,7 @@
 /// The listeners of a running daemon.
 pub struct Listeners {
     callers: Vec<CallerListener>,
-    /// Operators' and back ends', which stay to the end.
+    /// Those of operators and back ends, which stay open until the process ends.
     _control: Vec<Listener>,
 }
 
--- /dev/null
+++ b/crates/seamhatchd/src/listeners/responses.rs
@@ -0,0 +1,117 @@
+//! The responses to callers: a back end's answer, the recorded answer of an earlier attempt, or a rejection.
+//!
+//! Each ended request is counted and logged here, once. Header fields that say what became of the request are the
+//! conventions'.
+
+use super::body::{self, CallerBody, OpenRequest};
+use super::proxy::RequestHandler;
+use crate::base::clock;
+use crate::conventions::headers;
+use crate::conventions::{AnswerMark, OwnAnswer};
+use crate::dispatch::Answer;
+use crate::filters::{RETURN_JITTER, Rejection, RequestState};
+use bytes::Bytes;
+use http::header::CONTENT_LENGTH;
+use http::{Response, StatusCode};
+use log::info;
+use seamhatch_core::clock::{MILLISECOND, Microseconds};
+use seamhatch_core::outcome::Outcome;
+use seamhatch_wire::{HeaderField, RecordedAnswer};
+
+impl RequestHandler {
+    /// The answer of a back end, whose body is still on its way.
+    pub(super) fn pass(
+        &self,
+        request: &RequestState,
+        answer: Answer,
+        open: OpenRequest,
+    ) -> Response<CallerBody> {
+        let took = clock::now().since(request.arrived);
+        self.shared.metrics.request_ended(Outcome::Answered, request.class, took);
+        info!(
+            request = request.log_name().as_str(),
+            service = request.service.as_str(),
+            class = request.class.name(),
+            status = answer.head.status,
+            server = answer.server.to_string().as_str(),
+            dispatches = answer.dispatches,
+            generation = self.shared.snapshot().generation().0,
+            took_ms = took / MILLISECOND;
+            "request answered"
+        );
+        let (status, fields) = (answer.head.status, answer.head.headers.clone());
+        let body = if request.claim_text.is_some() {
+            body::recorded(answer, open)
+        } else {
+            body::streamed(answer, open)
+        };
+        self.response(request, status, &fields, Outcome::Answered, body)
+    }
+
+    /// The recorded answer of an earlier attempt with the same key.
+    pub(super) fn repeat(&self, request: &RequestState, recorded: RecordedAnswer) -> Response<CallerBody> {
+        let body = body::whole(Bytes::from(recorded.body));
+        self.response(request, recorded.status, &recorded.headers, Outcome::Duplicate, body)
+    }
+
+    fn response(
+        &self,
+        request: &RequestState,
+        status: u16,
+        fields: &[HeaderField],
+        outcome: Outcome,
+        body: CallerBody,
+    ) -> Response<CallerBody> {
+        let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
+        let mut response = Response::new(body);
+        *response.status_mut() = status;
+        headers::append_fields(response.headers_mut(), fields);
+        if status.is_informational() || matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED) {
+            response.headers_mut().remove(CONTENT_LENGTH);
+            *response.body_mut() = body::whole(Bytes::new());
+        }
+        self.mark(request, outcome, &mut response);
+        response
+    }
+
+    /// The daemon's own answer to a request that no back end answers.
+    pub(super) fn reject(&self, request: &RequestState, rejection: &Rejection) -> Response<CallerBody> {
+        let took = clock::now().since(request.arrived);
+        self.shared.metrics.refusal(rejection.outcome, rejection.reason, request.class);
+        self.shared.metrics.request_ended(rejection.outcome, request.class, took);
+        let retry_after = rejection.retry_after.map(jittered);
+        info!(
+            request = request.log_name().as_str(),
+            service = request.service.as_str(),
+            class = request.class.name(),
+            tenant = request.tenant.as_ref().map_or("", |tenant| tenant.name.as_str()),
+            outcome = rejection.outcome.name(),
+            reason = rejection.reason.name(),
+            detail = rejection.detail.as_str(),
+            generation = self.shared.snapshot().generation().0,
+            took_ms = took / MILLISECOND,
+            retry_after_ms = retry_after.unwrap_or_default() / 1000;
+            "request not answered"
+        );
+        let answer = OwnAnswer {
+            outcome: rejection.outcome,
+            reason: rejection.reason,
+            status: rejection.status(),
+            retry_after,
+            detail: &rejection.detail,
+        };
+        let mut response = self.shared.conventions.own_answer(&answer).map(body::whole);
+        self.mark(request, rejection.outcome, &mut response);
+        response
+    }
+
+    fn mark(&self, request: &RequestState, outcome: Outcome, response: &mut Response<CallerBody>) {
+        let generation = self.shared.snapshot().generation();
+        let mark = AnswerMark { outcome, root: request.root, generation };
+        self.shared.conventions.mark(response.headers_mut(), &mark);
+    }
+}
+
+fn jittered(span: Microseconds) -> Microseconds {
+    (span as f64 * (1.0 + RETURN_JITTER * rand::random::<f64>())) as Microseconds
+}
