--- a/crates/seamhatchd/src/filters/classification.rs
+++ b/crates/seamhatchd/src/filters/classification.rs
@@ -1,4 +1,6 @@
-//! What the policy program decides for a request.
+//! The operator's policy applied to a request: class, retry tokens, deadline, objective, and whether it is repeatable.
+//!
+//! Makes the [`RunningCall`] that the request's calls belong to.
 
 use crate::base::clock;
 use crate::base::metrics::BadInput;
@@ -47,8 +49,8 @@
     }
 }
 
-/// Takes the decision that was made for the route, or runs the policy where it depends on more, and
-/// bounds it by what the caller tells.
+/// Takes the decision that was made for the route, or runs the policy where the decision depends on more than the route. The
+/// time that the caller waits bounds the deadline.
 pub struct RouteDecision;
 
 impl RequestFilter for RouteDecision {
@@ -63,13 +65,13 @@
             None => configuration.policy().decide(&policy_request(&configuration, request)),
         };
         let now = clock::now();
-        let held = request.terms.remaining.map_or(decision.deadline, |left| left.min(decision.deadline));
+        let deadline = request.terms.remaining.map_or(decision.deadline, |left| left.min(decision.deadline));
         request.repeatable = decision.repeatable;
         let ledger = RetryLedger::new(decision.retries, false);
         let call = match request.parent.take() {
             Some(parent) => {
                 request.class = parent.priority.class;
-                RunningCall::caused_by(parent, now.plus(held), ledger)
+                RunningCall::caused_by(parent, now.plus(deadline), ledger)
             }
             None => {
                 request.class = decision.class;
@@ -79,7 +81,7 @@
                     request.objective = objective;
                 }
                 let priority = Priority::new(decision.class, request.root);
-                RunningCall::new(request.root, priority, now, now.plus(held), 0, ledger)
+                RunningCall::new(request.root, priority, now, now.plus(deadline), 0, ledger)
             }
         };
         request.parent = Some(Arc::new(call));
@@ -88,10 +90,10 @@
     }
 }
 
-/// Gives a back end's own call its parent's class, and asks the policy whether it may run again.
+/// Gives a back end's own call its parent's class, and has the policy decide whether it is repeatable.
 pub struct InheritedClass;
 
-/// Deadline of a back end's own request that no request from outside caused.
+/// Deadline of a back end's own request that no request from outside caused. Chosen, not measured.
 const ORPHAN_DEADLINE: u64 = 10 * SECOND;
 
 impl RequestFilter for InheritedClass {
@@ -119,6 +121,7 @@
     Rejection::not_run(Reason::NotReady, "this daemon has no configuration yet; submit one")
 }
 
+/// The request as the policy sees it. Header fields that are no text are left out.
 fn policy_request(configuration: &Configuration, request: &RequestState) -> PolicyRequest {
     let headers: BTreeMap<String, String> = request
         .headers
--- a/crates/seamhatchd/src/filters/context.rs
+++ b/crates/seamhatchd/src/filters/context.rs
@@ -1,4 +1,4 @@
-//! Trusted fields: removed from requests from outside, read from the back end's own calls.
+//! The call that caused a request: trusted fields are removed from requests from outside and read from the back end's calls.
 
 use crate::base::metrics::BadInput;
 use crate::conventions::headers;
@@ -21,10 +21,10 @@
     }
 }
 
-/// Looks up the running call whose name the caller gives as its parent's.
+/// Finds the running call whose name the request gives as its parent's.
 ///
-/// Only a hint that is checked: without such a call at this very daemon the request stands by itself.
-/// It takes over the parent's place in the order of shedding, so that work already begun is finished.
+/// The name is a hint: without such a call at this very daemon the request is a caller's own. With it, the request takes over
+/// the parent's priority, so that work that has begun is finished.
 pub struct ParentFromName;
 
 impl RequestFilter for ParentFromName {
@@ -40,9 +40,8 @@
 
 /// Finds the running call that the context header names.
 ///
-/// A call without the header counts as a new request, without retry tokens.
-/// One whose parent is unknown is refused: the parent has ended or was given
-/// up, so nobody can use the result.
+/// A call without the header counts as a new request, without retry tokens. One whose parent is unknown is rejected: the parent
+/// has ended or was given up, so nobody can use the result.
 pub struct ParentFromContext;
 
 impl RequestFilter for ParentFromContext {
--- a/crates/seamhatchd/src/filters/idempotency.rs
+++ b/crates/seamhatchd/src/filters/idempotency.rs
@@ -1,4 +1,4 @@
-//! What a call that may not be repeated is claimed by.
+//! The text that a call that is not repeatable is claimed by. The claim itself is made at dispatch.
 
 use crate::base::metrics::BadInput;
 use crate::conventions::headers;
@@ -6,11 +6,11 @@
 use crate::shared::Shared;
 use seamhatch_core::outcome::Reason;
 
-/// Longest idempotency key, in bytes.
+/// Longest idempotency key, in bytes. Chosen, not measured.
 const LONGEST_KEY: usize = 256;
 
-/// Takes the caller's idempotency key. It counts within the caller's own
-/// credentials, so that no caller can ask for another's recorded answer.
+/// Reads the caller's idempotency key. It counts within the caller's own credentials, so that no caller can ask for another's
+/// recorded answer.
 ///
 /// A request without a key is dispatched once and needs no claim.
 pub struct CallerKey;
@@ -28,9 +28,8 @@
     }
 }
 
-/// Claims every call in a chain that may not be repeated: by the back end's own
-/// key where it sets one, else (with the body's digest, added at dispatch) by
-/// its content within the request, so that two runs of a parent make one call.
+/// Has every call in a chain that is not repeatable claimed: by the back end's own key where it sets one, else by its content
+/// within the root request (dispatch adds the digest of the body), so that two runs of a parent make one call.
 pub struct ChainKey;
 
 impl RequestFilter for ChainKey {
--- a/crates/seamhatchd/src/filters/identity.rs
+++ b/crates/seamhatchd/src/filters/identity.rs
@@ -1,7 +1,7 @@
-//! Whose request it is: by its key, or by the call that causes it.
+//! Which tenant a request belongs to: by its key, or by the call that causes it.
 //!
-//! A key is looked at here and goes no further: neither the policy nor other daemons, back ends, claims or
-//! records of answers get it. The tenant's name takes its place.
+//! A key goes no further than this filter: the policy, other daemons, back ends, claims and recorded answers don't get it. The
+//! tenant's name takes its place. Keys count only while a freshness proof is young enough.
 
 use crate::conventions::{CallerCredential, field};
 use crate::filters::{Rejection, RequestFilter, RequestState};
@@ -13,14 +13,14 @@
 
 /// Field in which callers send their key.
 const AUTHORIZATION: &str = "authorization";
-/// A daemon that could not show that its configuration is the newest asks the store again within this time.
+/// When to come back to a daemon that could not prove that its configuration is the newest: it asks the store again within
+/// this time. Chosen, not measured.
 const PROOF_RETURN: Microseconds = 500 * MILLISECOND;
 
 /// Finds the tenant by the key and puts its name in the key's place.
 ///
-/// A call of work that runs here has its request's tenant and needs no key. One that brings a key is a
-/// caller's all the same. Without tenants, the configuration says nothing of keys, and what callers
-/// send passes through.
+/// A call made for a request that runs here belongs to that request's tenant and needs no key. One that brings a key counts as
+/// a caller's own request. Where the configuration has no tenants, keys are not checked and pass through.
 pub struct Identity;
 
 impl RequestFilter for Identity {
@@ -67,7 +67,7 @@
 }
 
 fn holder(shared: &Shared, configuration: &Configuration, key: KeyDigest) -> Result<Arc<Tenant>, Rejection> {
-    // Before anything is said of the key: what is in force here may be out of date either way.
+    // Before the key is looked up: an outdated configuration may still hold it, or not hold it yet.
     if !shared.limits.freshness.is_proved() {
         let detail = "this daemon can't show that its keys are the newest; come back after Retry-After";
         return Err(Rejection::not_run(Reason::NoProof, detail).retry_after(PROOF_RETURN));
--- a/crates/seamhatchd/src/filters/limits.rs
+++ b/crates/seamhatchd/src/filters/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds on what a request may carry, as the configuration that decides it tells them.
+//! Bounds on the size of a request, by the configuration that decides it.
 
 use crate::base::metrics::BadInput;
 use crate::filters::{Rejection, RequestFilter, RequestState};
@@ -6,19 +6,20 @@
 use seamhatch_core::outcome::Reason;
 use seamhatch_policy::LimitSettings;
 
-/// Refuses oversized requests.
+/// Rejects oversized requests.
 pub struct RequestLimits;
 
 impl RequestFilter for RequestLimits {
     fn apply(&self, shared: &Shared, request: &mut RequestState) -> Result<(), Rejection> {
         let configuration = request.configuration()?;
-        let Some(rejection) = above(configuration.limits(), request) else { return Ok(()) };
+        let Some(rejection) = oversize(configuration.limits(), request) else { return Ok(()) };
         shared.metrics.bad_input(BadInput::Request);
         Err(rejection)
     }
 }
 
-fn above(limits: &LimitSettings, request: &RequestState) -> Option<Rejection> {
+/// The rejection of a request that is above a limit.
+fn oversize(limits: &LimitSettings, request: &RequestState) -> Option<Rejection> {
     let too_large = |reason, detail| Some(Rejection::not_run(reason, detail));
     let (path, fields) = (request.path.len(), request.field_bytes);
     if path > limits.path_bytes {
--- a/crates/seamhatchd/src/filters/mod.rs
+++ b/crates/seamhatchd/src/filters/mod.rs
@@ -1,6 +1,9 @@
-//! The request path: filters that look at a request before it is dispatched.
+//! The filters that a request passes before it is dispatched.
 //!
-//! [`ingress_chain`] and [`egress_chain`] show the whole order in one place.
+//! Each filter reads the request and the shared state, adds its decision to [`RequestState`], or rejects the request, which has
+//! not run then. Filters don't wait. [`ingress_chain`], [`egress_chain`] and [`shared_chain`] show the order, with the reason for
+//! each place; `listeners` runs the chain of its entry. Claims, quotas and the limits on retries come later, as they wait for
+//! other daemons or are charged for each attempt: see `listeners::proxy` and `dispatch`.
 
 mod classification;
 mod context;
@@ -24,7 +27,7 @@
 
 /// One step of the request path.
 pub trait RequestFilter: Send + Sync {
-    /// Looks at a request and adds what it decides.
+    /// Checks a request and adds what the filter decides.
     ///
     /// # Errors
     /// The [`Rejection`] that ends the request; it has not run then.
@@ -38,9 +41,9 @@
 #[must_use]
 pub fn ingress_chain() -> FilterChain {
     vec![
-        // Cheapest first: a daemon that is leaving or has no configuration decides nothing.
+        // Cheapest first: a draining daemon, or one without a configuration, decides nothing.
         Box::new(readiness::Readiness),
-        // One configuration decides the whole request. Without one, nothing is known to be wrong with it.
+        // One configuration decides the whole request. Without one, no request can be called wrong.
         Box::new(readiness::PinConfiguration),
         // Before anything reads the fields, so that later filters see bounded input.
         Box::new(limits::RequestLimits),
@@ -48,13 +51,13 @@
         Box::new(context::RemoveTrustedFields),
         // The policy's decision may depend on the service.
         Box::new(routing::RouteByPath),
-        // Some routes need no key. The policy sees the tenant, and what comes later no key.
+        // After the route, as some need no key. The policy sees the tenant; what comes later sees no key.
         Box::new(identity::Identity),
-        // Sets class, retry tokens, deadline and whether the request may run again.
+        // Sets class, retry tokens, deadline and whether the request is repeatable.
         Box::new(classification::Classification),
-        // Needs to know whether the request may run again.
+        // Needs to know whether the request is repeatable.
         Box::new(idempotency::CallerKey),
-        // Last, as it needs the class and the route: refuse what a service below would refuse.
+        // Last, as it needs the class and the route: refuses what a service below would refuse.
         Box::new(entry_floor::EntryFloorCheck),
     ]
 }
@@ -63,7 +66,7 @@
 #[must_use]
 pub fn egress_chain() -> FilterChain {
     vec![
-        // One configuration decides the whole request. Without one, nothing is known to be wrong with it.
+        // One configuration decides the whole request. Without one, no request can be called wrong.
         Box::new(readiness::PinConfiguration),
         // A draining daemon still lets its running calls finish, so there is no readiness check.
         Box::new(limits::RequestLimits),
@@ -73,7 +76,7 @@
         Box::new(identity::InheritedTenant),
         // The first segment of the path names the service.
         Box::new(routing::ServiceFromPath),
-        // Only asks whether the call may run again; the class is the parent's.
+        // Only decides whether the call is repeatable; the class is the parent's.
         Box::new(classification::InheritedClass),
         // After the service is known, since keys count within a service.
         Box::new(idempotency::ChainKey),
@@ -84,24 +87,24 @@
 #[must_use]
 pub fn shared_chain() -> FilterChain {
     vec![
-        // One configuration decides the whole request. Without one, nothing is known to be wrong with it. A
-        // daemon that is leaving still serves callers.
+        // One configuration decides the whole request. Without one, no request can be called wrong. A draining
+        // daemon still serves callers.
         Box::new(readiness::PinConfiguration),
         // Before anything reads the fields, so that later filters see bounded input.
         Box::new(limits::RequestLimits),
         // With no route, nothing can be decided.
         Box::new(routing::RouteByHostAndPath),
-        // What no back end takes is not sent to any.
+        // Back ends would refuse a request without a name.
         Box::new(naming::RequiredName),
-        // A call of work that runs here keeps its request's place in the order of shedding.
+        // A call made for a request that runs here keeps the priority of that request.
         Box::new(context::ParentFromName),
-        // Calls of work that runs here need no key, and some routes need none. What comes later sees no key.
+        // Calls made for a request that runs here need no key, and some routes need none. What comes later sees no key.
         Box::new(identity::Identity),
-        // After it is known whose call it is: what runs here must be able to finish.
+        // After the parent is known: what runs here must be able to finish.
         Box::new(readiness::BeforeTheEnd),
         // Sets class, attempts, deadline and objective; a parent found before takes precedence.
         Box::new(classification::RouteDecision),
-        // Last, as it needs the class and the route: refuse what a service below would refuse.
+        // Last, as it needs the class and the route: refuses what a service below would refuse.
         Box::new(entry_floor::EntryFloorCheck),
     ]
 }
@@ -109,14 +112,14 @@
 /// Runs a chain.
 ///
 /// # Errors
-/// The first filter's [`Rejection`]. A daemon that does not know yet whether it has the newest configuration,
-/// or knows that it has not, turns down nothing for good by the one that it has.
+/// The first filter's [`Rejection`]. A daemon that doesn't know yet whether it has the newest configuration, or knows that it
+/// hasn't, rejects nothing for good on the strength of the one that it has.
 pub fn run_chain(chain: &FilterChain, shared: &Shared, request: &mut RequestState) -> Result<(), Rejection> {
-    // Before the chain takes hold of a configuration: a newer one may come into force meanwhile.
-    let newest = shared.lifecycle.is_ready() && !shared.control.is_behind(clock::now());
+    // Checked before the chain pins a configuration, as a newer one may come into force meanwhile.
+    let has_newest = shared.lifecycle.is_ready() && !shared.control.is_behind(clock::now());
     let rejected = chain.iter().try_for_each(|filter| filter.apply(shared, request));
     rejected.map_err(|rejection| {
-        if newest || !rejection.rests_on_configuration() {
+        if has_newest || !rejection.rests_on_configuration() {
             return rejection;
         }
         let detail = "this daemon's configuration may be out of date; come back after Retry-After";
--- a/crates/seamhatchd/src/filters/readiness.rs
+++ b/crates/seamhatchd/src/filters/readiness.rs
@@ -1,4 +1,4 @@
-//! Refuses requests while the daemon is leaving or has no configuration.
+//! Rejects requests while the daemon drains or has no configuration, and pins the configuration that decides a request.
 
 use crate::conventions::headers;
 use crate::filters::{Rejection, RequestFilter, RequestState};
@@ -6,7 +6,7 @@
 use seamhatch_core::clock::{MILLISECOND, Microseconds};
 use seamhatch_core::outcome::Reason;
 
-/// Refuses at once, so that the caller goes to another daemon.
+/// Rejects at once, so that the caller goes to another daemon.
 pub struct Readiness;
 
 impl RequestFilter for Readiness {
@@ -22,18 +22,18 @@
             return Ok(());
         };
         if request.header(headers::IDEMPOTENCY_KEY).is_some() {
-            // An earlier attempt with this key may have run; this daemon does not find out.
+            // An earlier attempt with this key may have run; this daemon can't find out now.
             return Err(Rejection::unknown(reason, detail));
         }
         Err(Rejection::not_run(reason, detail))
     }
 }
 
-/// Refuses callers that come so late in a planned stop that the end of the process would cut them off.
-/// Some still come, where too few other daemons are near.
+/// Rejects requests that come so late in a planned stop that the end of the process would cut them off. Callers still come then
+/// where too few other daemons are near.
 pub struct BeforeTheEnd;
 
-/// A restarted daemon serves again by then, as one that takes no callers soon has nothing to wait for.
+/// When to come back: a daemon that takes no callers ends soon, and a restarted one serves by then. Chosen, not measured.
 const RETURN_AFTER: Microseconds = 800 * MILLISECOND;
 
 impl RequestFilter for BeforeTheEnd {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Holds on to the configuration in force, so that one configuration decides the whole request.
+/// Pins the configuration in force, so that one configuration decides the whole request.
 pub struct PinConfiguration;
 
 impl RequestFilter for PinConfiguration {
--- a/crates/seamhatchd/src/filters/request.rs
+++ b/crates/seamhatchd/src/filters/request.rs
@@ -1,4 +1,4 @@
-//! A request on its way through the filters.
+//! A request on its way through the filters, and what they have decided so far.
 
 use crate::base::clock;
 use crate::conventions::CallerTerms;
@@ -39,27 +39,27 @@
     pub headers: Vec<HeaderField>,
     /// Host that it was sent to, as `host_name` spells it.
     pub host: Option<String>,
-    /// What its caller tells.
+    /// What its caller states by header fields.
     pub terms: CallerTerms,
-    /// The configuration that decides it from its first filter on, whatever comes into force meanwhile.
+    /// The configuration that decides it, whatever comes into force meanwhile.
     pub configuration: Option<Arc<Configuration>>,
-    /// Header fields as its caller sent them, names and values, in bytes.
+    /// Size of the header fields as its caller sent them, names and values, in bytes.
     pub field_bytes: usize,
-    /// Length of its body, when it says so.
+    /// Length of its body in bytes, where the request states it.
     pub body_length: Option<u64>,
     /// Service that it goes to.
     pub service: String,
-    /// Key under which admission floors are learnt, at ingress.
+    /// Kind of the request, under which the entry learns admission floors and answer times.
     pub entry_key: String,
     /// Order of shedding.
     pub class: PriorityClass,
     /// Request it belongs to.
     pub root: RootId,
-    /// The call that caused it; made for a request from outside.
+    /// The call that caused it; for a request from outside, the request itself as its calls' parent.
     pub parent: Option<Arc<RunningCall>>,
     /// Whether its route needs no key.
     pub anonymous: bool,
-    /// Whose key it brought.
+    /// The tenant whose key it brought.
     pub tenant: Option<Arc<Tenant>>,
     /// Whether it may run more than once.
     pub repeatable: bool,
@@ -67,7 +67,7 @@
     pub objective_left: Microseconds,
     /// Time from its arrival in which its answer is early.
     pub objective: Microseconds,
-    /// What its claim is about, for one that may not be repeated.
+    /// What it is claimed by, where it is not repeatable.
     pub claim_text: Option<String>,
 }
 
@@ -109,14 +109,14 @@
         self.configuration.clone().ok_or_else(|| Rejection::not_run(Reason::NotReady, detail))
     }
 
-    /// Takes it for a request of its own, whatever call its name seemed to belong to.
+    /// Makes it a caller's own request, whatever call it named as its parent.
     pub fn stand_alone(&mut self) {
         if self.parent.take().is_some() {
             self.root = RootId(rand::random());
         }
     }
 
-    /// How logs name it: as its caller does, else by its root id.
+    /// How logs name the request: as its caller does, else by its root id.
     #[must_use]
     pub fn log_name(&self) -> String {
         self.terms.name.clone().unwrap_or_else(|| self.root.to_string())
--- a/crates/seamhatchd/src/filters/routing.rs
+++ b/crates/seamhatchd/src/filters/routing.rs
@@ -1,4 +1,4 @@
-//! Which service a request goes to.
+//! Which service a request goes to: by its route, or for a back end's own call by the first segment of its path.
 
 use crate::filters::{Rejection, RequestFilter, RequestState};
 use crate::shared::Shared;
@@ -40,7 +40,7 @@
     }
 }
 
-/// Segments of a path that tell kinds of requests apart; what follows are mostly identifiers.
+/// Leading segments of a path that make up the kind of a request; what follows are mostly identifiers. Chosen, not measured.
 const KIND_SEGMENTS: usize = 2;
 
 fn first_segments(path: &str) -> String {
