--- a/crates/seamhatchd/src/base/keepalive.rs
+++ b/crates/seamhatchd/src/base/keepalive.rs
@@ -1,23 +1,23 @@
-//! Finding out that a TCP connection has fallen silent: nothing comes and nothing is acknowledged, but
-//! no reset tells it.
+//! Detecting a TCP connection that has fallen silent: nothing comes and nothing is acknowledged, but no reset arrives.
 //!
-//! Probes of the kernel cost neither side a call. They show a silent connection, not a process that
-//! reads and doesn't answer. An idle connection is probed; where bytes are on their way, no probe is
-//! sent, and the time without an acknowledgement counts.
+//! The kernel's probes cost neither side a call. They detect a silent connection, not a process that reads and doesn't answer.
+//! An idle connection is probed; while bytes are on their way no probe is sent, and the time without an acknowledgement
+//! counts. Used for connections to the back end and to the store.
 
 use rustix::net::sockopt;
 use std::io;
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// An idle connection is probed after this time; the kernel counts whole seconds.
+/// An idle connection is probed after this time: the shortest that the kernel allows, as it counts whole seconds.
 pub const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
-/// Time between two probes.
+/// Time between two probes: the shortest that the kernel allows.
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes without an answer after which the connection is closed; a single one may be lost.
+/// Probes without an answer after which the connection is closed, as a single one may be lost. With it, a change in the store
+/// was in force 2.1 s after its watch had fallen silent, against more than 20 s without probes.
 pub const KEEPALIVE_PROBES: u32 = 2;
-/// A connection on which nothing was acknowledged for this long is closed. A second less than a daemon
-/// may take to get over a disturbance of its connections, so that a new connection has time to work.
+/// A connection on which nothing was acknowledged for this long is closed. One second less than the 3 s in which a daemon must
+/// recover from a disturbance of its connections, so that a new connection has time to work.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// When a connection counts as silent.
@@ -30,7 +30,7 @@
     Always,
 }
 
-/// Has the kernel close a connection that has fallen silent; whatever uses it meets an error.
+/// Has the kernel close the connection when it falls silent; its user then gets an error.
 ///
 /// # Errors
 /// The kernel refuses an option.
--- a/crates/seamhatchd/src/conventions/headers.rs
+++ b/crates/seamhatchd/src/conventions/headers.rs
@@ -1,4 +1,4 @@
-//! Names of the HTTP header fields that seamhatch sets, and which fields pass through.
+//! Names of the product's HTTP header fields, and which fields of a message pass through the daemon.
 
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 use seamhatch_wire::HeaderField;
@@ -50,7 +50,8 @@
         .collect()
 }
 
-/// Adds fields to a message, leaving out those that aren't valid HTTP.
+/// Adds fields to a message. Fields that aren't valid HTTP are left out: they were read from valid HTTP, so only a peer with
+/// a fault sends one.
 pub fn append_fields(headers: &mut HeaderMap, fields: &[HeaderField]) {
     for field in fields {
         let name = HeaderName::from_bytes(field.name.as_bytes());
--- a/crates/seamhatchd/src/conventions/mod.rs
+++ b/crates/seamhatchd/src/conventions/mod.rs
@@ -1,8 +1,8 @@
-//! How HTTP carries what the daemon needs to know of a request, at the entry and towards back ends.
+//! How HTTP carries names, deadlines and outcomes, between callers, the daemon and the back end.
 //!
-//! The daemon decides; a set of conventions only says which header field holds a name, a deadline or
-//! an outcome, and what a back end's answer says. [`OwnConventions`] are the product's. An adapter for
-//! a platform brings its own.
+//! The daemon decides; a set of conventions only translates between header fields and the types here. [`OwnConventions`] are
+//! the product's; an adapter for a platform brings its own. Used by listeners and filters at the entry, and by the code that
+//! talks to the back end. Conventions keep no state.
 
 pub mod headers;
 mod own;
@@ -25,7 +25,7 @@
 /// Scheme under which callers send keys, in lower case.
 const KEY_SCHEME: &[u8] = b"bearer";
 
-/// What a caller shows of who it is.
+/// What a caller presents to show who it is.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum CallerCredential {
     /// Nothing.
@@ -56,7 +56,7 @@
     }
 }
 
-/// What a caller tells of its request.
+/// What a caller states about its request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CallerTerms {
     /// Its name, unique among requests.
@@ -66,9 +66,9 @@
     pub parent: Option<String>,
     /// Reference to the running call that caused it, made by this daemon.
     pub context: Option<String>,
-    /// How long the caller waits.
+    /// How long the caller waits, from the request's arrival; none where it doesn't say.
     pub remaining: Option<Microseconds>,
-    /// Who it is.
+    /// What it presents to show who it is.
     pub credential: CallerCredential,
 }
 
@@ -98,7 +98,7 @@
     Unusable(&'static str),
 }
 
-/// How the daemon answers in place of a back end.
+/// An answer of the daemon in place of a back end's.
 #[derive(Debug, Clone, Copy)]
 pub struct OwnAnswer<'a> {
     /// What is known of the request.
@@ -107,13 +107,13 @@
     pub reason: Reason,
     /// Status.
     pub status: StatusCode,
-    /// When to come back.
+    /// When to come back, jitter included; none where coming back doesn't help.
     pub retry_after: Option<Microseconds>,
     /// What to do about it.
     pub detail: &'a str,
 }
 
-/// What every answer may tell of its request.
+/// What every answer may say about its request.
 #[derive(Debug, Clone, Copy)]
 pub struct AnswerMark {
     /// What became of it.
@@ -124,50 +124,50 @@
     pub generation: Generation,
 }
 
-/// A set of conventions. Implementations keep no state and decide nothing.
+/// A set of conventions. Implementations keep no state and decide nothing; they are called on each request and must not block.
 pub trait HttpConventions: fmt::Debug + Send + Sync {
-    /// Reads what a caller tells.
+    /// Reads what a caller states about its request.
     fn caller_terms(&self, headers: &HeaderMap) -> CallerTerms;
 
-    /// Whether a request must have a name. Back ends turn down one that has none.
+    /// Whether a request must have a name, as back ends refuse one without.
     fn requires_name(&self) -> bool;
 
     /// Whether a request field goes on to the back end. Names are in lower case; fields of a single
     /// connection are left out before.
     fn passes_through(&self, name: &str) -> bool;
 
-    /// Fields that the entry adds, given the service beside it.
+    /// Fields that the entry adds to a request. `own_service` is the service beside this daemon.
     fn entry_fields(&self, own_service: &str) -> Vec<HeaderField>;
 
-    /// Field that tells a back end the name of the tenant, in lower case.
+    /// Name of the field that carries the tenant's name to back ends, in lower case.
     fn tenant_field(&self) -> &'static str;
 
-    /// Name of a request by the fields that pass through.
+    /// The caller's name of a request, from the fields that pass through; none where it has none.
     fn request_name<'a>(&self, fields: &'a [HeaderField]) -> Option<&'a str>;
 
     /// Fields that are set right before a call is written to the back end.
     fn back_end_fields(&self, call: &BackEndCall<'_>) -> Vec<HeaderField>;
 
-    /// Judges the head of a back end's answer.
+    /// What the head of a back end's answer says: an answer to the call, a refusal, or neither.
     fn judge(&self, call: &BackEndCall<'_>, status: StatusCode, headers: &HeaderMap) -> AnswerVerdict;
 
-    /// What a back end says of its load beside an answer; none where it says nothing that is understood.
+    /// The load that a back end reports beside an answer; none where it reports nothing that can be read.
     fn back_end_load(&self, headers: &HeaderMap) -> Option<BackEndLoad>;
 
-    /// An answer of the daemon itself.
+    /// The response for an answer of the daemon itself.
     fn own_answer(&self, answer: &OwnAnswer<'_>) -> Response<Bytes>;
 
-    /// Adds to any answer what callers may know.
+    /// Adds to any answer what callers may know about their request.
     fn mark(&self, headers: &mut HeaderMap, mark: &AnswerMark);
 }
 
-/// The value of a field, when it is text.
+/// The value of a field; none where there is none or it is no text.
 #[must_use]
 pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// The value of a field that passes through, when it is text.
+/// The value of a field that passes through; none where there is none or it is no text.
 #[must_use]
 pub fn field_text<'a>(fields: &'a [HeaderField], name: &str) -> Option<&'a str> {
     let field = fields.iter().find(|field| field.name == name)?;
--- a/crates/seamhatchd/src/conventions/own.rs
+++ b/crates/seamhatchd/src/conventions/own.rs
@@ -1,4 +1,4 @@
-//! The product's own header fields.
+//! The product's own conventions: `Seamhatch-*` header fields, and problems as JSON.
 
 use super::{
     AnswerMark, AnswerVerdict, BackEndCall, CallerCredential, CallerTerms, HttpConventions, OwnAnswer, field,
@@ -38,7 +38,7 @@
     }
 
     fn passes_through(&self, name: &str) -> bool {
-        // `expect` is answered here, and `host` is set anew by whoever sends the message on.
+        // `expect` is answered here, and `host` is set again for the back end.
         !name.starts_with(headers::PREFIX) && !matches!(name, "expect" | "host")
     }
 
@@ -66,8 +66,7 @@
         None
     }
 
-    /// `Retry-After` carries whole seconds, as the standard wants; the body tells milliseconds. Both
-    /// hold the same span.
+    /// `Retry-After` carries the span in whole seconds (RFC 9110, section 10.2.3), the body in milliseconds.
     fn own_answer(&self, answer: &OwnAnswer<'_>) -> Response<Bytes> {
         let problem = Problem {
             outcome: answer.outcome.name(),
@@ -75,6 +74,7 @@
             detail: answer.detail,
             retry_after_ms: answer.retry_after.map(|span| span.div_ceil(1000)),
         };
+        // A struct of text and numbers always serializes.
         let mut response = Response::new(Bytes::from(serde_json::to_vec(&problem).unwrap_or_default()));
         *response.status_mut() = answer.status;
         let fields = response.headers_mut();
