--- a/crates/seamhatchd/src/server/instances.rs
+++ b/crates/seamhatchd/src/server/instances.rs
@@ -1,11 +1,14 @@
-//! The back end's instance as the threads that carry traffic see it.
+//! Which instance of the back end takes calls, as the traffic threads see it.
+//!
+//! Owns the registry of instances where the back end registers with heartbeats; the control thread changes it, and calls read it
+//! right before they are written. The rules are [`seamhatch_core::instance`].
 
 use crate::base::lock::lock;
 use seamhatch_core::Instant;
 use seamhatch_core::instance::{Heartbeat, HeartbeatVerdict, InstanceId, InstanceRegistry, Refutation};
 use std::sync::Mutex;
 
-/// Whether the back end beside the daemon takes work, and under which name.
+/// Whether the back end takes calls, and under which name.
 #[derive(Debug)]
 pub enum Instances {
     /// The back end is always there; it has no name.
@@ -14,7 +17,7 @@
     Registered(Mutex<InstanceRegistry>),
 }
 
-/// The back end takes work.
+/// An instance that takes calls.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OpenInstance {
     /// Its name, where instances register.
@@ -28,7 +31,7 @@
         Self::Registered(Mutex::default())
     }
 
-    /// The instance that takes work, if there is one.
+    /// The instance that takes calls, if there is one.
     #[must_use]
     pub fn open(&self) -> Option<OpenInstance> {
         match self {
@@ -40,7 +43,7 @@
         }
     }
 
-    /// Whether an instance takes work.
+    /// Whether an instance takes calls.
     #[must_use]
     pub fn is_open(&self) -> bool {
         match self {
@@ -49,13 +52,13 @@
         }
     }
 
-    /// Whether the back end tells by itself when it leaves.
+    /// Whether instances report by themselves that they leave.
     #[must_use]
-    pub fn tell_departures(&self) -> bool {
+    pub fn report_departures(&self) -> bool {
         matches!(self, Self::Registered(_))
     }
 
-    /// Slots of the open instance and when it is warm; none where it doesn't register.
+    /// Slots of the open instance and when it is warm; none where instances don't register.
     #[must_use]
     pub fn capacity(&self) -> Option<(u32, Instant)> {
         match self {
@@ -64,7 +67,7 @@
         }
     }
 
-    /// When the registered instance was heard last.
+    /// When the registered instance last sent a heartbeat.
     #[must_use]
     pub fn heard(&self) -> Option<Instant> {
         match self {
@@ -73,7 +76,7 @@
         }
     }
 
-    /// Takes in a heartbeat; stale where instances don't register.
+    /// Records a heartbeat; stale where instances don't register.
     pub fn heartbeat(&self, heartbeat: Heartbeat, now: Instant) -> HeartbeatVerdict {
         match self {
             Self::Fixed => HeartbeatVerdict::Stale,
@@ -81,7 +84,7 @@
         }
     }
 
-    /// The life that is meant by who tells the name alone, as far as is known.
+    /// The instance meant by a name without a start time, as far as is known.
     #[must_use]
     pub fn resolve(&self, instance: InstanceId) -> InstanceId {
         match self {
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Takes in departures. True when that closes the registered instance.
+    /// Records departures. True when that closes the registered instance.
     pub fn depart<'a>(&self, departed: impl IntoIterator<Item = &'a InstanceId>) -> bool {
         match self {
             Self::Fixed => false,
@@ -102,7 +105,7 @@
         }
     }
 
-    /// Gives an instance no work until its next heartbeat. True when that closes it.
+    /// Sends an instance no calls until its next heartbeat. True when that closes it.
     pub fn suspend(&self, instance: &InstanceId) -> bool {
         match self {
             Self::Fixed => false,
@@ -110,7 +113,7 @@
         }
     }
 
-    /// The back end answered a call for an instance as another one.
+    /// Records that the back end answered a call for this instance as another one.
     pub fn refute(&self, instance: &InstanceId, now: Instant) -> Refutation {
         match self {
             Self::Fixed => Refutation::Known,
@@ -127,7 +130,7 @@
         }
     }
 
-    /// The registered instance, whether or not it takes work.
+    /// The registered instance, whether or not it takes calls.
     #[must_use]
     pub fn current(&self) -> Option<InstanceId> {
         match self {
@@ -136,7 +139,7 @@
         }
     }
 
-    /// Whether an instance has told that it leaves, so that its end is planned.
+    /// Whether an instance has reported that it leaves, so that its end is planned.
     #[must_use]
     pub fn is_leaving(&self, instance: &InstanceId) -> bool {
         match self {
--- a/crates/seamhatchd/src/server/running.rs
+++ b/crates/seamhatchd/src/server/running.rs
@@ -1,4 +1,7 @@
-//! Calls that run in the back end beside the daemon, and the context header that names them.
+//! Calls that run on the back end, and the context header that names them.
+//!
+//! [`RunningCalls`] owns the table of running calls, from which filters find the parent of a call that the back end makes. A
+//! [`RunningCall`] holds what its own calls inherit: priority, deadline, retry tokens and tenant.
 
 use crate::base::lock::lock;
 use base64::Engine as _;
@@ -18,7 +21,7 @@
 pub struct RunningCall {
     /// The request it belongs to.
     pub root: RootId,
-    /// Order of shedding.
+    /// Its priority, the same in every service of the request's chain.
     pub priority: Priority,
     /// When the root request was admitted, in the local clock.
     pub root_admitted: Instant,
@@ -26,7 +29,7 @@
     pub expiry: Instant,
     /// Services above it.
     pub depth: u32,
-    /// It is made by a run that repeats an earlier one, so that it may repeat an earlier call.
+    /// It is made by a run that may repeat an earlier one, so that it may itself repeat an earlier call.
     pub repeats: bool,
     ledger: Mutex<RetryLedger>,
     chain_floor: Mutex<Option<ChainFloor>>,
@@ -64,8 +67,8 @@
         }
     }
 
-    /// A call that the running call `cause` makes, with its own deadline and retries. It has the place
-    /// of its cause in the order of shedding, and tells it the floors that it meets.
+    /// A call that the running call `cause` makes, with its own deadline and retries. It has the priority of its cause and
+    /// reports to it the admission floors that it meets.
     #[must_use]
     pub fn caused_by(cause: Arc<RunningCall>, expiry: Instant, ledger: RetryLedger) -> Self {
         let expiry = cause.expiry.min(expiry);
@@ -77,7 +80,7 @@
         Self { cause: Some(cause), repeats, tenant, ..call }
     }
 
-    /// As a call of this tenant's request.
+    /// The same call, as one of this tenant's request.
     #[must_use]
     pub fn of_tenant(self, tenant: Option<&str>) -> Self {
         Self { tenant: tenant.map(str::to_owned), ..self }
@@ -106,7 +109,7 @@
         lock(&self.chain_floor).clone()
     }
 
-    /// Takes in a floor met below.
+    /// Records an admission floor met below, for itself and for its cause.
     pub fn lower_chain_floor(&self, floor: &ChainFloor) {
         if let Some(cause) = &self.cause {
             cause.lower_chain_floor(floor);
@@ -118,8 +121,8 @@
     }
 }
 
-/// What the context header holds. It names a running call; all that counts
-/// stays in the daemon, so that nothing can be forged or copied.
+/// What the context header holds. It only names a running call; what that call may do stays in the daemon, so that a forged or
+/// copied header gains nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Readable, Writable)]
 struct ContextToken {
     incarnation: Incarnation,
@@ -183,7 +186,7 @@
         Arc::new(Self { incarnation, next_handle: AtomicU64::new(1), calls: Mutex::default() })
     }
 
-    /// Registers a call that is about to run, under its request's name if it has one.
+    /// Registers a call that is about to run, under the name of its request if that has one.
     #[must_use]
     pub fn register(self: &Arc<Self>, call: Arc<RunningCall>, name: Option<&str>) -> Registration {
         let handle = self.next_handle.fetch_add(1, Ordering::Relaxed);
@@ -202,8 +205,8 @@
 
     /// The running call that a context header names.
     ///
-    /// None when the header is forged, comes from an earlier life of this
-    /// daemon, or names a call that has ended or was given up.
+    /// None when the header is forged or unreadable, comes from an earlier incarnation of this daemon, or names a call that has
+    /// ended or was given up.
     #[must_use]
     pub fn find(&self, header: &str) -> Option<Arc<RunningCall>> {
         let bytes = URL_SAFE_NO_PAD.decode(header).ok()?;
--- a/crates/seamhatchd/src/shared.rs
+++ b/crates/seamhatchd/src/shared.rs
@@ -98,10 +98,8 @@
         if !self.is_draining() {
             return CallIntake::Open;
         }
-        match self.lifecycle.time_left() {
-            Some(left) if left > 0 && self.server.instances.tell_departures() => {
-                CallIntake::FallbackOnly { left }
-            }
+        match self.time_left() {
+            Some(left) if left > 0 && self.instances.report_departures() => CallIntake::FallbackOnly { left },
             _ => CallIntake::Closed,
         }
     }
