--- a/crates/seamhatchd/src/claims/claimant.rs
+++ b/crates/seamhatchd/src/claims/claimant.rs
@@ -1,12 +1,18 @@
-//! Claiming the key of a call that may not be repeated, before it is dispatched.
+//! Claiming the key of a call that is not repeatable, before it is dispatched.
+//!
+//! A claim is won when a majority of the witnesses of the key's shard grants it; a key that another attempt holds tells
+//! that this one is a duplicate. Owns the numbers of this daemon's attempts. Relies on the published roster for the
+//! witnesses and on the pool for connections. Used by dispatch.
 
-use crate::controllers::ask_daemon;
-use crate::shared::Shared;
-use crate::snapshot::ShardView;
+use super::ClaimState;
+use crate::control::ControlHandle;
+use crate::peer::PeerPool;
+use crate::snapshot::{ShardView, Snapshot};
+use arc_swap::ArcSwap;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use seamhatch_core::claims::{Claim, ClaimHolder, ClaimKey, ClaimReply, ClaimRound, ClaimVerdict, Epoch};
-use seamhatch_core::identity::Fingerprint;
+use seamhatch_core::identity::{Address, Fingerprint, Incarnation};
 use seamhatch_core::outcome::Reason;
 use seamhatch_core::roster::WitnessId;
 use seamhatch_wire::{ControlReply, ControlRequest, PeerMessage, RecordedAnswer, RecordedState};
@@ -14,11 +20,12 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Longest wait for the witnesses.
+/// Longest wait for a witness, the connection to it included. Chosen, not measured.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Rounds that are tried while a shard changes its witnesses.
+/// Rounds that are tried while a shard changes its witnesses. With the pauses between them a claim lasts through 0.36 s
+/// of that. Chosen, not measured.
 const MOST_ROUNDS: u32 = 4;
-/// Pause between two rounds, multiplied by the number of rounds so far.
+/// Pause after the first round; after the second it is twice as long, and so on. Chosen, not measured.
 const ROUND_PAUSE: Duration = Duration::from_millis(60);
 
 /// Why a call may not be dispatched.
@@ -26,17 +33,28 @@
 pub enum ClaimRefused {
     /// The key was used with another request.
     KeyMismatch,
-    /// Nothing was or will be dispatched for this attempt; whether an earlier one
-    /// with the same key was is not known.
+    /// Nothing was or will be dispatched for this attempt; whether an earlier one with the same key was is not known.
     Undecided(Reason),
     /// An earlier attempt of the same request holds the key; its answer, if known.
     Duplicate(Option<RecordedAnswer>),
 }
 
+/// Makes the claims of this daemon's calls.
+#[derive(Debug)]
+pub struct Claimant {
+    daemon: Address,
+    incarnation: Incarnation,
+    claims: Arc<ClaimState>,
+    pool: Arc<PeerPool>,
+    published: Arc<ArcSwap<Snapshot>>,
+    control: ControlHandle,
+    next_attempt: AtomicU64,
+}
+
 /// A claim that was won. Dropping it before [`Claimed::dispatched`] gives it up.
 #[derive(Debug)]
 pub struct Claimed {
-    shared: Arc<Shared>,
+    claimant: Arc<Claimant>,
     key: ClaimKey,
     holder: ClaimHolder,
     shard: u32,
@@ -58,7 +76,7 @@
 
     /// The call was answered.
     pub fn answered(&self, answer: RecordedAnswer) {
-        self.shared.claims.records.set(self.key, self.holder, RecordedState::Answered(answer));
+        self.claimant.claims.records.set(self.key, self.holder, RecordedState::Answered(answer));
     }
 }
 
@@ -67,162 +85,189 @@
         if self.may_have_run {
             return;
         }
-        self.shared.claims.records.set(self.key, self.holder, RecordedState::GivenUp);
+        self.claimant.claims.records.set(self.key, self.holder, RecordedState::GivenUp);
         let release = PeerMessage::ReleaseClaim {
             shard: self.shard,
             epoch: self.epoch,
             key: self.key,
             holder: self.holder,
         };
-        send_to_witnesses(&self.shared, &self.witnesses, &release);
+        self.claimant.send_to_witnesses(&self.witnesses, &release);
     }
 }
 
-fn send_to_witnesses(shared: &Shared, witnesses: &[WitnessId], message: &PeerMessage) {
-    for witness in witnesses {
-        if let Some(connection) = shared.pool.existing(witness.daemon) {
-            connection.send(message.clone());
+/// Why a round was not won.
+enum RoundError {
+    Held(Claim),
+    NoMajority,
+}
+
+impl RoundError {
+    fn into_refusal(self) -> ClaimRefused {
+        match self {
+            Self::Held(_) => ClaimRefused::Duplicate(None),
+            Self::NoMajority => ClaimRefused::Undecided(Reason::NoClaimMajority),
         }
     }
 }
 
-static NEXT_ATTEMPT: AtomicU64 = AtomicU64::new(1);
-
-/// Claims `key` for a request with this digest.
-///
-/// # Errors
-/// [`ClaimRefused`]; the call must not be dispatched then.
-pub async fn claim(
-    shared: &Arc<Shared>,
-    key: ClaimKey,
-    request: Fingerprint,
-) -> Result<Claimed, ClaimRefused> {
-    let first = claim_in_rounds(shared, key, request).await;
-    let Err(TryError::Held(held)) = first else { return first.map_err(TryError::into_refusal) };
-    if held.request != request {
-        return Err(ClaimRefused::KeyMismatch);
+impl Claimant {
+    /// Makes claims as `daemon` in this incarnation.
+    #[must_use]
+    pub fn new(
+        daemon: Address,
+        incarnation: Incarnation,
+        claims: Arc<ClaimState>,
+        pool: Arc<PeerPool>,
+        published: Arc<ArcSwap<Snapshot>>,
+        control: ControlHandle,
+    ) -> Arc<Self> {
+        let next_attempt = AtomicU64::new(1);
+        Arc::new(Self { daemon, incarnation, claims, pool, published, control, next_attempt })
     }
-    match ask_holder(shared, &held).await {
-        RecordedState::Answered(answer) => Err(ClaimRefused::Duplicate(Some(answer))),
-        RecordedState::Undecided | RecordedState::Forgotten => Err(ClaimRefused::Duplicate(None)),
-        RecordedState::GivenUp => {
-            release_for(shared, &held);
-            try_claim(shared, key, request).await.map_err(TryError::into_refusal)
+
+    /// Claims `key` for a request with this fingerprint.
+    ///
+    /// # Errors
+    /// [`ClaimRefused`]; the call must not be dispatched then.
+    pub async fn claim(
+        self: &Arc<Self>,
+        key: ClaimKey,
+        request: Fingerprint,
+    ) -> Result<Claimed, ClaimRefused> {
+        let first = self.claim_in_rounds(key, request).await;
+        let Err(RoundError::Held(held)) = first else { return first.map_err(RoundError::into_refusal) };
+        if held.request != request {
+            return Err(ClaimRefused::KeyMismatch);
+        }
+        match self.ask_holder(&held).await {
+            RecordedState::Answered(answer) => Err(ClaimRefused::Duplicate(Some(answer))),
+            RecordedState::Undecided | RecordedState::Forgotten => Err(ClaimRefused::Duplicate(None)),
+            RecordedState::GivenUp => {
+                self.release_for(&held);
+                self.claim_in_round(key, request).await.map_err(RoundError::into_refusal)
+            }
         }
     }
-}
 
-/// Tries again while there is no majority: a shard that changes its witnesses
-/// grants nothing for a moment.
-async fn claim_in_rounds(
-    shared: &Arc<Shared>,
-    key: ClaimKey,
-    request: Fingerprint,
-) -> Result<Claimed, TryError> {
-    let mut round = 1;
-    loop {
-        match try_claim(shared, key, request).await {
-            Err(TryError::NoMajority) if round < MOST_ROUNDS => {
-                tokio::time::sleep(ROUND_PAUSE * round).await;
-                round += 1;
+    /// Tries again while there is no majority: a shard that changes its witnesses grants nothing for a moment.
+    async fn claim_in_rounds(
+        self: &Arc<Self>,
+        key: ClaimKey,
+        request: Fingerprint,
+    ) -> Result<Claimed, RoundError> {
+        let mut round = 1;
+        loop {
+            match self.claim_in_round(key, request).await {
+                Err(RoundError::NoMajority) if round < MOST_ROUNDS => {
+                    tokio::time::sleep(ROUND_PAUSE * round).await;
+                    round += 1;
+                }
+                other => return other,
             }
-            other => return other,
         }
     }
-}
-
-enum TryError {
-    Held(Claim),
-    NoMajority,
-}
 
-impl TryError {
-    fn into_refusal(self) -> ClaimRefused {
-        match self {
-            Self::Held(_) => ClaimRefused::Duplicate(None),
-            Self::NoMajority => ClaimRefused::Undecided(Reason::NoClaimMajority),
+    /// Asks all witnesses once, as an attempt of its own.
+    async fn claim_in_round(
+        self: &Arc<Self>,
+        key: ClaimKey,
+        request: Fingerprint,
+    ) -> Result<Claimed, RoundError> {
+        let snapshot = self.published.load();
+        let view = snapshot.shard_of(key).ok_or(RoundError::NoMajority)?;
+        let holder = self.new_holder();
+        let claim = Claim { key, request, holder };
+        self.claims.records.begin(key, holder);
+        // Made before the witnesses are asked: dropping it gives up whatever they grant, unless the round is won.
+        let claimed = Claimed {
+            claimant: self.clone(),
+            key,
+            holder,
+            shard: view.shard,
+            epoch: view.epoch,
+            witnesses: view.witnesses.to_vec(),
+            may_have_run: false,
+        };
+        match self.ask_witnesses(&view, claim).await {
+            ClaimVerdict::Won => Ok(claimed),
+            ClaimVerdict::Held(held) => Err(RoundError::Held(held)),
+            ClaimVerdict::NoMajority => {
+                self.control.check_roster();
+                Err(RoundError::NoMajority)
+            }
         }
     }
-}
 
-async fn try_claim(shared: &Arc<Shared>, key: ClaimKey, request: Fingerprint) -> Result<Claimed, TryError> {
-    let snapshot = shared.snapshot();
-    let view: ShardView<'_> = snapshot.shard_of(key).ok_or(TryError::NoMajority)?;
-    let holder = ClaimHolder {
-        daemon: shared.settings.advertise.peer,
-        incarnation: shared.incarnation,
-        attempt: NEXT_ATTEMPT.fetch_add(1, Ordering::Relaxed),
-    };
-    let claim = Claim { key, request, holder };
-    shared.claims.records.begin(key, holder);
-    // Made first: whatever is granted from here on is given up unless the round is won.
-    let claimed = Claimed {
-        shared: shared.clone(),
-        key,
-        holder,
-        shard: view.shard,
-        epoch: view.epoch,
-        witnesses: view.witnesses.to_vec(),
-        may_have_run: false,
-    };
-    match ask_witnesses(shared, &view, claim).await {
-        ClaimVerdict::Won => Ok(claimed),
-        ClaimVerdict::Held(held) => Err(TryError::Held(held)),
-        ClaimVerdict::NoMajority => {
-            shared.control.check_roster();
-            Err(TryError::NoMajority)
+    fn new_holder(&self) -> ClaimHolder {
+        ClaimHolder {
+            daemon: self.daemon,
+            incarnation: self.incarnation,
+            attempt: self.next_attempt.fetch_add(1, Ordering::Relaxed),
         }
     }
-}
 
-async fn ask_witnesses(shared: &Arc<Shared>, view: &ShardView<'_>, claim: Claim) -> ClaimVerdict {
-    let mut round = ClaimRound::new(view.witnesses.len());
-    let mut replies: FuturesUnordered<_> = view
-        .witnesses
-        .iter()
-        .map(|witness| ask_witness(shared, *witness, view.shard, view.epoch, claim))
-        .collect();
-    while let Some(reply) = replies.next().await {
-        round.reply(reply);
-        if let Some(verdict) = round.verdict() {
-            return verdict;
+    /// Asks all witnesses at once; done as soon as their replies decide.
+    async fn ask_witnesses(self: &Arc<Self>, view: &ShardView<'_>, claim: Claim) -> ClaimVerdict {
+        let mut round = ClaimRound::new(view.witnesses.len());
+        let mut replies: FuturesUnordered<_> = view
+            .witnesses
+            .iter()
+            .map(|witness| self.ask_witness(*witness, view.shard, view.epoch, claim))
+            .collect();
+        while let Some(reply) = replies.next().await {
+            round.reply(reply);
+            if let Some(verdict) = round.verdict() {
+                return verdict;
+            }
         }
+        ClaimVerdict::NoMajority
     }
-    ClaimVerdict::NoMajority
-}
 
-async fn ask_witness(
-    shared: &Arc<Shared>,
-    witness: WitnessId,
-    shard: u32,
-    epoch: Epoch,
-    claim: Claim,
-) -> Option<ClaimReply> {
-    let asking = async {
-        let connection = shared.pool.get_witness(shared, witness).await?;
-        connection.claim(shard, epoch, claim).await
-    };
-    tokio::time::timeout(CLAIM_TIMEOUT, asking).await.ok().flatten()
-}
+    /// A witness's reply; none when it can't be reached or doesn't answer in time, which the round counts.
+    async fn ask_witness(
+        &self,
+        witness: WitnessId,
+        shard: u32,
+        epoch: Epoch,
+        claim: Claim,
+    ) -> Option<ClaimReply> {
+        let asking = async {
+            let connection = self.pool.get_witness(witness).await?;
+            connection.claim(shard, epoch, claim).await
+        };
+        tokio::time::timeout(CLAIM_TIMEOUT, asking).await.ok().flatten()
+    }
 
-async fn ask_holder(shared: &Arc<Shared>, held: &Claim) -> RecordedState {
-    let request = ControlRequest::GetRecorded { key: held.key, holder: held.holder };
-    let reply = ask_daemon(shared, held.holder.daemon, request).await;
-    match reply {
-        Some(ControlReply::Recorded(state)) => state,
-        _ => RecordedState::Forgotten,
+    /// Asks the daemon that holds a claim what became of it.
+    async fn ask_holder(&self, held: &Claim) -> RecordedState {
+        let request = ControlRequest::GetRecorded { key: held.key, holder: held.holder };
+        match self.pool.ask(held.holder.daemon, request).await {
+            Some(ControlReply::Recorded(state)) => state,
+            // Without an answer the earlier attempt counts as one that may have run.
+            _ => RecordedState::Forgotten,
+        }
     }
-}
 
-/// Releases a claim whose holder said that it gave it up; the holder's own release may be lost.
-fn release_for(shared: &Arc<Shared>, held: &Claim) {
-    let snapshot = shared.snapshot();
-    let Some(view) = snapshot.shard_of(held.key) else { return };
-    let release = PeerMessage::ReleaseClaim {
-        shard: view.shard,
-        epoch: view.epoch,
-        key: held.key,
-        holder: held.holder,
-    };
-    send_to_witnesses(shared, view.witnesses, &release);
+    /// Releases a claim whose holder said that it gave it up, as the holder's own release may be lost.
+    fn release_for(&self, held: &Claim) {
+        let snapshot = self.published.load();
+        let Some(view) = snapshot.shard_of(held.key) else { return };
+        let release = PeerMessage::ReleaseClaim {
+            shard: view.shard,
+            epoch: view.epoch,
+            key: held.key,
+            holder: held.holder,
+        };
+        self.send_to_witnesses(view.witnesses, &release);
+    }
+
+    /// Sends a message to the witnesses that this daemon is connected to.
+    fn send_to_witnesses(&self, witnesses: &[WitnessId], message: &PeerMessage) {
+        for witness in witnesses {
+            if let Some(connection) = self.pool.existing(witness.daemon) {
+                connection.send(message.clone());
+            }
+        }
+    }
 }
--- a/crates/seamhatchd/src/claims/mod.rs
+++ b/crates/seamhatchd/src/claims/mod.rs
@@ -1,19 +1,21 @@
-//! At-most-once in the daemon: its part as a witness, the claims it makes, and
-//! what it remembers of them.
+//! At most once: this daemon's part as a witness, the claims that it makes for its calls, and what became of them.
+//!
+//! [`Claimant`] claims before dispatch; [`Witnesses`] grant claims of other daemons; [`ClaimRecords`] answer repeats of a
+//! request. All state is in memory: a daemon that restarts is another witness, and its claims can't be asked about.
 
 mod claimant;
 mod records;
 mod witnesses;
 
-pub use claimant::{ClaimRefused, Claimed, claim};
+pub use claimant::{ClaimRefused, Claimant, Claimed};
 pub use records::ClaimRecords;
 pub use witnesses::Witnesses;
 
-/// Claims of calls that may not be repeated, as all threads share them.
+/// Claims of calls that are not repeatable, as all threads share them.
 #[derive(Debug, Default)]
 pub struct ClaimState {
     /// This daemon's part as a witness.
     pub witnesses: Witnesses,
-    /// Claims that this daemon holds, and what came of them.
+    /// Claims that this daemon made, and what became of them.
     pub records: ClaimRecords,
 }
--- a/crates/seamhatchd/src/claims/records.rs
+++ b/crates/seamhatchd/src/claims/records.rs
@@ -1,4 +1,6 @@
 //! What became of the claims that this daemon made, for repeats of the same request.
+//!
+//! Written by the claimant, read by other daemons' claimants through control requests, and trimmed by the control thread.
 
 use crate::base::clock;
 use crate::base::lock::lock;
@@ -8,10 +10,10 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Mutex, MutexGuard};
 
-/// Bytes of recorded answers that are kept; the oldest go first.
+/// Bytes of recorded answers that are kept; the oldest go first. Chosen, not measured.
 const LARGEST_TOTAL: usize = 8 * 1024 * 1024;
 
-/// Claims that are remembered at most.
+/// Claims that are remembered at most; the oldest go first. Chosen, not measured.
 const MOST_RECORDS: usize = 100_000;
 
 #[derive(Debug)]
@@ -32,7 +34,7 @@
 pub struct ClaimRecords(Mutex<Records>);
 
 impl ClaimRecords {
-    /// A claim is about to be made.
+    /// Adds a claim that is about to be made.
     pub fn begin(&self, key: ClaimKey, holder: ClaimHolder) {
         let mut records = self.lock();
         let record = Record { state: RecordedState::Undecided, since: clock::now() };
@@ -41,7 +43,7 @@
         records.shrink();
     }
 
-    /// Sets what became of a claim. A claim that was given up stays so.
+    /// Records what became of a claim, unless it was forgotten.
     pub fn set(&self, key: ClaimKey, holder: ClaimHolder, state: RecordedState) {
         let mut records = self.lock();
         let added = size(&state);
@@ -58,7 +60,7 @@
         records.by_claim.get(&(key, holder)).map_or(RecordedState::Forgotten, |record| record.state.clone())
     }
 
-    /// Forgets old claims.
+    /// Forgets claims that are older than [`CLAIM_MEMORY`].
     pub fn forget_old(&self) {
         let now = clock::now();
         let mut records = self.lock();
--- a/crates/seamhatchd/src/claims/witnesses.rs
+++ b/crates/seamhatchd/src/claims/witnesses.rs
@@ -1,4 +1,7 @@
 //! This daemon's witnesses, one for each shard, in memory only.
+//!
+//! Sessions pass on the claims of other daemons; the control thread seals and installs epochs. The rules are
+//! [`seamhatch_core::claims`].
 
 use crate::base::clock;
 use crate::base::lock::lock;
@@ -26,20 +29,20 @@
         }
     }
 
-    /// Drops a claim that its holder gave up.
+    /// Releases a claim that its holder gave up.
     pub fn release(&self, shard: u32, epoch: Epoch, key: ClaimKey, holder: ClaimHolder) {
         if let Some(witness) = self.lock().get_mut(shard as usize) {
             witness.release(epoch, key, holder);
         }
     }
 
-    /// Seals an epoch; the claims that are remembered, none for an unknown shard.
+    /// Ends an epoch. Returns the claims that are remembered, none for an unknown shard.
     #[must_use]
     pub fn seal(&self, shard: u32, epoch: Epoch) -> Option<Vec<Claim>> {
         self.lock().get_mut(shard as usize).map(|witness| witness.seal(epoch))
     }
 
-    /// Installs an epoch; false when it is refused.
+    /// Begins an epoch with the claims of earlier ones; false when it is refused.
     #[must_use]
     pub fn install(&self, shard: u32, epoch: Epoch, claims: Vec<Claim>) -> bool {
         let mut witnesses = self.lock();
@@ -47,7 +50,7 @@
         witness.is_some_and(|witness| witness.install(epoch, claims, clock::now()).is_ok())
     }
 
-    /// The epoch that grants at present, zero for none.
+    /// The epoch in which claims are granted now, zero for none.
     #[must_use]
     pub fn serving(&self, shard: u32) -> Epoch {
         let witnesses = self.lock();
@@ -55,7 +58,7 @@
         witness.epoch().filter(|epoch| witness.serves(*epoch)).unwrap_or_default()
     }
 
-    /// Forgets old claims; tells how many are left.
+    /// Forgets old claims; returns how many are left.
     pub fn forget_old(&self) -> usize {
         let now = clock::now();
         let mut witnesses = self.lock();
--- a/crates/seamhatchd/src/controllers/ask.rs
+++ b/crates/seamhatchd/src/controllers/ask.rs
@@ -6,12 +6,7 @@
 use seamhatch_core::identity::Address;
 use seamhatch_core::roster::WitnessId;
 use seamhatch_wire::{ControlReply, ControlRequest};
-use std::future::Future;
 use std::sync::Arc;
-use std::time::Duration;
-
-/// Longest wait for another daemon's answer, including a new connection where there is none. Chosen, not measured.
-const ASK_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Asks a daemon; none when it can't be reached or does not answer in time, in which case the caller asks another one or tries again.
 pub async fn ask_daemon(
@@ -19,11 +14,7 @@
     daemon: Address,
     request: ControlRequest,
 ) -> Option<ControlReply> {
-    in_time(async {
-        let connection = shared.pool.get(shared, daemon).await.ok()?;
-        connection.control(request).await
-    })
-    .await
+    shared.pool.ask(daemon, request).await
 }
 
 /// Asks a daemon for its configuration if that is above `have`.
@@ -37,11 +28,7 @@
     witness: WitnessId,
     request: ControlRequest,
 ) -> Option<ControlReply> {
-    in_time(async {
-        let connection = shared.pool.get_witness(shared, witness).await?;
-        connection.control(request).await
-    })
-    .await
+    shared.pool.ask_witness(witness, request).await
 }
 
 /// Asks several witnesses at once; their answers in the same order.
@@ -52,7 +39,3 @@
 ) -> Vec<Option<ControlReply>> {
     join_all(witnesses.iter().map(|witness| ask_witness(shared, *witness, request.clone()))).await
 }
-
-async fn in_time(asking: impl Future<Output = Option<ControlReply>>) -> Option<ControlReply> {
-    tokio::time::timeout(ASK_TIMEOUT, asking).await.ok().flatten()
-}
--- a/crates/seamhatchd/src/dispatch/candidates.rs
+++ b/crates/seamhatchd/src/dispatch/candidates.rs
@@ -20,7 +20,7 @@
                 let detail = "no server of this service can be reached; come back later";
                 return Err(Rejection::not_run(Reason::NoServer, detail));
             };
-            match self.shared.pool.get(self.shared, server).await {
+            match self.shared.pool.get(server).await {
                 Ok(connection) if self.can_serve(&connection) => return Ok(connection),
                 // The pool counts failures to connect and leaves such a server out for a while.
                 Ok(_) | Err(_) => self.tried.push(server),
--- a/crates/seamhatchd/src/dispatch/claiming.rs
+++ b/crates/seamhatchd/src/dispatch/claiming.rs
@@ -3,7 +3,7 @@
 use super::digests::call_fingerprint;
 use super::{CallResult, Dispatcher};
 use crate::base::clock;
-use crate::claims::{self, ClaimRefused, Claimed};
+use crate::claims::{ClaimRefused, Claimed};
 use crate::filters::Rejection;
 use seamhatch_core::claims::ClaimKey;
 use seamhatch_core::identity::Fingerprint;
@@ -24,7 +24,7 @@
             if text.starts_with("derived") { format!("{text}\n{:016x}", body.0) } else { text.clone() };
         let key = ClaimKey::of(&self.request.service, &text);
         let content = call_fingerprint(self.request, body);
-        let claiming = claims::claim(self.shared, key, content);
+        let claiming = self.shared.claimant.claim(key, content);
         let claimed = clock::timeout_at(self.parent.expiry, claiming).await;
         let result = claimed.unwrap_or(Err(ClaimRefused::Undecided(Reason::DeadlineExceeded)));
         match result {
--- a/crates/seamhatchd/src/lib.rs
+++ b/crates/seamhatchd/src/lib.rs
@@ -24,6 +24,7 @@
 pub mod filters;
 pub mod lifecycle;
 pub mod limits;
+mod link_host;
 pub mod listeners;
 pub mod peer;
 pub mod ports;
--- a/crates/seamhatchd/src/limits/quota/admission.rs
+++ b/crates/seamhatchd/src/limits/quota/admission.rs
@@ -114,7 +114,7 @@
         }
         let request = ControlRequest::GetTokens { shard, tenant: self.tenant.to_owned(), wanted };
         let asking = async {
-            let connection = self.shared.pool.get(self.shared, place.peer).await.ok()?;
+            let connection = self.shared.pool.get(place.peer).await.ok()?;
             connection.control(request).await
         };
         match tokio::time::timeout(ANSWER_TIMEOUT, asking).await {
--- /dev/null
+++ b/crates/seamhatchd/src/link_host.rs
@@ -0,0 +1,68 @@
+//! This daemon as its connections to other daemons see it: what they report of it, and where their reports go.
+
+use crate::base::clock;
+use crate::base::metrics::BadInput;
+use crate::peer::{LinkHost, LocalState};
+use crate::shared::Shared;
+use seamhatch_core::crashes::SuspectReport;
+use seamhatch_core::identity::Address;
+use seamhatch_wire::{CallIntake, Hello, Pulse, ServerReport};
+use std::net::IpAddr;
+use tokio::sync::futures::Notified;
+
+impl LinkHost for Shared {
+    fn hello(&self) -> Hello {
+        Hello {
+            cluster: self.settings.cluster.clone(),
+            peer: self.settings.advertise.peer,
+            gossip: self.settings.advertise.gossip,
+            incarnation: self.incarnation,
+            service: self.settings.service.clone(),
+            clock: clock::now(),
+        }
+    }
+
+    fn own_ip(&self) -> IpAddr {
+        self.settings.listen.peer.ip
+    }
+
+    fn local_state(&self) -> LocalState {
+        LocalState {
+            generation: self.snapshot().generation(),
+            intake: self.intake(),
+            server: self.server.gate.report(),
+            proof: self.limits.freshness.proof(),
+        }
+    }
+
+    fn intake_changed(&self) -> Notified<'_> {
+        self.lifecycle.work_changed()
+    }
+
+    fn peer_pulse(&self, service: &str, peer: Address, pulse: &Pulse) {
+        pulse.proof.into_iter().for_each(|proof| self.limits.freshness.prove(proof));
+        if pulse.intake == CallIntake::Closed {
+            self.limits.service_floors.forget(service, peer);
+        } else {
+            let floor = self.limits.service_floors.note(service, peer, pulse.server, clock::now());
+            self.entry_floors.learn_service(service, floor);
+        }
+        self.control.note_peer_generation(peer, pulse.generation);
+    }
+
+    fn server_report(&self, service: &str, peer: Address, report: ServerReport) {
+        self.limits.service_floors.note(service, peer, report, clock::now());
+    }
+
+    fn connection_ended(&self, service: &str, peer: Address) {
+        self.limits.service_floors.forget(service, peer);
+    }
+
+    fn suspects_reported(&self, reports: &[SuspectReport]) {
+        self.suspects.merge(reports);
+    }
+
+    fn bad_input(&self, kind: BadInput) {
+        self.metrics.bad_input(kind);
+    }
+}
--- a/crates/seamhatchd/src/peer/connection.rs
+++ b/crates/seamhatchd/src/peer/connection.rs
@@ -19,7 +19,6 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
-use tokio::sync::Notify;
 
 /// What the connection and its tasks share.
 #[derive(Debug)]
@@ -31,8 +30,6 @@
     next_exchange: AtomicU64,
     /// When a call or request was last sent, in microseconds of the boot clock.
     last_used: AtomicU64,
-    /// Woken when the connection is to end.
-    pub(super) closing: Notify,
 }
 
 impl ConnectionState {
@@ -45,7 +42,6 @@
             controls: PendingReplies::default(),
             next_exchange: AtomicU64::new(0),
             last_used: AtomicU64::new(now.0),
-            closing: Notify::new(),
         }
     }
 
@@ -132,11 +128,6 @@
         let _ = self.outbox.send(message);
     }
 
-    /// Ends the connection and the calls on it.
-    pub fn close(&self) {
-        self.state.closing.notify_one();
-    }
-
     /// Waits until the peer has been silent for so long that calls should leave it.
     pub async fn until_silent(&self) {
         loop {
--- a/crates/seamhatchd/src/peer/handshake.rs
+++ b/crates/seamhatchd/src/peer/handshake.rs
@@ -4,9 +4,10 @@
 //! repeat elsewhere.
 
 use crate::peer::connection::{ConnectionState, PeerConnection};
+use crate::peer::host::LinkHost;
 use crate::peer::link::{self, Outbox};
+use crate::peer::pool::PeerPool;
 use crate::peer::upkeep;
-use crate::shared::Shared;
 use seamhatch_core::identity::Address;
 use seamhatch_wire::{FrameReader, PeerMessage, WireError, read_preface, write_preface};
 use std::net::{IpAddr, SocketAddr};
@@ -21,25 +22,36 @@
 ///
 /// # Errors
 /// [`WireError`], also where the peer belongs to another cluster; no call was sent.
-pub(super) async fn open(shared: &Arc<Shared>, address: Address) -> Result<PeerConnection, WireError> {
-    tokio::time::timeout(CONNECT_TIMEOUT, shake_hands(shared, address))
+pub(super) async fn open(
+    pool: &Arc<PeerPool>,
+    host: &Arc<dyn LinkHost>,
+    address: Address,
+) -> Result<PeerConnection, WireError> {
+    tokio::time::timeout(CONNECT_TIMEOUT, shake_hands(pool, host, address))
         .await
         .map_err(|_| WireError::Io(std::io::ErrorKind::TimedOut.into()))?
 }
 
-async fn shake_hands(shared: &Arc<Shared>, address: Address) -> Result<PeerConnection, WireError> {
-    let mut stream = connect_from(shared.settings.listen.peer.ip, address.into()).await?;
+async fn shake_hands(
+    pool: &Arc<PeerPool>,
+    host: &Arc<dyn LinkHost>,
+    address: Address,
+) -> Result<PeerConnection, WireError> {
+    let mut stream = connect_from(host.own_ip(), address.into()).await?;
     stream.set_nodelay(true)?;
     write_preface(&mut stream).await?;
     let (outbox, messages) = Outbox::new();
     let (mut reader, writer) = stream.into_split();
+    // It carries the clock, so it is made right before it is sent.
+    let own = host.hello();
+    let cluster = own.cluster.clone();
     // The outbox was made just now and can't be closed.
-    let _ = outbox.send(PeerMessage::Hello(link::hello(shared)));
+    let _ = outbox.send(PeerMessage::Hello(own));
     let writing = tokio::spawn(link::write_messages(writer, messages));
     read_preface(&mut reader).await?;
     let mut frames = FrameReader::new(reader);
     let first = frames.next().await?;
-    let hello = link::first_hello(first, &shared.settings.cluster).inspect_err(|_| writing.abort())?;
+    let hello = link::first_hello(first, &cluster).inspect_err(|_| writing.abort())?;
     let connection = PeerConnection {
         address,
         incarnation: hello.incarnation,
@@ -47,7 +59,7 @@
         outbox,
         state: Arc::new(ConnectionState::new(hello.clock)),
     };
-    upkeep::spawn(&connection, shared, frames, writing);
+    upkeep::spawn(&connection, pool, host, frames, writing);
     Ok(connection)
 }
 
--- /dev/null
+++ b/crates/seamhatchd/src/peer/host.rs
@@ -0,0 +1,57 @@
+//! What the connections between daemons need of the daemon that they belong to.
+//!
+//! The parts that keep what peers report (admission floors, freshness, the control thread) stand above this layer, so
+//! the daemon's shared state implements [`LinkHost`].
+
+use crate::base::metrics::BadInput;
+use seamhatch_core::crashes::SuspectReport;
+use seamhatch_core::freshness::FreshnessProof;
+use seamhatch_core::generation::Generation;
+use seamhatch_core::identity::Address;
+use seamhatch_wire::{CallIntake, Hello, Pulse, ServerReport};
+use std::fmt;
+use std::net::IpAddr;
+use tokio::sync::futures::Notified;
+
+/// What the heartbeats of this daemon report.
+#[derive(Debug, Clone, Copy)]
+pub struct LocalState {
+    /// Configuration in force.
+    pub generation: Generation,
+    /// Which calls the back end gets.
+    pub intake: CallIntake,
+    /// State of the back end.
+    pub server: ServerReport,
+    /// Proof that the configuration is the newest, in the local boot clock.
+    pub proof: Option<FreshnessProof>,
+}
+
+/// The daemon at this end of its connections. Its methods are called for each message and must not block.
+pub trait LinkHost: fmt::Debug + Send + Sync {
+    /// The first message on each connection.
+    fn hello(&self) -> Hello;
+
+    /// The address from which connections are opened, so that peers see which machine it is.
+    fn own_ip(&self) -> IpAddr;
+
+    /// What heartbeats report now.
+    fn local_state(&self) -> LocalState;
+
+    /// Resolves when the back end starts or stops taking calls.
+    fn intake_changed(&self) -> Notified<'_>;
+
+    /// A heartbeat came from the daemon at `peer`, beside a server of `service`, on a connection opened here.
+    fn peer_pulse(&self, service: &str, peer: Address, pulse: &Pulse);
+
+    /// A peer reported the state of its server beside an answer.
+    fn server_report(&self, service: &str, peer: Address, report: ServerReport);
+
+    /// A connection opened here has ended.
+    fn connection_ended(&self, service: &str, peer: Address);
+
+    /// A peer reported suspects.
+    fn suspects_reported(&self, reports: &[SuspectReport]);
+
+    /// Counts input that was dropped.
+    fn bad_input(&self, kind: BadInput);
+}
--- a/crates/seamhatchd/src/peer/link.rs
+++ b/crates/seamhatchd/src/peer/link.rs
@@ -4,7 +4,7 @@
 //! They come at once when the back end starts or stops taking calls.
 
 use crate::base::clock;
-use crate::shared::Shared;
+use crate::peer::host::{LinkHost, LocalState};
 use log::debug;
 use seamhatch_core::Instant;
 use seamhatch_core::freshness::FreshnessProof;
@@ -79,17 +79,17 @@
 /// Sends heartbeats until the outbox closes. `is_busy` returns whether the peer waits for answers; `to_peer_clock` translates a
 /// local instant into the peer's clock, erring early.
 pub async fn send_pulses(
-    shared: &Shared,
+    host: &dyn LinkHost,
     outbox: Outbox,
     is_busy: impl Fn() -> bool,
     to_peer_clock: impl Fn(Instant) -> Instant,
 ) {
     loop {
         // Before the state is read, so that no later change of it is missed.
-        let changed = shared.lifecycle.work_changed();
+        let changed = host.intake_changed();
         tokio::pin!(changed);
         changed.as_mut().enable();
-        if outbox.send(PeerMessage::Pulse(pulse(shared, &to_peer_clock))).is_err() {
+        if outbox.send(PeerMessage::Pulse(pulse(host, &to_peer_clock))).is_err() {
             return;
         }
         tokio::select! {
@@ -112,27 +112,10 @@
 }
 
 /// The present heartbeat.
-fn pulse(shared: &Shared, to_peer_clock: &impl Fn(Instant) -> Instant) -> Pulse {
-    let proof = shared.limits.freshness.proof();
-    Pulse {
-        clock: clock::now(),
-        generation: shared.snapshot().generation(),
-        intake: shared.intake(),
-        server: shared.server.gate.report(),
-        proof: proof.map(|proof| FreshnessProof { at: to_peer_clock(proof.at), ..proof }),
-    }
-}
-
-/// The first message of this daemon.
-pub fn hello(shared: &Shared) -> Hello {
-    Hello {
-        cluster: shared.settings.cluster.clone(),
-        peer: shared.settings.advertise.peer,
-        gossip: shared.settings.advertise.gossip,
-        incarnation: shared.incarnation,
-        service: shared.settings.service.clone(),
-        clock: clock::now(),
-    }
+fn pulse(host: &dyn LinkHost, to_peer_clock: &impl Fn(Instant) -> Instant) -> Pulse {
+    let LocalState { generation, intake, server, proof } = host.local_state();
+    let proof = proof.map(|proof| FreshnessProof { at: to_peer_clock(proof.at), ..proof });
+    Pulse { clock: clock::now(), generation, intake, server, proof }
 }
 
 /// Takes the peer's first message for its `Hello`.
--- a/crates/seamhatchd/src/peer/server.rs
+++ b/crates/seamhatchd/src/peer/server.rs
@@ -3,6 +3,7 @@
 //! Started once at startup. Nothing of a peer is handled before it has shown that it belongs to this cluster.
 
 use crate::base::metrics::BadInput;
+use crate::peer::host::LinkHost;
 use crate::peer::incoming_calls::IncomingCalls;
 use crate::peer::link::{self, Outbox};
 use crate::peer::session::{SenderClock, Session};
@@ -55,7 +56,7 @@
     shared.control.daemon_connected(hello.gossip);
     let (outbox, messages) = Outbox::new();
     // The outbox was made just now and can't be closed.
-    let _ = outbox.send(PeerMessage::Hello(link::hello(shared)));
+    let _ = outbox.send(PeerMessage::Hello(shared.hello()));
     let writing = AbortOnDrop(tokio::spawn(link::write_messages(writer, messages)));
     let (calls, peer_clock) = (IncomingCalls::default(), SenderClock::new(hello.clock));
     let pulses = spawn_pulses(shared, &outbox, &calls, &peer_clock);
@@ -75,7 +76,7 @@
     let (calls, peer_clock) = (calls.clone(), peer_clock.clone());
     AbortOnDrop(tokio::spawn(async move {
         let is_busy = || !calls.is_empty();
-        link::send_pulses(&shared, outbox, is_busy, |instant| peer_clock.translate(instant)).await;
+        link::send_pulses(&*shared, outbox, is_busy, |instant| peer_clock.translate(instant)).await;
     }))
 }
 
--- a/crates/seamhatchd/src/peer/upkeep.rs
+++ b/crates/seamhatchd/src/peer/upkeep.rs
@@ -1,12 +1,13 @@
-//! The tasks of an open connection: reading, heartbeats, and its end when it is idle, silent or closed.
+//! The task of an open connection: reading, heartbeats, and its end when it is idle or silent.
 //!
 //! One task runs for each connection that this daemon opened. When it ends, calls and requests that wait are ended,
 //! and the pool forgets the connection.
 
 use crate::base::clock;
 use crate::peer::connection::PeerConnection;
+use crate::peer::host::LinkHost;
 use crate::peer::link;
-use crate::shared::Shared;
+use crate::peer::pool::PeerPool;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{Microseconds, SECOND};
 use seamhatch_wire::{FrameReader, WireError};
@@ -29,27 +30,28 @@
 /// Starts the task of a connection whose handshake is done.
 pub(super) fn spawn(
     connection: &PeerConnection,
-    shared: &Arc<Shared>,
+    pool: &Arc<PeerPool>,
+    host: &Arc<dyn LinkHost>,
     frames: FrameReader<OwnedReadHalf>,
     writing: JoinHandle<Result<(), WireError>>,
 ) {
-    let (connection, shared) = (connection.clone(), shared.clone());
-    tokio::spawn(async move { connection.run(&shared, frames, writing).await });
+    let (connection, pool, host) = (connection.clone(), pool.clone(), host.clone());
+    tokio::spawn(async move { connection.run(&pool, &*host, frames, writing).await });
 }
 
 impl PeerConnection {
     async fn run(
         &self,
-        shared: &Arc<Shared>,
+        pool: &Arc<PeerPool>,
+        host: &dyn LinkHost,
         frames: FrameReader<OwnedReadHalf>,
         mut writing: JoinHandle<Result<(), WireError>>,
     ) {
         let to_peer_clock = |instant| self.to_peer_clock(instant);
         let result = tokio::select! {
-            result = self.read(shared, frames) => result,
-            _ = link::send_pulses(shared, self.outbox.clone(), || false, to_peer_clock) => Ok(()),
-            () = self.until_silent_or_idle(shared) => Ok(()),
-            () = self.state.closing.notified() => Ok(()),
+            result = self.read(host, frames) => result,
+            _ = link::send_pulses(host, self.outbox.clone(), || false, to_peer_clock) => Ok(()),
+            () = self.until_silent_or_idle(pool) => Ok(()),
             result = &mut writing => result.unwrap_or(Ok(())),
         };
         // The writer ends first, so that no call can be added after all were ended.
@@ -58,13 +60,13 @@
             tokio::task::yield_now().await;
         }
         self.state.end_all();
-        shared.limits.service_floors.forget(&self.service, self.address);
-        shared.pool.forget(self);
+        host.connection_ended(&self.service, self.address);
+        pool.forget(self);
         link::log_end(&self.address.to_string(), &result);
     }
 
     /// Waits until the connection should be closed. Meanwhile opens another one beside it while the peer is silent.
-    async fn until_silent_or_idle(&self, shared: &Arc<Shared>) {
+    async fn until_silent_or_idle(&self, pool: &Arc<PeerPool>) {
         let mut next_renewal = Instant(0);
         let mut pause = FIRST_RENEWAL_PAUSE;
         loop {
@@ -78,7 +80,7 @@
             if !view.is_silent(now) {
                 pause = FIRST_RENEWAL_PAUSE;
             } else if now >= next_renewal {
-                self.renew(shared);
+                self.renew(pool);
                 next_renewal = now.plus(pause);
                 pause = (2 * pause).min(LONGEST_RENEWAL_PAUSE);
             }
@@ -91,9 +93,9 @@
 
     /// Has the pool open a new connection beside this silent one, since only the connection may have failed. Calls on
     /// this one go on, as it may be heard again.
-    fn renew(&self, shared: &Arc<Shared>) {
-        let (shared, address) = (shared.clone(), self.address);
+    fn renew(&self, pool: &Arc<PeerPool>) {
+        let (pool, address) = (pool.clone(), self.address);
         // An attempt that fails is repeated after the pause.
-        tokio::spawn(async move { drop(shared.pool.get(&shared, address).await) });
+        tokio::spawn(async move { drop(pool.get(address).await) });
     }
 }
--- a/crates/seamhatchd/src/shared.rs
+++ b/crates/seamhatchd/src/shared.rs
@@ -6,7 +6,7 @@
 
 use crate::base::clock;
 use crate::base::metrics::Metrics;
-use crate::claims::ClaimState;
+use crate::claims::{ClaimState, Claimant};
 use crate::control::ControlHandle;
 use crate::conventions::HttpConventions;
 use crate::filters::EntryFloors;
@@ -41,9 +41,11 @@
     /// How HTTP carries names, deadlines and outcomes.
     pub conventions: Arc<dyn HttpConventions>,
     /// Connections to other daemons.
-    pub pool: PeerPool,
+    pub pool: Arc<PeerPool>,
     /// Claims, as a witness and as a claimant.
     pub claims: Arc<ClaimState>,
+    /// Makes the claims of calls that are not repeatable.
+    pub claimant: Arc<Claimant>,
     /// What all daemons bound together.
     pub limits: Arc<SharedLimits>,
     /// Floors met below the entry routes.
@@ -51,7 +53,7 @@
     /// The control thread.
     pub control: ControlHandle,
     /// The state that the control thread published last.
-    pub published: ArcSwap<Snapshot>,
+    pub published: Arc<ArcSwap<Snapshot>>,
     /// Whether this process is ready, draining or about to end.
     pub lifecycle: DaemonLifecycle,
     /// HTTP requests in progress at the listeners.
@@ -98,8 +100,10 @@
         if !self.is_draining() {
             return CallIntake::Open;
         }
-        match self.time_left() {
-            Some(left) if left > 0 && self.instances.report_departures() => CallIntake::FallbackOnly { left },
+        match self.lifecycle.time_left() {
+            Some(left) if left > 0 && self.server.instances.report_departures() => {
+                CallIntake::FallbackOnly { left }
+            }
             _ => CallIntake::Closed,
         }
     }
--- a/crates/seamhatchd/src/startup.rs
+++ b/crates/seamhatchd/src/startup.rs
@@ -4,6 +4,7 @@
 
 use crate::base::logging;
 use crate::base::metrics::Metrics;
+use crate::claims::{ClaimState, Claimant};
 use crate::control::{ControlEvent, ControlHandle};
 use crate::controllers::ControlThread;
 use crate::filters::EntryFloors;
@@ -34,8 +35,8 @@
 use std::ffi::OsString;
 use std::net::SocketAddr;
 use std::process::ExitCode;
-use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
+use std::sync::{Arc, Weak};
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::runtime::{Builder, Handle, Runtime};
@@ -107,7 +108,7 @@
 fn try_serve(settings: Settings, ports: &Ports, arguments: Vec<OsString>) -> std::io::Result<()> {
     let traffic = traffic_runtime(settings.traffic_threads)?;
     let (control, events) = ControlHandle::new();
-    let shared = Arc::new(assemble(settings, ports, control, traffic.handle()));
+    let shared = Arc::new_cyclic(|shared| assemble(settings, ports, control, traffic.handle(), shared));
     let listen = shared.settings.listen;
     let peers = traffic.block_on(TcpListener::bind(SocketAddr::from(listen.peer)))?;
     let gossip = std::net::UdpSocket::bind(SocketAddr::from(listen.gossip))?;
@@ -138,9 +139,14 @@
     Builder::new_multi_thread().worker_threads(threads).thread_name("traffic").enable_all().build()
 }
 
-/// The shared parts of one daemon; its connections to others live on `traffic`.
-#[must_use]
-pub fn assemble(settings: Settings, ports: &Ports, control: ControlHandle, traffic: &Handle) -> Shared {
+/// The shared parts of one daemon. Its connections to others live on `traffic` and report to `host`, which these parts become.
+fn assemble(
+    settings: Settings,
+    ports: &Ports,
+    control: ControlHandle,
+    traffic: &Handle,
+    host: &Weak<Shared>,
+) -> Shared {
     let metrics = Arc::new(Metrics::new());
     let incarnation = new_incarnation();
     let conventions = ports.conventions.clone();
@@ -158,17 +164,29 @@
         freshness: Freshness::new(settings.revocation),
         quota: Quota::new(settings.quota),
     };
+    let pool = PeerPool::new(traffic.clone(), host.clone());
+    let published = Arc::new(ArcSwap::from_pointee(Snapshot::default()));
+    let claims = Arc::new(ClaimState::default());
+    let claimant = Claimant::new(
+        settings.advertise.peer,
+        incarnation,
+        claims.clone(),
+        pool.clone(),
+        published.clone(),
+        control.clone(),
+    );
     Shared {
         incarnation,
         server: Arc::new(server),
         suspects: SuspectBook::default(),
         conventions,
-        pool: PeerPool::new(traffic.clone()),
-        claims: Arc::default(),
+        pool,
+        claims,
+        claimant,
         limits: Arc::new(limits),
         entry_floors: EntryFloors::default(),
         control,
-        published: ArcSwap::from_pointee(Snapshot::default()),
+        published,
         lifecycle: DaemonLifecycle::starting(settings.grace),
         open_requests: Arc::default(),
         next_call: AtomicU64::new(1),
