--- a/crates/seamhatchd/src/lib.rs
+++ b/crates/seamhatchd/src/lib.rs
@@ -12,7 +12,8 @@
 //! 3. [`server`]: the back end beside this daemon
 //! 4. [`peer`]: connections to other daemons
 //! 5. [`limits`] and [`claims`]: what daemons bound together
-//! 6. [`filters`], [`dispatch`], [`listeners`]: the path of a request; [`controllers`] beside it
+//! 6. [`filters`], [`dispatch`], [`listeners`]: the path of a request; `peer_server`: calls of other daemons to the back end;
+//!    [`controllers`] beside them
 //! 7. [`startup`]
 
 pub mod base;
@@ -27,6 +28,7 @@
 mod link_host;
 pub mod listeners;
 pub mod peer;
+mod peer_server;
 pub mod ports;
 mod reload;
 pub mod server;
--- a/crates/seamhatchd/src/peer/mod.rs
+++ b/crates/seamhatchd/src/peer/mod.rs
@@ -1,8 +1,8 @@
-//! Connections between daemons: calls, claims and control messages.
+//! Connections that this daemon opens to other daemons, for calls, claims and control requests.
 //!
-//! A daemon opens a connection for what it sends; a peer that sends calls here opens one of its own. The calling side is
-//! [`PeerPool`] and [`PeerConnection`]: `handshake` opens a connection, `upkeep` keeps it and ends it, `incoming` handles what
-//! comes back, [`CallStream`] is one call on it. Both sides share `link` (outbox, writer, heartbeats) and [`CreditWindow`].
+//! [`PeerPool`] owns the connections. `handshake` opens a [`PeerConnection`], `upkeep` runs and ends it, `incoming` handles what
+//! comes back, [`CallStream`] is one call on it. `link` (outbox, writer, heartbeats) and [`CreditWindow`] are shared with the
+//! other end, `peer_server`. Of the daemon around it this module sees only its [`LinkHost`].
 
 mod call;
 mod connection;
@@ -10,14 +10,10 @@
 mod handshake;
 mod host;
 mod incoming;
-mod incoming_calls;
-mod link;
+pub(crate) mod link;
 mod outgoing_calls;
 mod pending_replies;
 mod pool;
-mod server;
-mod server_call;
-mod session;
 mod upkeep;
 mod view;
 
@@ -27,7 +23,6 @@
 pub use host::{LinkHost, LocalState};
 pub use link::{LinkClosed, Outbox, PULSE_INTERVAL};
 pub use pool::{PeerPool, PeerUnreachable};
-pub use server::serve;
 pub use view::PeerView;
 
 /// Bytes of a body that may be sent before its receiver gives credit. Chosen, not measured.
--- a/crates/seamhatchd/src/peer/server_call/mod.rs
+++ b/crates/seamhatchd/src/peer_server/call/mod.rs
@@ -11,9 +11,9 @@
 
 use crate::base::clock;
 use crate::conventions::field_text;
-use crate::peer::credit::CreditWindow;
-use crate::peer::incoming_calls::IncomingCalls;
-use crate::peer::link::Outbox;
+use crate::peer::CreditWindow;
+use crate::peer::Outbox;
+use crate::peer_server::incoming_calls::IncomingCalls;
 use crate::server::backend;
 use crate::server::crashes::{self, Trial};
 use crate::server::gate::{GateRequest, Permit};
--- a/crates/seamhatchd/src/peer/incoming_calls.rs
+++ b/crates/seamhatchd/src/peer_server/incoming_calls.rs
@@ -3,10 +3,10 @@
 //! Shared by the connection's session, which feeds and cancels calls, and the [`ServerCall`] of each call, which removes
 //! its entry when it ends.
 //!
-//! [`ServerCall`]: crate::peer::server_call::ServerCall
+//! [`ServerCall`]: crate::peer_server::call::ServerCall
 
 use crate::base::lock::lock;
-use crate::peer::credit::CreditWindow;
+use crate::peer::CreditWindow;
 use crate::server::backend::{BodyPiece, BrokenOff};
 use bytes::Bytes;
 use seamhatch_core::identity::CallId;
--- a/crates/seamhatchd/src/peer/server.rs
+++ b/crates/seamhatchd/src/peer_server/mod.rs
@@ -1,12 +1,16 @@
-//! The receiving end of connections: accepts other daemons, does the handshake, and runs a session for each.
+//! The receiving end of connections between daemons: accepts peers, does the handshake, and runs a session for each.
 //!
-//! Started once at startup. Nothing of a peer is handled before it has shown that it belongs to this cluster.
+//! `session` handles the messages of a peer and `call` follows one call of it to the back end and back. Started once at
+//! startup. Nothing of a peer is handled before it has shown that it belongs to this cluster.
+
+mod call;
+mod incoming_calls;
+mod session;
 
 use crate::base::metrics::BadInput;
-use crate::peer::host::LinkHost;
-use crate::peer::incoming_calls::IncomingCalls;
-use crate::peer::link::{self, Outbox};
-use crate::peer::session::{SenderClock, Session};
+use crate::peer::{LinkHost, Outbox, link};
+use crate::peer_server::incoming_calls::IncomingCalls;
+use crate::peer_server::session::{SenderClock, Session};
 use crate::shared::Shared;
 use log::warn;
 use seamhatch_wire::{FrameReader, PeerMessage, WireError, read_preface, write_preface};
--- a/crates/seamhatchd/src/startup.rs
+++ b/crates/seamhatchd/src/startup.rs
@@ -15,7 +15,8 @@
 use crate::limits::retry_budget::RetryBudget;
 use crate::limits::service_floors::ServiceFloors;
 use crate::listeners::Listeners;
-use crate::peer::{self, PeerPool};
+use crate::peer::PeerPool;
+use crate::peer_server;
 use crate::ports::Ports;
 use crate::reload;
 use crate::server::ServerSide;
@@ -114,7 +115,7 @@
     let gossip = std::net::UdpSocket::bind(SocketAddr::from(listen.gossip))?;
     gossip.set_nonblocking(true)?;
     let listeners = traffic.block_on(Listeners::start(&shared, ports.layout))?;
-    traffic.spawn(peer::serve(shared.clone(), peers));
+    traffic.spawn(peer_server::serve(shared.clone(), peers));
     start_control(shared.clone(), events, gossip, ports.clone())?;
     traffic.spawn(reload::reload_on_hangup(shared.clone(), arguments));
     info!(
