--- a/crates/seamhatchd/src/dispatch/claiming.rs
+++ b/crates/seamhatchd/src/dispatch/claiming.rs
@@ -1,4 +1,4 @@
-//! Claiming the key of a call that may not be repeated, before anything that may refuse it.
+//! Claiming the key of a call that is not repeatable, before anything that may refuse it.
 
 use super::digests::call_fingerprint;
 use super::{CallResult, Dispatcher};
@@ -10,6 +10,7 @@
 use seamhatch_core::outcome::Reason;
 use seamhatch_core::retry::ChildEnd;
 
+/// What the caller of a request with a key of another request is told.
 const MISMATCH_ADVICE: &str = "this idempotency key was used with another request; use a new key";
 
 impl Dispatcher<'_> {
@@ -19,10 +20,7 @@
     /// The end of the call: the key belongs to another request, an earlier attempt holds it, or no majority answered.
     pub(super) async fn claim(&mut self, body: Fingerprint) -> Result<Option<Claimed>, CallResult> {
         let Some(text) = &self.request.claim_text else { return Ok(None) };
-        // A key that the back end did not set is completed by the body.
-        let text =
-            if text.starts_with("derived") { format!("{text}\n{:016x}", body.0) } else { text.clone() };
-        let key = ClaimKey::of(&self.request.service, &text);
+        let key = ClaimKey::of(&self.request.service, &text.complete(body));
         let content = call_fingerprint(self.request, body);
         let claiming = self.shared.claimant.claim(key, content);
         let claimed = clock::timeout_at(self.parent.expiry, claiming).await;
@@ -54,6 +52,7 @@
     }
 }
 
+/// What the caller is told where nobody knows whether an earlier attempt ran.
 fn claim_advice(reason: Reason) -> &'static str {
     match reason {
         Reason::DeadlineExceeded => "the deadline passed before the key could be claimed",
--- a/crates/seamhatchd/src/filters/idempotency.rs
+++ b/crates/seamhatchd/src/filters/idempotency.rs
@@ -2,7 +2,7 @@
 
 use crate::base::metrics::BadInput;
 use crate::conventions::headers;
-use crate::filters::{Rejection, RequestFilter, RequestState};
+use crate::filters::{ClaimText, Rejection, RequestFilter, RequestState};
 use crate::shared::Shared;
 use seamhatch_core::outcome::Reason;
 
@@ -22,7 +22,9 @@
             let tenant = request.tenant.as_ref().map(|tenant| tenant.name.as_str());
             let credentials = tenant.or_else(|| request.header("authorization")).unwrap_or_default();
             let cookies = request.header("cookie").unwrap_or_default();
-            request.claim_text = Some(format!("caller\n{credentials}\n{cookies}\n{key}"));
+            // Absent fields count as empty ones.
+            let text = format!("caller\n{credentials}\n{cookies}\n{key}");
+            request.claim_text = Some(ClaimText::Key(text));
         }
         Ok(())
     }
@@ -37,8 +39,11 @@
         let key = checked_key(shared, request)?;
         if !request.repeatable {
             request.claim_text = Some(match key {
-                Some(key) => format!("chain\n{key}"),
-                None => format!("derived\n{}\n{}\n{}", request.root, request.method, request.path),
+                Some(key) => ClaimText::Key(format!("chain\n{key}")),
+                None => {
+                    let text = format!("derived\n{}\n{}\n{}", request.root, request.method, request.path);
+                    ClaimText::Content(text)
+                }
             });
         }
         Ok(())
--- a/crates/seamhatchd/src/filters/mod.rs
+++ b/crates/seamhatchd/src/filters/mod.rs
@@ -19,7 +19,7 @@
 
 pub use entry_floor::{EntryFloors, RETURN_JITTER, check_entry_floor};
 pub use rejection::{Rejection, VerdictSource};
-pub use request::{Entry, RequestState};
+pub use request::{ClaimText, Entry, RequestState};
 
 use crate::base::clock;
 use crate::shared::Shared;
--- a/crates/seamhatchd/src/filters/request.rs
+++ b/crates/seamhatchd/src/filters/request.rs
@@ -6,7 +6,7 @@
 use crate::server::running::RunningCall;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::Microseconds;
-use seamhatch_core::identity::RootId;
+use seamhatch_core::identity::{Fingerprint, RootId};
 use seamhatch_core::outcome::Reason;
 use seamhatch_core::priority::PriorityClass;
 use seamhatch_policy::{Configuration, Tenant};
@@ -24,6 +24,26 @@
     Shared,
 }
 
+/// What a call that is not repeatable is claimed by. All daemons digest the same text, so its form must not change.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum ClaimText {
+    /// An idempotency key, and what it counts within.
+    Key(String),
+    /// The call's content within its root request, where it has no key. The body belongs to it, too.
+    Content(String),
+}
+
+impl ClaimText {
+    /// The whole text, given the digest of the body.
+    #[must_use]
+    pub fn complete(&self, body: Fingerprint) -> String {
+        match self {
+            Self::Key(text) => text.clone(),
+            Self::Content(text) => format!("{text}\n{:016x}", body.0),
+        }
+    }
+}
+
 /// A request without its body, and what the filters have decided so far.
 #[derive(Debug)]
 pub struct RequestState {
@@ -68,7 +88,7 @@
     /// Time from its arrival in which its answer is early.
     pub objective: Microseconds,
     /// What it is claimed by, where it is not repeatable.
-    pub claim_text: Option<String>,
+    pub claim_text: Option<ClaimText>,
 }
 
 impl RequestState {
