--- a/crates/seamhatchd/src/dispatch/answer.rs
+++ b/crates/seamhatchd/src/dispatch/answer.rs
@@ -2,7 +2,7 @@
 
 use crate::base::clock;
 use crate::claims::Claimed;
-use crate::dispatch::child::ChildCall;
+use crate::dispatch::ledger_entry::LedgerEntry;
 use crate::filters::Rejection;
 use crate::peer::{AnswerBody, AnswerPiece};
 use bytes::Bytes;
@@ -25,7 +25,7 @@
     pub dispatches: usize,
     pub(super) body: AnswerBody,
     pub(super) expiry: Instant,
-    pub(super) child: ChildCall,
+    pub(super) ledger_entry: LedgerEntry,
     pub(super) claimed: Option<Claimed>,
     pub(super) recording: Option<Vec<u8>>,
 }
@@ -62,12 +62,12 @@
     }
 
     fn complete(&mut self, unspent_tokens: u32) {
-        if self.child.finished {
+        if self.ledger_entry.finished {
             return;
         }
-        self.child.give_back(unspent_tokens);
+        self.ledger_entry.give_back(unspent_tokens);
         let failed = self.head.status >= 500;
-        self.child.finish(if failed { ChildEnd::Failed } else { ChildEnd::Succeeded });
+        self.ledger_entry.finish(if failed { ChildEnd::Failed } else { ChildEnd::Succeeded });
         let (Some(claimed), Some(body)) = (&self.claimed, self.recording.take()) else { return };
         claimed.answered(RecordedAnswer {
             status: self.head.status,
--- a/crates/seamhatchd/src/dispatch/attempt.rs
+++ b/crates/seamhatchd/src/dispatch/attempt.rs
@@ -45,7 +45,7 @@
         self.tell_suspicion(connection);
         let Ok(stream) = connection.start_call(head) else {
             // Closed between the choice and here: nothing was written.
-            return Err(AttemptFailure::Refused(not_sent(self.child.handed_over)));
+            return Err(AttemptFailure::Refused(not_sent(self.ledger_entry.handed_over)));
         };
         for piece in &self.body.prefix {
             stream.send_piece(piece);
@@ -90,7 +90,7 @@
             root: self.request.root,
             priority: self.parent.priority,
             root_age: clock::now().since(self.parent.root_admitted),
-            tokens: self.child.hand_over(),
+            tokens: self.ledger_entry.hand_over(),
             repeat: self.repeat,
             repeatable: self.request.repeatable,
             expiry: connection.to_peer_clock(expiry),
--- a/crates/seamhatchd/src/dispatch/candidates.rs
+++ b/crates/seamhatchd/src/dispatch/candidates.rs
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Whether the daemon takes calls for this service, as it says itself: the member's record may be older than the
+    /// Whether the daemon takes calls for this service, by its own messages: the member's record may be older than the
     /// server that has its address now.
     fn can_serve(&self, connection: &PeerConnection) -> bool {
         connection.view().intake != CallIntake::Closed && *connection.service == *self.request.service
--- a/crates/seamhatchd/src/dispatch/claiming.rs
+++ b/crates/seamhatchd/src/dispatch/claiming.rs
@@ -34,17 +34,17 @@
     fn refuse_claim(&mut self, refused: ClaimRefused) -> CallResult {
         match refused {
             ClaimRefused::KeyMismatch => {
-                self.child.finish(ChildEnd::NotRun);
+                self.ledger_entry.finish(ChildEnd::NotRun);
                 CallResult::Rejected(Rejection::not_run(Reason::KeyMismatch, MISMATCH_ADVICE))
             }
             // This attempt was not run, but an earlier one with the same key may have been.
             ClaimRefused::Undecided(reason) => {
-                self.child.finish(ChildEnd::NotRun);
+                self.ledger_entry.finish(ChildEnd::NotRun);
                 CallResult::Rejected(Rejection::unknown(reason, claim_advice(reason)))
             }
             ClaimRefused::Duplicate(Some(answer)) => {
                 let failed = answer.status >= 500;
-                self.child.finish(if failed { ChildEnd::Failed } else { ChildEnd::Succeeded });
+                self.ledger_entry.finish(if failed { ChildEnd::Failed } else { ChildEnd::Succeeded });
                 CallResult::Recorded(answer)
             }
             ClaimRefused::Duplicate(None) => CallResult::Rejected(Rejection::duplicate()),
--- a/crates/seamhatchd/src/dispatch/child.rs
+++ b/crates/seamhatchd/src/dispatch/ledger_entry.rs
@@ -5,9 +5,9 @@
 use seamhatch_core::retry::{ChildEnd, Dispatch, TokensExhausted};
 use std::sync::Arc;
 
-/// A call's entry in its parent's retry ledger. Unless [`ChildCall::finish`] is called, the call counts as failed and
+/// A call's entry in its parent's retry ledger. Unless [`LedgerEntry::finish`] is called, the call counts as failed and
 /// the tokens that it was given as spent.
-pub(super) struct ChildCall {
+pub(super) struct LedgerEntry {
     parent: Arc<RunningCall>,
     call: Fingerprint,
     /// Retry tokens that went out with the attempt in progress.
@@ -15,7 +15,7 @@
     pub(super) finished: bool,
 }
 
-impl ChildCall {
+impl LedgerEntry {
     /// Enters a call that is about to be sent.
     ///
     /// # Errors
@@ -47,7 +47,7 @@
     }
 }
 
-impl Drop for ChildCall {
+impl Drop for LedgerEntry {
     fn drop(&mut self) {
         if !self.finished {
             self.finish(ChildEnd::Failed);
--- a/crates/seamhatchd/src/dispatch/mod.rs
+++ b/crates/seamhatchd/src/dispatch/mod.rs
@@ -10,9 +10,9 @@
 mod answer;
 mod attempt;
 mod candidates;
-mod child;
 mod claiming;
 mod digests;
+mod ledger_entry;
 mod prepare;
 mod replay;
 mod retries;
@@ -28,7 +28,7 @@
 use crate::server::running::RunningCall;
 use crate::shared::Shared;
 use attempt::{AttemptFailure, call_end};
-use child::ChildCall;
+use ledger_entry::LedgerEntry;
 use log::info;
 use seamhatch_core::Instant;
 use seamhatch_core::identity::{Address, RequestDigest};
@@ -59,7 +59,7 @@
     body: ReplayBody,
     /// The same for each copy of the request.
     digest: RequestDigest,
-    child: ChildCall,
+    ledger_entry: LedgerEntry,
     claimed: Option<Claimed>,
     /// Its next attempt may repeat a run, of its own or of its parent.
     repeat: bool,
@@ -135,7 +135,7 @@
 
     fn check_resend_refused(&mut self, refusal: Refusal) -> Result<(), Rejection> {
         self.learn_service_floor();
-        self.child.give_back(refusal.unspent_tokens);
+        self.ledger_entry.give_back(refusal.unspent_tokens);
         let ran = refusal.outcome != Outcome::NotRun;
         self.may_have_run |= ran;
         let reached = ran || refusal.reason.reached_back_end();
@@ -157,7 +157,7 @@
             dispatches: self.tried.len() + 1,
             body: AnswerBody::new(stream),
             expiry: self.parent.expiry,
-            child: self.child,
+            ledger_entry: self.ledger_entry,
             claimed: self.claimed,
             recording,
         }))
@@ -175,7 +175,7 @@
             // An earlier attempt may have run, whatever became of the last one.
             rejection.outcome = Outcome::Unknown;
         } else {
-            self.child.finish(ChildEnd::NotRun);
+            self.ledger_entry.finish(ChildEnd::NotRun);
             if let Some(claimed) = &mut self.claimed {
                 claimed.not_run();
             }
--- a/crates/seamhatchd/src/dispatch/prepare.rs
+++ b/crates/seamhatchd/src/dispatch/prepare.rs
@@ -1,7 +1,7 @@
 //! What comes before the first attempt of a call: its settings, its parent's retry tokens, its claim, the limits.
 
-use super::child::ChildCall;
 use super::digests::{call_fingerprint, request_digest};
+use super::ledger_entry::LedgerEntry;
 use super::{CallResult, Dispatcher, ReplayBody};
 use crate::base::clock;
 use crate::filters::{Rejection, RequestState};
@@ -44,7 +44,7 @@
     let parent = request.parent.clone().ok_or_else(|| {
         Rejection::not_run(Reason::BadContext, "the request has no running call it belongs to")
     })?;
-    let (child, first) = ChildCall::begin(&parent, call_fingerprint(request, content))
+    let (ledger_entry, first) = LedgerEntry::begin(&parent, call_fingerprint(request, content))
         .map_err(|error| Rejection::not_run(Reason::RetriesExhausted, error.to_string()))?;
     let dispatcher = Dispatcher {
         shared,
@@ -55,7 +55,7 @@
         parent,
         digest: request_digest(shared, request, content),
         body,
-        child,
+        ledger_entry,
         claimed: None,
         tried: Vec::new(),
         pressed: 0,
--- a/crates/seamhatchd/src/peer/connection.rs
+++ b/crates/seamhatchd/src/peer/connection.rs
@@ -71,9 +71,9 @@
 pub struct PeerConnection {
     /// The peer's address.
     pub address: Address,
-    /// The peer's life.
+    /// The peer's incarnation.
     pub incarnation: Incarnation,
-    /// Service of the server beside it, as it says itself.
+    /// Service of the server beside it, as its first message states.
     pub service: Arc<str>,
     pub(super) outbox: Outbox,
     pub(super) state: Arc<ConnectionState>,
--- a/crates/seamhatchd/src/peer/handshake.rs
+++ b/crates/seamhatchd/src/peer/handshake.rs
@@ -63,7 +63,7 @@
     Ok(connection)
 }
 
-/// Connects from the daemon's own address, so that the other side's logs and filters see which machine it is.
+/// Connects from the daemon's own address, so that the peer's logs and filters show which daemon it is.
 async fn connect_from(own: IpAddr, target: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = if target.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     if own.is_ipv4() == target.is_ipv4() {
--- a/crates/seamhatchd/src/peer/upkeep.rs
+++ b/crates/seamhatchd/src/peer/upkeep.rs
@@ -18,7 +18,7 @@
 /// A connection on which nothing was sent for this long is closed, so that random exchanges between controllers
 /// don't add up to a full mesh. Chosen, not measured.
 const IDLE_TO_CLOSE: Microseconds = 10 * SECOND;
-/// A peer that was silent for this long is given up, with the calls it has. Chosen, not measured.
+/// The connection of a peer that was silent for this long is closed, and the calls on it are lost. Chosen, not measured.
 const SILENCE_TO_CLOSE: Microseconds = 20 * SECOND;
 /// Pause after the first attempt to reach a silent peer on a new connection, doubled after each further attempt.
 /// The first attempt comes at once and costs a handshake. Chosen, not measured.
--- a/crates/seamhatchd/src/peer_server/call/execute.rs
+++ b/crates/seamhatchd/src/peer_server/call/execute.rs
@@ -1,8 +1,8 @@
 //! Running an admitted call on the back end.
 //!
 //! The permit is held until the answer or the refusal is on its way. The order of the steps matters: what may have
-//! changed while the call waited is checked last, right before the request is written, and a crash is looked for only
-//! after the sender has been told how the call ended, unless the refusal depends on it.
+//! changed while the call waited is checked last, right before the request is written, and the daemon checks
+//! for a crash only after the sender has got the end of the answer, unless a refusal depends on it.
 
 use super::ServerCall;
 use super::answer::AnswerStart;
