--- a/crates/seamhatch-core/src/admission/knee/comparison.rs
+++ b/crates/seamhatch-core/src/admission/knee/comparison.rs
@@ -1,7 +1,7 @@
 //! How much slower calls are at the upper of two levels.
 
 use super::CallKind;
-use super::trial::Arm;
+use super::probe::Arm;
 use crate::clock::Microseconds;
 
 /// Kinds of calls that are told apart in a trial.
--- a/crates/seamhatch-core/src/admission/knee/mod.rs
+++ b/crates/seamhatch-core/src/admission/knee/mod.rs
@@ -6,12 +6,12 @@
 //! are compared. Drift (a cold start, a changing mix, a slow machine) meets both alike.
 
 mod comparison;
-mod trial;
+mod probe;
 
-pub use trial::TrialMark;
+pub use probe::ProbeMark;
 
 use crate::clock::{Instant, Microseconds, SECOND};
-use trial::{Arm, Trial};
+use probe::{Arm, LimitProbe};
 
 /// Calls of one kind do alike work, so that their service times may be compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
@@ -23,11 +23,11 @@
 const NEAR: [u32; 2] = [1, 2];
 /// Greater distances, one a round: a far knee doesn't show one step down, and looking for it costs most.
 const FAR: [u32; 3] = [7, 5, 3];
-/// Slots below which nothing is tried: one slot fewer would be too much of the whole.
+/// Slots below which nothing is probed: one slot fewer would be too much of the whole.
 const FEWEST_SLOTS: u32 = 8;
-/// Share of the slots below which no level is tried.
+/// Share of the slots below which no level is probed.
 const LOWEST_SHARE: f64 = 0.5;
-/// Rest after all levels around the one in use were tried; doubled while nothing changes, up to
+/// Rest after all levels around the one in use were probed; doubled while nothing changes, up to
 /// [`LONGEST_REST`]. A trial of a worse level costs capacity while it lasts (less than a second at a
 /// busy server).
 const FIRST_REST: Microseconds = 2 * SECOND;
@@ -42,7 +42,7 @@
 pub struct KneeFinder {
     slots: u32,
     level: u32,
-    trial: Option<Trial>,
+    probe: Option<LimitProbe>,
     /// Tells the calls of one trial from those of others.
     number: u32,
     next: Option<Instant>,
@@ -50,7 +50,7 @@
     /// The next trial looks at a higher level.
     upward: bool,
     /// Trials downward in this round.
-    tried: usize,
+    downward_probes: usize,
     /// Rounds that have ended.
     rounds: usize,
 }
@@ -62,12 +62,12 @@
         Self {
             slots,
             level: slots,
-            trial: None,
+            probe: None,
             number: 0,
             next: None,
             rest: FIRST_REST,
             upward: false,
-            tried: 0,
+            downward_probes: 0,
             rounds: 0,
         }
     }
@@ -75,7 +75,7 @@
     /// Calls that may be at work at present.
     #[must_use]
     pub fn level(&self) -> u32 {
-        self.trial.as_ref().map_or(self.level, Trial::level)
+        self.probe.as_ref().map_or(self.level, LimitProbe::level)
     }
 
     /// The level that was found best so far.
@@ -86,29 +86,29 @@
 
     /// A call begins, and `running` are at work with it. The mark to give back with its service time,
     /// where the call is part of a trial.
-    pub fn begin(&mut self, running: u32, kind: CallKind, now: Instant) -> Option<TrialMark> {
+    pub fn begin(&mut self, running: u32, kind: CallKind, now: Instant) -> Option<ProbeMark> {
         if running < self.level() {
             return None;
         }
-        if self.trial.is_none() && self.next.is_none_or(|next| now >= next) {
-            self.start_trial(now);
+        if self.probe.is_none() && self.next.is_none_or(|next| now >= next) {
+            self.start_probe(now);
         }
         let number = self.number;
-        let trial = self.trial.as_mut()?;
-        if running != trial.level() {
+        let probe = self.probe.as_mut()?;
+        if running != probe.level() {
             return None;
         }
-        let mark = trial.mark(number, kind);
-        if let Some(better) = trial.count_begun() {
+        let mark = probe.mark(number, kind);
+        if let Some(better) = probe.count_begun() {
             self.settle(better, now);
         }
         Some(mark)
     }
 
     /// A call of a trial has ended.
-    pub fn observe(&mut self, mark: TrialMark, service_time: Microseconds) {
-        if mark.trial == self.number {
-            self.trial.iter_mut().for_each(|trial| trial.observe(mark, service_time));
+    pub fn observe(&mut self, mark: ProbeMark, service_time: Microseconds) {
+        if mark.probe == self.number {
+            self.probe.iter_mut().for_each(|probe| probe.observe(mark, service_time));
         }
     }
 
@@ -117,12 +117,12 @@
     }
 
     /// Steps to the lower level of the next trial downward.
-    fn reach(&self) -> u32 {
-        NEAR.get(self.tried).copied().unwrap_or(FAR[self.rounds % FAR.len()])
+    fn steps_down(&self) -> u32 {
+        NEAR.get(self.downward_probes).copied().unwrap_or(FAR[self.rounds % FAR.len()])
     }
 
     /// Compares the level in use, which has the first turn, with another one.
-    fn start_trial(&mut self, now: Instant) {
+    fn start_probe(&mut self, now: Instant) {
         if self.slots < FEWEST_SLOTS {
             return;
         }
@@ -131,7 +131,7 @@
         let (lower, upper) = if self.upward {
             (self.level, (self.level + self.step()).min(self.slots))
         } else {
-            (self.level.saturating_sub(self.step() * self.reach()).max(lowest), self.level)
+            (self.level.saturating_sub(self.step() * self.steps_down()).max(lowest), self.level)
         };
         if lower >= upper {
             self.settle(self.level, now);
@@ -139,29 +139,29 @@
         }
         self.number = self.number.wrapping_add(1);
         let arm = if lower == self.level { Arm::Lower } else { Arm::Upper };
-        self.trial = Some(Trial::new(lower, upper, arm));
+        self.probe = Some(LimitProbe::new(lower, upper, arm));
     }
 
-    /// Takes the `better` level. Where that is a change, the levels around it are tried at once; else the
+    /// Takes the `better` level. Where that is a change, the levels around it are probed at once; else the
     /// finder goes on to the next level of the round: one step up, then down, farther each time.
     fn settle(&mut self, better: u32, now: Instant) {
-        let told_nothing = self.trial.take().is_some_and(|trial| trial.told_nothing());
+        let has_no_samples = self.probe.take().is_some_and(|probe| probe.has_no_samples());
         self.next = None;
-        if told_nothing {
+        if has_no_samples {
             // Calls here make calls of their own; other levels would tell no more.
-            self.tried = NEAR.len();
+            self.downward_probes = NEAR.len();
         }
         if better != self.level {
             self.upward = better > self.level;
             self.level = better;
-            self.tried = 0;
+            self.downward_probes = 0;
             self.rest = FIRST_REST;
         } else if self.upward {
             self.upward = false;
-        } else if self.tried < NEAR.len() {
-            self.tried += 1;
+        } else if self.downward_probes < NEAR.len() {
+            self.downward_probes += 1;
         } else {
-            self.tried = 0;
+            self.downward_probes = 0;
             self.rounds += 1;
             self.upward = true;
             self.next = Some(now.plus(self.rest));
--- a/crates/seamhatch-core/src/admission/knee/trial.rs
+++ b/crates/seamhatch-core/src/admission/knee/probe.rs
@@ -32,8 +32,8 @@
 
 /// What a call that began at the level in use belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TrialMark {
-    pub(super) trial: u32,
+pub struct ProbeMark {
+    pub(super) probe: u32,
     pub(super) turn: u32,
     pub(super) arm: Arm,
     pub(super) kind: CallKind,
@@ -41,7 +41,7 @@
 
 /// A comparison of two levels in progress.
 #[derive(Debug, Clone)]
-pub(super) struct Trial {
+pub(super) struct LimitProbe {
     lower: u32,
     upper: u32,
     arm: Arm,
@@ -50,11 +50,11 @@
     /// Turns that have ended.
     turns: u32,
     /// Service times of calls whose turn has ended too lately to be compared.
-    recent: Vec<(TrialMark, Microseconds)>,
+    recent: Vec<(ProbeMark, Microseconds)>,
     comparison: Comparison,
 }
 
-impl Trial {
+impl LimitProbe {
     /// The level of `arm` has the first turn.
     pub(super) fn new(lower: u32, upper: u32, arm: Arm) -> Self {
         let comparison = Comparison::default();
@@ -70,8 +70,8 @@
     }
 
     /// What a call that begins now is marked with in the trial of this `number`.
-    pub(super) fn mark(&self, number: u32, kind: CallKind) -> TrialMark {
-        TrialMark { trial: number, turn: self.turns, arm: self.arm, kind }
+    pub(super) fn mark(&self, number: u32, kind: CallKind) -> ProbeMark {
+        ProbeMark { probe: number, turn: self.turns, arm: self.arm, kind }
     }
 
     /// Counts a call that begins. The better level, where that ends the trial.
@@ -95,20 +95,20 @@
     }
 
     /// A call has ended. One of a turn that was compared already is too late.
-    pub(super) fn observe(&mut self, mark: TrialMark, service_time: Microseconds) {
+    pub(super) fn observe(&mut self, mark: ProbeMark, service_time: Microseconds) {
         if mark.turn + TURNS_TO_END > self.turns {
             self.recent.push((mark, service_time));
         }
     }
 
     /// Whether no calls could be compared.
-    pub(super) fn told_nothing(&self) -> bool {
+    pub(super) fn has_no_samples(&self) -> bool {
         self.comparison.slowdown().is_none()
     }
 
     /// Whether it goes on without telling anything.
     fn is_vain(&self) -> bool {
-        self.turns >= MOST_TURNS || (self.turns >= TURNS_WITHOUT_SAMPLES && self.told_nothing())
+        self.turns >= MOST_TURNS || (self.turns >= TURNS_WITHOUT_SAMPLES && self.has_no_samples())
     }
 
     /// The better level, once it is known. The upper one stands unless the lower is shown to finish more
--- a/crates/seamhatch-core/src/admission/limit.rs
+++ b/crates/seamhatch-core/src/admission/limit.rs
@@ -34,7 +34,7 @@
     /// The limit of another instance of the same back end: what the last one's had grown to counts for
     /// nothing, but its service time is the best guess.
     #[must_use]
-    pub fn anew(&self, policy: AdmissionPolicy) -> Self {
+    pub fn restarted(&self, policy: AdmissionPolicy) -> Self {
         Self { average: self.average, ..Self::new(policy) }
     }
 
--- a/crates/seamhatch-core/src/admission/mod.rs
+++ b/crates/seamhatch-core/src/admission/mod.rs
@@ -8,7 +8,7 @@
 mod shares;
 mod waiting;
 
-pub use knee::{CallKind, KneeFinder, TrialMark};
+pub use knee::{CallKind, KneeFinder, ProbeMark};
 pub use limit::ConcurrencyLimit;
 pub use lost::BackEndLoad;
 pub use shares::{ClassShares, share_of};
@@ -92,7 +92,7 @@
     kind: CallKind,
     started: Instant,
     /// Set while it is part of a trial of the back end's concurrency.
-    mark: Option<TrialMark>,
+    mark: Option<ProbeMark>,
     /// Its answer seems to be lost; it holds no slot any more.
     lost: bool,
 }
@@ -197,7 +197,7 @@
     pub fn set_slots(&mut self, slots: u32, initial_slots: u32) {
         self.policy.slots = slots;
         self.policy.initial_slots = initial_slots;
-        self.limit = self.limit.anew(self.policy);
+        self.limit = self.limit.restarted(self.policy);
         self.knee = KneeFinder::new(slots);
     }
 
@@ -343,11 +343,11 @@
         let healthy = (f64::from(self.capacity()) * HIGH_FILL) as usize;
         let taken = self.running() as f64 / f64::from(self.limit().max(1));
         let level = self.floor().level;
-        let kept = PriorityClass::ALL.map(|class| self.waiting.beyond(class, level));
+        let kept = PriorityClass::ALL.map(|class| self.waiting.count_from_level(class, level));
         let passing = self.waiting.len() - kept.iter().sum::<usize>();
         let pressure = Pressure {
             fill: passing as f64 / f64::from(self.capacity().max(1)),
-            crowded: PriorityClass::ALL.map(|class| kept[class.rank()] > self.places_of(class)),
+            crowded: PriorityClass::ALL.map(|class| kept[class.rank()] > self.queue_share(class)),
             first_in_excess: self.waiting.level_at(healthy),
             free: (1.0 - taken).max(0.0),
         };
@@ -372,14 +372,14 @@
         self.shares.start(class, now);
     }
 
-    fn is_owed(&self, class: PriorityClass) -> bool {
-        self.shares.is_owed(class, self.limit())
+    fn below_share(&self, class: PriorityClass) -> bool {
+        self.shares.below_share(class, self.limit())
     }
 
     /// The class whose turn it is: one that is owed slots, else the most important that waits.
     fn next_class(&self) -> Option<PriorityClass> {
         let waits = |class: &PriorityClass| self.waiting.len_of(*class) > 0;
-        let owed = PriorityClass::ALL.into_iter().find(|class| waits(class) && self.is_owed(*class));
+        let owed = PriorityClass::ALL.into_iter().find(|class| waits(class) && self.below_share(*class));
         owed.or_else(|| PriorityClass::ALL.into_iter().find(waits))
     }
 
@@ -394,7 +394,7 @@
 
     /// Calls that go before one of `class` behind `in_line` others of it, as it looks now.
     fn ahead_of(&self, class: PriorityClass, in_line: usize) -> usize {
-        let before = if self.is_owed(class) { 0 } else { self.waiting.more_important(class) };
+        let before = if self.below_share(class) { 0 } else { self.waiting.more_important(class) };
         before + in_line
     }
 
@@ -416,15 +416,15 @@
     /// The waiting call to give up for one of this priority: a less important one, of a class that has
     /// more places than its share, or any such one where the class of `priority` has fewer.
     fn victim(&self, priority: Priority) -> Option<Ticket> {
-        let entitled = self.waiting.len_of(priority.class) < self.places_of(priority.class);
+        let entitled = self.waiting.len_of(priority.class) < self.queue_share(priority.class);
         let mut classes = PriorityClass::ALL.into_iter().rev();
-        let class = classes.find(|class| self.waiting.len_of(*class) > self.places_of(*class))?;
+        let class = classes.find(|class| self.waiting.len_of(*class) > self.queue_share(*class))?;
         let worst = self.waiting.last_of(class)?;
         (entitled || worst.priority.level() > priority.level()).then_some(worst.ticket)
     }
 
     /// Places in the queue that a class owns.
-    fn places_of(&self, class: PriorityClass) -> usize {
+    fn queue_share(&self, class: PriorityClass) -> usize {
         (f64::from(self.capacity()) * share_of(class)) as usize
     }
 }
--- a/crates/seamhatch-core/src/admission/shares.rs
+++ b/crates/seamhatch-core/src/admission/shares.rs
@@ -56,7 +56,7 @@
     /// Lately alone would let a class that was idle take every slot for a while; now alone would give it
     /// half of a server of two slots.
     #[must_use]
-    pub fn is_owed(&self, class: PriorityClass, limit: u32) -> bool {
+    pub fn below_share(&self, class: PriorityClass, limit: u32) -> bool {
         let share = share_of(class) * f64::from(limit);
         f64::from(self.running[class.rank()]) < share.ceil() && self.used(class) < share
     }
--- a/crates/seamhatch-core/src/admission/waiting.rs
+++ b/crates/seamhatch-core/src/admission/waiting.rs
@@ -57,7 +57,7 @@
     }
 
     /// Calls of `class` that lie at `level` or beyond it.
-    pub fn beyond(&self, class: PriorityClass, level: u16) -> usize {
+    pub fn count_from_level(&self, class: PriorityClass, level: u16) -> usize {
         let below = |request: &&AdmissionRequest| request.priority.level() < level;
         self.len_of(class) - self.lines[class.rank()].values().take_while(below).count()
     }
--- a/crates/seamhatch-core/src/departure.rs
+++ b/crates/seamhatch-core/src/departure.rs
@@ -56,29 +56,29 @@
 /// What a starting daemon has been told of departures in its earlier lives.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct DepartureInquiry {
-    store_told: bool,
-    holders_told: bool,
+    store_answered: bool,
+    holders_answered: bool,
 }
 
 impl DepartureInquiry {
     /// Takes in that a source has answered.
-    pub fn told(&mut self, source: DepartureSource) {
+    pub fn note_answer(&mut self, source: DepartureSource) {
         match source {
-            DepartureSource::Store => self.store_told = true,
-            DepartureSource::Holders => self.holders_told = true,
+            DepartureSource::Store => self.store_answered = true,
+            DepartureSource::Holders => self.holders_answered = true,
         }
     }
 
     /// Whether the holders have answered.
     #[must_use]
-    pub fn holders_told(&self) -> bool {
-        self.holders_told
+    pub fn holders_answered(&self) -> bool {
+        self.holders_answered
     }
 
     /// Whether heartbeats count, `waited` after the start; `asking` while holders are being asked.
     #[must_use]
     pub fn verdict(&self, waited: Microseconds, asking: bool) -> InquiryVerdict {
-        match (self.store_told, self.holders_told) {
+        match (self.store_answered, self.holders_answered) {
             (true, true) => InquiryVerdict::Settled,
             (true, false) if waited > HOLDERS_PATIENCE && !asking => InquiryVerdict::Settled,
             (false, true) if waited > STORE_PATIENCE => InquiryVerdict::Settled,
--- a/crates/seamhatch-model/src/departures.rs
+++ b/crates/seamhatch-model/src/departures.rs
@@ -252,7 +252,7 @@
         for instance in instances {
             daemon.registry.depart(instance);
         }
-        daemon.inquiry.told(source);
+        daemon.inquiry.note_answer(source);
         let alone = self.fault == DeparturesFault::StoreAlone && source == DepartureSource::Store;
         daemon.settled = alone || daemon.inquiry.verdict(0, false) == InquiryVerdict::Settled;
         if let Some(heartbeat) = daemon.early.take_if(|_| daemon.settled) {
--- a/crates/seamhatchd/src/controllers/control_thread/departures.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/departures.rs
@@ -52,7 +52,7 @@
         if source == DepartureSource::Holders {
             self.departures.asking = false;
         }
-        self.departures.inquiry.told(source);
+        self.departures.inquiry.note_answer(source);
         info!(source:? = source, instances = instances.len(); "departures of an earlier life told");
         if self.shared.server.instances.depart(instances) {
             warn!("the registered instance had departed before this daemon started");
@@ -97,7 +97,7 @@
 
     fn ask_holders(&mut self, now: Instant) {
         let departures = &self.departures;
-        if departures.inquiry.holders_told() || departures.asking || now < departures.next_poll {
+        if departures.inquiry.holders_answered() || departures.asking || now < departures.next_poll {
             return;
         }
         let peers = self.departure_peers(DEPARTURE_ASKED);
