--- a/crates/seamhatch-core/src/admission/mod.rs
+++ b/crates/seamhatch-core/src/admission/mod.rs
@@ -13,9 +13,10 @@
 pub use lost::BackEndLoad;
 pub use shares::{ClassShares, share_of};
 
-use crate::clock::{Instant, MILLISECOND, Microseconds, SECOND};
+use crate::clock::{Instant, Microseconds};
 use crate::outcome::Reason;
 use crate::priority::{AdmissionFloor, Priority, PriorityClass};
+use crate::return_time;
 use floor::{FloorController, HIGH_FILL, Pressure};
 use lost::{LostCalls, OVERDUE_SERVICE_TIMES};
 use service_times::ServiceTimes;
@@ -179,7 +180,7 @@
     /// How long a refused caller should stay away, before jitter.
     #[must_use]
     pub fn retry_after(&self) -> Microseconds {
-        self.estimated_wait(self.waiting.len() + 1).clamp(100 * MILLISECOND, 10 * SECOND)
+        return_time::after_queue(self.estimated_wait(self.waiting.len() + 1))
     }
 
     /// The latest instant at which a call may start: what its kind usually needs before its answer stops
--- a/crates/seamhatch-core/src/lib.rs
+++ b/crates/seamhatch-core/src/lib.rs
@@ -20,8 +20,10 @@
 pub mod outcome;
 pub mod priority;
 pub mod quota;
+pub mod refusal;
 pub mod rendezvous;
 pub mod retry;
+pub mod return_time;
 pub mod roster;
 pub mod running_quantile;
 
--- a/crates/seamhatch-core/src/outcome.rs
+++ b/crates/seamhatch-core/src/outcome.rs
@@ -142,39 +142,6 @@
             Self::NoQuotaShard => "no-quota-shard",
         }
     }
-
-    /// Whether another server may do better, so that a call that was not run is worth sending again.
-    #[must_use]
-    pub fn worth_another_server(self) -> bool {
-        matches!(
-            self,
-            Self::NotReady
-                | Self::Draining
-                | Self::NoServer
-                | Self::BackendUnreachable
-                | Self::PeerLost
-                | Self::BackendRefused
-                | Self::NoInstance
-                | Self::OtherInstance
-                | Self::OtherService
-        )
-    }
-
-    /// Whether the refusing daemon may have shown the call to its back end, which then counts it as
-    /// an attempt. A call that a daemon turned away by itself costs no attempt and no retry.
-    #[must_use]
-    pub fn reached_back_end(self) -> bool {
-        matches!(
-            self,
-            Self::BackendRefused | Self::BackendFailed | Self::BackendCrashed | Self::OtherInstance
-        )
-    }
-
-    /// Whether the refusal tells of pressure at one server only, so that another may have room.
-    #[must_use]
-    pub fn is_pressure(self) -> bool {
-        matches!(self, Self::QueueFull | Self::Evicted | Self::DeadlineExceeded)
-    }
 }
 
 impl fmt::Display for Reason {
--- a/crates/seamhatchd/src/dispatch/attempt.rs
+++ b/crates/seamhatchd/src/dispatch/attempt.rs
@@ -115,11 +115,10 @@
 pub(super) fn call_end(attempt: &Result<AnswerBegun, AttemptFailure>) -> CallEnd {
     match attempt {
         Err(AttemptFailure::Lost) => CallEnd::Lost,
-        Err(AttemptFailure::Refused(refusal)) => match refusal.reason {
-            Reason::BackendUnreachable | Reason::BackendFailed | Reason::BackendCrashed => CallEnd::Lost,
-            _ => CallEnd::Answered,
-        },
-        Ok(_) | Err(AttemptFailure::Expired | AttemptFailure::BrokenOff(_)) => CallEnd::Answered,
+        Err(AttemptFailure::Refused(refusal)) if refusal.reason.counts_as_lost() => CallEnd::Lost,
+        Ok(_) | Err(AttemptFailure::Refused(_) | AttemptFailure::Expired | AttemptFailure::BrokenOff(_)) => {
+            CallEnd::Answered
+        }
     }
 }
 
--- a/crates/seamhatchd/src/filters/entry_floor.rs
+++ b/crates/seamhatchd/src/filters/entry_floor.rs
@@ -13,9 +13,10 @@
 use crate::filters::{Entry, Rejection, RequestFilter, RequestState};
 use crate::shared::Shared;
 use seamhatch_core::Instant;
-use seamhatch_core::clock::{MILLISECOND, Microseconds, SECOND};
+use seamhatch_core::clock::{MILLISECOND, Microseconds};
 use seamhatch_core::outcome::Reason;
 use seamhatch_core::priority::{AdmissionFloor, Priority};
+use seamhatch_core::return_time::{self, EARLY_SHARE};
 use seamhatch_core::running_quantile::RunningQuantile;
 use seamhatch_wire::ChainFloor;
 use std::collections::HashMap;
@@ -31,16 +32,6 @@
 /// Services that are remembered as the bounds of one kind of request.
 const MOST_BOTTLENECKS: usize = 4;
 
-/// Shortest time to come back that a refused caller is told: sooner, nothing will have changed.
-const SHORTEST_RETURN: Microseconds = 200 * MILLISECOND;
-/// Part of the time to come back that is added at random, so that those refused together come back apart.
-pub const RETURN_JITTER: f64 = 0.5;
-/// Share of those who come back at the last moment for it that are to be answered within their objective: they
-/// come back once, and from overload, where answers take longer than usual.
-const EARLY_SHARE: f64 = 0.9;
-/// Longest time to come back: callers have a few seconds in all, and overload may end at any moment.
-const LONGEST_RETURN: Microseconds = 2 * SECOND;
-
 #[derive(Debug, Clone, Copy)]
 struct LearntFloor {
     floor: AdmissionFloor,
@@ -122,9 +113,8 @@
         let floors = services.filter_map(|service| table.by_service.get(service));
         let closed = floors.filter(|known| !known.at(now).admits(priority));
         let longest = closed.map(|known| now.since(known.closed_since)).max().unwrap_or_default();
-        let expected = longest.clamp(SHORTEST_RETURN, LONGEST_RETURN);
-        let last_early = table.last_early_return(kind, objective);
-        if last_early < SHORTEST_RETURN { expected } else { expected.min(last_early) }
+        let usual_answer = table.answer_times.get(kind).map_or(0, |quantile| quantile.value());
+        return_time::after_overload(longest, usual_answer, objective)
     }
 
     fn lock(&self) -> MutexGuard<'_, FloorTable> {
@@ -150,13 +140,6 @@
         }
     }
 
-    /// The longest time to come back, before jitter, with which a request of this kind is still answered within
-    /// its objective, by what [`EARLY_SHARE`] of them need.
-    fn last_early_return(&self, kind: &str, objective: Microseconds) -> Microseconds {
-        let usual = self.answer_times.get(kind).map_or(0, |quantile| quantile.value());
-        (objective.saturating_sub(usual) as f64 / (1.0 + RETURN_JITTER)) as Microseconds
-    }
-
     fn note_bottleneck(&mut self, kind: &str, service: &str) {
         if self.by_kind.len() >= MOST_KINDS && !self.by_kind.contains_key(kind) {
             self.by_kind.clear();
--- a/crates/seamhatchd/src/filters/identity.rs
+++ b/crates/seamhatchd/src/filters/identity.rs
@@ -6,16 +6,12 @@
 use crate::conventions::{CallerCredential, field};
 use crate::filters::{Rejection, RequestFilter, RequestState};
 use crate::shared::Shared;
-use seamhatch_core::clock::{MILLISECOND, Microseconds};
 use seamhatch_core::outcome::Reason;
 use seamhatch_policy::{Configuration, KeyDigest, Tenant};
 use std::sync::Arc;
 
 /// Field in which callers send their key.
 const AUTHORIZATION: &str = "authorization";
-/// When to come back to a daemon that could not prove that its configuration is the newest: it asks the store again within
-/// this time. Chosen, not measured.
-const PROOF_RETURN: Microseconds = 500 * MILLISECOND;
 
 /// Finds the tenant by the key and puts its name in the key's place.
 ///
@@ -70,7 +66,7 @@
     // Before the key is looked up: an outdated configuration may still hold it, or not hold it yet.
     if !shared.limits.freshness.is_proved() {
         let detail = "this daemon can't show that its keys are the newest; come back after Retry-After";
-        return Err(Rejection::not_run(Reason::NoProof, detail).retry_after(PROOF_RETURN));
+        return Err(Rejection::not_run(Reason::NoProof, detail));
     }
     configuration.tenants().holder(key).cloned().ok_or_else(unknown_key)
 }
--- a/crates/seamhatchd/src/filters/mod.rs
+++ b/crates/seamhatchd/src/filters/mod.rs
@@ -17,8 +17,8 @@
 mod request;
 mod routing;
 
-pub use entry_floor::{EntryFloors, RETURN_JITTER, check_entry_floor};
-pub use rejection::{Rejection, VerdictSource};
+pub use entry_floor::{EntryFloors, check_entry_floor};
+pub use rejection::Rejection;
 pub use request::{ClaimText, Entry, RequestState};
 
 use crate::base::clock;
--- a/crates/seamhatchd/src/filters/readiness.rs
+++ b/crates/seamhatchd/src/filters/readiness.rs
@@ -3,8 +3,8 @@
 use crate::conventions::headers;
 use crate::filters::{Rejection, RequestFilter, RequestState};
 use crate::shared::Shared;
-use seamhatch_core::clock::{MILLISECOND, Microseconds};
 use seamhatch_core::outcome::Reason;
+use seamhatch_core::return_time::RESTART_RETURN;
 
 /// Rejects at once, so that the caller goes to another daemon.
 pub struct Readiness;
@@ -33,16 +33,13 @@
 /// where too few other daemons are near.
 pub struct BeforeTheEnd;
 
-/// When to come back: a daemon that takes no callers ends soon, and a restarted one serves by then. Chosen, not measured.
-const RETURN_AFTER: Microseconds = 800 * MILLISECOND;
-
 impl RequestFilter for BeforeTheEnd {
     fn apply(&self, shared: &Shared, request: &mut RequestState) -> Result<(), Rejection> {
         if request.parent.is_some() || !shared.is_too_late_for_callers() {
             return Ok(());
         }
         let detail = "this daemon is about to end; use another one, or come back after Retry-After";
-        Err(Rejection::not_run(Reason::Draining, detail).retry_after(RETURN_AFTER))
+        Err(Rejection::not_run(Reason::Draining, detail).retry_after(RESTART_RETURN))
     }
 }
 
--- a/crates/seamhatchd/src/filters/rejection.rs
+++ b/crates/seamhatchd/src/filters/rejection.rs
@@ -1,33 +1,23 @@
 //! An answer that the daemon gives itself.
+//!
+//! What it says follows from the reason by the table of [`seamhatch_core::refusal`].
 
 use http::StatusCode;
-use seamhatch_core::clock::{MILLISECOND, Microseconds};
+use seamhatch_core::clock::Microseconds;
 use seamhatch_core::outcome::{Outcome, Reason};
+use seamhatch_core::refusal::VerdictSource;
 use seamhatch_wire::Refusal;
 
-/// Advice where the reason has nothing to do with load.
-const DEFAULT_RETRY_AFTER: Microseconds = 500 * MILLISECOND;
-
-/// Who reached a verdict.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum VerdictSource {
-    /// The daemon that took the request from its caller.
-    Entry,
-    /// Another daemon, or the back end beside it. It knows the sender's view of the request, which may be
-    /// out of date, and nothing of the caller's.
-    Peer,
-}
-
-/// Why a request has no answer of a back end, as told to its caller.
+/// Why a request has no answer of a back end, as its caller is told.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rejection {
     /// What is known of the request.
     pub outcome: Outcome,
     /// Why.
     pub reason: Reason,
-    /// Who says so.
+    /// Whose verdict it is.
     pub source: VerdictSource,
-    /// When to come back, before jitter; none where coming back does not help.
+    /// When to return, in microseconds before jitter; none where returning does not help.
     pub retry_after: Option<Microseconds>,
     /// What to do about it.
     pub detail: String,
@@ -46,6 +36,13 @@
         Self::of_entry(Outcome::Unknown, reason, detail.into())
     }
 
+    /// Another attempt of the same request holds its key.
+    #[must_use]
+    pub fn duplicate() -> Self {
+        let detail = "another attempt with this idempotency key was made first; ask again for its answer";
+        Self::of_entry(Outcome::Duplicate, Reason::KeyHeld, detail.into())
+    }
+
     /// What the caller is told of a peer's refusal.
     #[must_use]
     pub fn of_peer(refusal: &Refusal) -> Self {
@@ -63,23 +60,11 @@
     }
 
     fn of_entry(outcome: Outcome, reason: Reason, detail: String) -> Self {
-        Self { outcome, reason, source: VerdictSource::Entry, retry_after: advice(reason), detail }
-    }
-
-    /// Another attempt of the same request holds its key.
-    #[must_use]
-    pub fn duplicate() -> Self {
-        Self {
-            outcome: Outcome::Duplicate,
-            reason: Reason::KeyHeld,
-            source: VerdictSource::Entry,
-            retry_after: Some(DEFAULT_RETRY_AFTER),
-            detail: "another attempt with this idempotency key was made first; ask again for its answer"
-                .into(),
-        }
+        let retry_after = reason.rule().usual_return();
+        Self { outcome, reason, source: VerdictSource::Entry, retry_after, detail }
     }
 
-    /// With this advice when to come back.
+    /// With this return time, in microseconds before jitter.
     #[must_use]
     pub fn retry_after(mut self, span: Microseconds) -> Self {
         self.retry_after = Some(span);
@@ -89,58 +74,13 @@
     /// Whether the verdict is true only where the configuration that decided is the one in force.
     #[must_use]
     pub fn rests_on_configuration(&self) -> bool {
-        matches!(
-            self.reason,
-            Reason::NoRoute
-                | Reason::HeadTooLarge
-                | Reason::BodyTooLarge
-                | Reason::NoKey
-                | Reason::UnknownKey
-        )
+        self.reason.rule().rests_on_configuration
     }
 
-    /// The HTTP status. Only what the entry itself finds wrong with a request may blame its caller, who
-    /// won't come back after that.
+    /// The HTTP status.
     #[must_use]
     pub fn status(&self) -> StatusCode {
-        let blame = match self.source {
-            VerdictSource::Entry => callers_fault(self.reason),
-            VerdictSource::Peer => None,
-        };
-        blame.unwrap_or_else(|| self.failure_status())
-    }
-
-    fn failure_status(&self) -> StatusCode {
-        match (self.reason, self.outcome) {
-            (Reason::OverQuota, Outcome::NotRun) => StatusCode::TOO_MANY_REQUESTS,
-            (Reason::DeadlineExceeded, Outcome::Unknown) => StatusCode::GATEWAY_TIMEOUT,
-            // An earlier attempt may have run, whatever the last peer says of itself.
-            (_, Outcome::Unknown) if self.source == VerdictSource::Peer => StatusCode::BAD_GATEWAY,
-            (Reason::Draining | Reason::NotReady | Reason::NoClaimMajority, _) => {
-                StatusCode::SERVICE_UNAVAILABLE
-            }
-            (_, Outcome::Unknown) => StatusCode::BAD_GATEWAY,
-            _ => StatusCode::SERVICE_UNAVAILABLE,
-        }
-    }
-}
-
-/// The status that blames the caller, where the reason does.
-fn callers_fault(reason: Reason) -> Option<StatusCode> {
-    match reason {
-        Reason::BadRequest => Some(StatusCode::BAD_REQUEST),
-        Reason::NoKey | Reason::UnknownKey => Some(StatusCode::UNAUTHORIZED),
-        Reason::BadContext => Some(StatusCode::FORBIDDEN),
-        Reason::NoRoute => Some(StatusCode::NOT_FOUND),
-        Reason::KeyHeld | Reason::KeyMismatch => Some(StatusCode::CONFLICT),
-        Reason::BodyTooLarge => Some(StatusCode::PAYLOAD_TOO_LARGE),
-        Reason::HeadTooLarge => Some(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE),
-        _ => None,
+        let status = self.reason.rule().status(self.source, self.outcome);
+        StatusCode::from_u16(status).expect("the table of refusals holds valid statuses")
     }
 }
-
-/// Coming back helps after all but a fault of the caller's; a key that is held will be free or answered.
-fn advice(reason: Reason) -> Option<Microseconds> {
-    let helps = reason == Reason::KeyHeld || callers_fault(reason).is_none();
-    helps.then_some(DEFAULT_RETRY_AFTER)
-}
--- a/crates/seamhatchd/src/limits/quota/admission.rs
+++ b/crates/seamhatchd/src/limits/quota/admission.rs
@@ -6,9 +6,9 @@
 use crate::base::clock;
 use crate::filters::{Rejection, RequestState};
 use crate::shared::Shared;
-use seamhatch_core::clock::{MILLISECOND, Microseconds};
 use seamhatch_core::outcome::Reason;
 use seamhatch_core::quota::{QuotaGrant, QuotaToken, ShardNumber};
+use seamhatch_core::return_time;
 use seamhatch_policy::Tenant;
 use seamhatch_wire::{ControlReply, ControlRequest};
 use std::sync::Arc;
@@ -16,10 +16,6 @@
 
 /// Longest wait for a shard's answer: two hundred times the way between zones of one region.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
-/// When to come back where no shard answers: one that is lost is taken by another daemon within seconds.
-const SHARDS_RETURN: Microseconds = 500 * MILLISECOND;
-/// Shortest time to come back that a tenant at its limit is told.
-const SHORTEST_RETURN: Microseconds = 200 * MILLISECOND;
 
 /// A request that was charged. What didn't run is given back.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -127,7 +123,7 @@
         let now = clock::now();
         let caches = self.shared.limits.quota.caches();
         let room_at = caches.get(self.tenant).and_then(|cache| cache.room_at(now));
-        let span = room_at.map_or(0, |at| at.since(now)).max(SHORTEST_RETURN);
+        let span = return_time::at_limit(room_at.map(|at| at.since(now)));
         let detail = "the tenant is at its limit; come back after Retry-After, or ask for a higher one";
         Rejection::not_run(Reason::OverQuota, detail).retry_after(span)
     }
@@ -135,5 +131,5 @@
 
 fn no_quota_shard() -> Rejection {
     let detail = "nobody can tell at present what is left of the tenant's limit; come back after Retry-After";
-    Rejection::not_run(Reason::NoQuotaShard, detail).retry_after(SHARDS_RETURN)
+    Rejection::not_run(Reason::NoQuotaShard, detail)
 }
--- a/crates/seamhatchd/src/listeners/responses.rs
+++ b/crates/seamhatchd/src/listeners/responses.rs
@@ -9,13 +9,14 @@
 use crate::conventions::headers;
 use crate::conventions::{AnswerMark, OwnAnswer};
 use crate::dispatch::Answer;
-use crate::filters::{RETURN_JITTER, Rejection, RequestState};
+use crate::filters::{Rejection, RequestState};
 use bytes::Bytes;
 use http::header::CONTENT_LENGTH;
 use http::{Response, StatusCode};
 use log::info;
 use seamhatch_core::clock::{MILLISECOND, Microseconds};
 use seamhatch_core::outcome::Outcome;
+use seamhatch_core::return_time::jittered;
 use seamhatch_wire::{HeaderField, RecordedAnswer};
 
 impl RequestHandler {
@@ -79,7 +80,7 @@
         let took = clock::now().since(request.arrived);
         self.shared.metrics.refusal(rejection.outcome, rejection.reason, request.class);
         self.shared.metrics.request_ended(rejection.outcome, request.class, took);
-        let retry_after = rejection.retry_after.map(jittered);
+        let retry_after = rejection.retry_after.map(|span| jittered(span, rand::random()));
         info!(
             request = request.log_name().as_str(),
             service = request.service.as_str(),
@@ -111,7 +112,3 @@
         self.shared.conventions.mark(response.headers_mut(), &mark);
     }
 }
-
-fn jittered(span: Microseconds) -> Microseconds {
-    (span as f64 * (1.0 + RETURN_JITTER * rand::random::<f64>())) as Microseconds
-}
--- a/crates/seamhatchd/src/peer_server/call/refusal.rs
+++ b/crates/seamhatchd/src/peer_server/call/refusal.rs
@@ -7,11 +7,10 @@
 use log::info;
 use seamhatch_core::clock::{MILLISECOND, Microseconds};
 use seamhatch_core::outcome::{Outcome, Reason};
+use seamhatch_core::refusal::ReturnTime;
+use seamhatch_core::return_time::SERVER_RETURN;
 use seamhatch_wire::{PeerMessage, Refusal, ServerReport};
 
-/// When to come back after a refusal that has nothing to do with load. Chosen, not measured.
-const SHORT_RETRY_AFTER: Microseconds = 200 * MILLISECOND;
-
 impl ServerCall {
     /// Refuses the call and gives back its retry tokens. `detail` is what the back end did, where it is the cause.
     pub(super) fn refuse(&self, running: &RunningCall, outcome: Outcome, reason: Reason, detail: &str) {
@@ -36,12 +35,12 @@
 
     /// When the caller should come back, before jitter.
     fn retry_after(&self, reason: Reason) -> Microseconds {
-        match reason {
-            Reason::QueueFull | Reason::Evicted | Reason::DeadlineExceeded | Reason::AdmissionFloor => {
-                self.shared.server.gate.retry_after()
+        match reason.rule().return_time {
+            ReturnTime::AfterQueue => self.shared.server.gate.retry_after(),
+            ReturnTime::UntilTrial => crashes::time_until_trial(&self.shared, self.head.request),
+            ReturnTime::Never | ReturnTime::After(_) | ReturnTime::AfterOverload | ReturnTime::AtLimit => {
+                SERVER_RETURN
             }
-            Reason::CrashesServers => crashes::time_until_trial(&self.shared, self.head.request),
-            _ => SHORT_RETRY_AFTER,
         }
     }
 
