--- a/crates/seamhatch-core/src/lib.rs
+++ b/crates/seamhatch-core/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod clock;
 pub mod crashes;
 pub mod departure;
+pub mod entry;
 pub mod freshness;
 pub mod generation;
 pub mod identity;
@@ -26,5 +27,6 @@
 pub mod return_time;
 pub mod roster;
 pub mod running_quantile;
+pub mod service_floor;
 
 pub use clock::{Instant, Microseconds};
--- a/crates/seamhatchd/tests/service_floors.rs
+++ b/crates/seamhatch-core/tests/service_floors.rs
@@ -4,8 +4,7 @@
 use seamhatch_core::clock::SECOND;
 use seamhatch_core::identity::Address;
 use seamhatch_core::priority::AdmissionFloor;
-use seamhatch_wire::ServerReport;
-use seamhatchd::limits::service_floors::ServiceFloors;
+use seamhatch_core::service_floor::ServiceFloorTable;
 
 const NOW: Instant = Instant(100 * SECOND);
 const OPEN: u16 = AdmissionFloor::OPEN.level;
@@ -60,26 +59,25 @@
         },
     ];
     for case in cases {
-        let floors = ServiceFloors::default();
+        let mut floors = ServiceFloorTable::default();
         for (number, told) in case.told.iter().enumerate() {
             let server: Address = format!("10.0.0.{}:7002", number + 1).parse().expect("valid");
-            let report = ServerReport { load: 0, limit: told.slots, floor: AdmissionFloor::at(told.level) };
-            floors.note("stock", server, report, NOW.minus(told.age * SECOND / 10));
+            let floor = AdmissionFloor::at(told.level);
+            floors.note("stock", server, floor, told.slots, NOW.minus(told.age * SECOND / 10));
         }
         let floor = floors.of("stock", NOW);
-        assert_eq!(floor.map(|floor| floor.floor.level), case.level, "{}", case.name);
+        assert_eq!(floor.map(|floor| floor.level), case.level, "{}", case.name);
     }
 }
 
 /// A server that drains says that it is open, as nothing presses on it any more.
 #[test]
 fn a_server_that_leaves_counts_for_nothing_at_once() {
-    let floors = ServiceFloors::default();
+    let mut floors = ServiceFloorTable::default();
     let servers: [Address; 2] = ["10.0.0.1:7002", "10.0.0.2:7002"].map(|text| text.parse().expect("valid"));
     for (server, level) in servers.into_iter().zip([OPEN, 260]) {
-        let report = ServerReport { load: 0, limit: 20, floor: AdmissionFloor::at(level) };
-        floors.note("stock", server, report, NOW);
+        floors.note("stock", server, AdmissionFloor::at(level), 20, NOW);
     }
     floors.forget("stock", servers[0]);
-    assert_eq!(floors.of("stock", NOW).map(|floor| floor.floor.level), Some(260));
+    assert_eq!(floors.of("stock", NOW).map(|floor| floor.level), Some(260));
 }
--- a/crates/seamhatchd/src/filters/mod.rs
+++ b/crates/seamhatchd/src/filters/mod.rs
@@ -17,7 +17,7 @@
 mod request;
 mod routing;
 
-pub use entry_floor::{EntryFloors, check_entry_floor};
+pub use entry_floor::check_entry_floor;
 pub use rejection::Rejection;
 pub use request::{ClaimText, Entry, RequestState};
 
--- a/crates/seamhatchd/src/limits/mod.rs
+++ b/crates/seamhatchd/src/limits/mod.rs
@@ -3,6 +3,7 @@
 //!
 //! The request path asks here; the control thread and the connections between daemons feed it.
 
+pub mod entry_floors;
 pub mod freshness;
 pub mod quota;
 pub mod retry_budget;
--- a/crates/seamhatchd/src/limits/service_floors.rs
+++ b/crates/seamhatchd/src/limits/service_floors.rs
@@ -1,66 +1,39 @@
-//! What the servers of each service admit together, as their reports tell.
+//! What the servers of each service admit together, shared by all threads.
 //!
-//! Servers differ in speed, are cold or slow one at a time, and the choice of a server moves work to those
-//! that have room. So what a service admits is the mean of its servers, not what the weakest one does.
+//! Locks the table of [`seamhatch_core::service_floor`], which decides. Connections to other daemons write it when a report
+//! arrives or a server leaves; the request path reads it.
 
 use crate::base::lock::lock;
 use seamhatch_core::Instant;
-use seamhatch_core::clock::{Microseconds, SECOND};
 use seamhatch_core::identity::Address;
 use seamhatch_core::priority::AdmissionFloor;
+use seamhatch_core::service_floor::ServiceFloorTable;
 use seamhatch_wire::{ChainFloor, ServerReport};
-use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard};
 
-/// A report that is older than this counts for nothing: its server has ended, or can't be reached. Live
-/// ones report each 400 ms.
-const REPORT_LIFETIME: Microseconds = SECOND;
-
-#[derive(Debug, Clone, Copy)]
-struct DatedReport {
-    report: ServerReport,
-    seen: Instant,
-}
-
 /// The last report of each server that this daemon has a connection to, by service.
 #[derive(Debug, Default)]
-pub struct ServiceFloors(Mutex<HashMap<String, HashMap<Address, DatedReport>>>);
+pub struct ServiceFloors(Mutex<ServiceFloorTable>);
 
 impl ServiceFloors {
-    /// Takes in a report, and tells what the service admits by all of them.
+    /// Records a report. Returns what the service admits by all reports.
     pub fn note(&self, service: &str, server: Address, report: ServerReport, now: Instant) -> AdmissionFloor {
-        let mut services = self.lock();
-        if !services.contains_key(service) {
-            services.insert(service.to_owned(), HashMap::new());
-        }
-        let reports = services.get_mut(service).expect("inserted above");
-        reports.insert(server, DatedReport { report, seen: now });
-        reports.retain(|_, dated| now.since(dated.seen) <= REPORT_LIFETIME);
-        combined(&*reports)
+        self.lock().note(service, server, report.floor, report.limit, now)
     }
 
-    /// Forgets a server that takes no more work, or to which there is no connection any more.
+    /// Forgets a server that accepts no more calls, or to which there is no connection any more.
     pub fn forget(&self, service: &str, server: Address) {
-        if let Some(reports) = self.lock().get_mut(service) {
-            reports.remove(&server);
-        }
+        self.lock().forget(service, server);
     }
 
-    /// What the service admits, as a chain of calls tells it; none where it admits everything.
+    /// What the service admits, as it is reported up a chain of calls; none where it admits everything.
     #[must_use]
     pub fn of(&self, service: &str, now: Instant) -> Option<ChainFloor> {
-        let services = self.lock();
-        let reports = services.get(service)?.iter();
-        let fresh = reports.filter(|(_, dated)| now.since(dated.seen) <= REPORT_LIFETIME);
-        ChainFloor::unless_open(service, combined(fresh))
+        let floor = self.lock().of(service, now)?;
+        ChainFloor::unless_open(service, floor)
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<String, HashMap<Address, DatedReport>>> {
+    fn lock(&self) -> MutexGuard<'_, ServiceFloorTable> {
         lock(&self.0)
     }
 }
-
-fn combined<'a>(reports: impl IntoIterator<Item = (&'a Address, &'a DatedReport)>) -> AdmissionFloor {
-    let floors = reports.into_iter().map(|(_, dated)| (dated.report.floor, dated.report.limit));
-    AdmissionFloor::mean(floors).unwrap_or(AdmissionFloor::OPEN)
-}
--- a/crates/seamhatchd/src/listeners/responses.rs
+++ b/crates/seamhatchd/src/listeners/responses.rs
@@ -14,7 +14,7 @@
 use http::header::CONTENT_LENGTH;
 use http::{Response, StatusCode};
 use log::info;
-use seamhatch_core::clock::{MILLISECOND, Microseconds};
+use seamhatch_core::clock::MILLISECOND;
 use seamhatch_core::outcome::Outcome;
 use seamhatch_core::return_time::jittered;
 use seamhatch_wire::{HeaderField, RecordedAnswer};
