--- a/crates/seamhatch-core/src/retry.rs
+++ b/crates/seamhatch-core/src/retry/tokens.rs
@@ -1,9 +1,14 @@
-//! The limits on retries: tokens of one request over its whole chain, and a
-//! ratio per daemon and target service.
+//! The retry tokens of one request over its whole chain of calls.
+//!
+//! Decides whether a dispatch of a call costs a token and whether one is left, and how many tokens travel with a child call.
+//! Inputs are the dispatches of child calls of one running call and how they ended.
+//!
+//! Tokens are split, never copied: a child gets tokens that leave this ledger, and what it did not spend comes back with its
+//! answer. What went out with a lost answer is spent. So the sum over all ledgers of a request, plus tokens in messages, plus
+//! tokens spent, never exceeds what the root was given: retries caused by one request stay within a fixed total, however deep
+//! the chain is. Alternatives: docs/DESIGN.md#tokens-of-one-request. A model check searches this rule.
 
-use crate::clock::{Instant, Microseconds};
 use crate::identity::Fingerprint;
-use std::collections::HashMap;
 
 /// What a dispatch of a child call means for the daemon that runs it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,15 +45,8 @@
 
 /// The retry tokens that one running call holds, and the child calls it made.
 ///
-/// Tokens are split, never copied: a child gets tokens that leave this ledger,
-/// and what it did not spend comes back with its answer. What went out with a
-/// lost answer is spent. The sum over all ledgers of a request, plus tokens in
-/// messages, plus tokens spent, never exceeds what the root was given.
-///
-/// A call that is itself a repeat (`repeat`) of one that may have run has
-/// children that may have run too. Each of its child dispatches costs a token,
-/// so that a whole chain does at most `tokens` dispatches beyond its distinct
-/// calls, at any depth.
+/// A call that is itself a repeat (`repeat`) of one that may have run has children that may have run too. Each of its child
+/// dispatches costs a token, so that a whole chain does at most `tokens` dispatches beyond its distinct calls, at any depth.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RetryLedger {
     tokens: u32,
@@ -65,14 +63,14 @@
         Self { tokens, repeat, closed: false, children: Vec::new() }
     }
 
-    /// Tokens at hand.
+    /// Tokens that are left.
     #[must_use]
     pub fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// Ends the call. Returns the tokens that it did not spend, which go back to its parent: calls of its that are still on
-    /// their way can't spend them any more, as when a server breaks off and goes on calling.
+    /// Ends the call. Returns the tokens that it did not spend, which go back to its parent. Calls that it still has on their
+    /// way, as when a server breaks off its answer and goes on calling, can't spend them any more.
     pub fn close(&mut self) -> u32 {
         self.closed = true;
         std::mem::take(&mut self.tokens)
@@ -127,20 +125,18 @@
         !self.children.is_empty()
     }
 
-    /// Takes the share of tokens that goes out with a child call: half, rounded up.
+    /// Removes the share of tokens that goes out with a child call: half, rounded up.
     ///
-    /// Rounding up lets a last token travel to the deepest call, nearest to the
-    /// failure; keeping half leaves this level something when the answer is lost.
+    /// Rounding up lets a last token travel to the deepest call, nearest to the failure; keeping half leaves this level
+    /// something when the answer is lost.
     pub fn hand_over(&mut self) -> u32 {
         let share = self.tokens.div_ceil(2);
         self.tokens -= share;
         share
     }
 
-    /// Takes back what a child did not spend.
-    ///
-    /// `handed_over` bounds what is taken, so that a peer can't create tokens. After the end of this call nobody can use
-    /// them.
+    /// Adds what a child did not spend, at most what was `handed_over` to it, so that a peer can't create tokens. After the end
+    /// of this call nobody can use them.
     pub fn give_back(&mut self, unspent: u32, handed_over: u32) {
         if !self.closed {
             self.tokens += unspent.min(handed_over);
@@ -157,82 +153,3 @@
         child.may_have_run |= end != ChildEnd::NotRun;
     }
 }
-
-/// How many retries a daemon may cause at one service, relative to first tries.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RetryRatioPolicy {
-    /// Retries earned by each first try, 0 to 1.
-    pub ratio: f64,
-    /// Retries that may be saved up.
-    pub burst: f64,
-    /// Time in which what is saved up beyond one retry halves; none where it is kept. With it, a daemon
-    /// has at hand what it earned lately, so that all daemons together have a share of what all earned.
-    pub half_life: Option<Microseconds>,
-    /// Retries that a daemon has when it starts. Where the bound holds for a whole deployment, a restart
-    /// must not make new ones.
-    pub initial: f64,
-}
-
-impl Default for RetryRatioPolicy {
-    fn default() -> Self {
-        Self { ratio: 0.1, burst: 10.0, half_life: None, initial: 10.0 }
-    }
-}
-
-/// Debt of a balance at most. What a bound allows is counted over some seconds, so that older debts don't
-/// matter.
-const LARGEST_DEBT: f64 = 50.0;
-/// What is kept however old it is: less would never come to a whole retry where calls are rare.
-const KEPT_BALANCE: f64 = 1.0;
-
-#[derive(Debug, Clone, Copy, PartialEq)]
-struct Balance {
-    amount: f64,
-    seen: Instant,
-}
-
-/// Keeps retries a small share of first tries, per target service.
-#[derive(Debug, Clone, Default, PartialEq)]
-pub struct RetryRatio {
-    balances: HashMap<String, Balance>,
-}
-
-impl RetryRatio {
-    /// Counts a first try to `service`.
-    pub fn first_try(&mut self, service: &str, policy: RetryRatioPolicy, now: Instant) {
-        let balance = self.balance(service, policy, now);
-        *balance = (*balance + policy.ratio).min(policy.burst);
-    }
-
-    /// Takes one retry from the balance of `service`; false when there is none.
-    pub fn try_retry(&mut self, service: &str, policy: RetryRatioPolicy, now: Instant) -> bool {
-        let balance = self.balance(service, policy, now);
-        if *balance < 1.0 {
-            return false;
-        }
-        *balance -= 1.0;
-        true
-    }
-
-    /// Counts a call that a repeated run makes. It is not refused, as the run would be in vain, but
-    /// own retries wait until its price has been earned.
-    pub fn count_repeat(&mut self, service: &str, policy: RetryRatioPolicy, now: Instant) {
-        let balance = self.balance(service, policy, now);
-        *balance = (*balance - 1.0).max(-LARGEST_DEBT);
-    }
-
-    /// The balance of `service` as it counts at `now`.
-    fn balance(&mut self, service: &str, policy: RetryRatioPolicy, now: Instant) -> &mut f64 {
-        if !self.balances.contains_key(service) {
-            self.balances.insert(service.to_owned(), Balance { amount: policy.initial, seen: now });
-        }
-        let balance = self.balances.get_mut(service).expect("inserted above");
-        if let Some(half_life) = policy.half_life {
-            let age = now.since(balance.seen) as f64 / half_life as f64;
-            let beyond = (balance.amount - KEPT_BALANCE).max(0.0);
-            balance.amount -= beyond * (1.0 - (-age).exp2());
-        }
-        balance.seen = now;
-        &mut balance.amount
-    }
-}
--- a/crates/seamhatchd/src/dispatch/retries.rs
+++ b/crates/seamhatchd/src/dispatch/retries.rs
@@ -1,28 +1,28 @@
-//! What a call pays for its attempts, and whether it may be sent to another server.
+//! What a call pays for its attempts, and whether it may be sent to another server. The rules: [`seamhatch_core::retry`].
 
 use super::Dispatcher;
 use crate::base::clock;
 use crate::filters::{Rejection, check_entry_floor};
 use seamhatch_core::outcome::Reason;
-use seamhatch_core::retry::Dispatch;
-
-/// Servers that may refuse a call for pressure before it is refused as a whole.
-const MOST_PRESSED: u32 = 2;
+use seamhatch_core::retry::{BudgetEntry, Dispatch, FailedAttempt, Resend};
 
 impl Dispatcher<'_> {
     /// Whether the call may be sent to another server. It pays for that if its last attempt `reached` a back end; what a
     /// daemon refused by itself cost no back end anything.
     pub(super) fn may_send_again(&mut self, reason: Reason, reached: bool) -> bool {
-        let room_elsewhere = reason.is_pressure() && self.pressed <= MOST_PRESSED;
-        let repeat = self.may_have_run && self.request.repeatable;
-        let worth = reason.worth_another_server() || room_elsewhere || repeat;
-        let safe = !self.may_have_run || self.request.repeatable;
-        let possible = self.body.can_replay() && clock::now() < self.parent.expiry;
-        if !(worth && safe && possible) {
-            return false;
-        }
-        if !reached {
-            return true;
+        let attempt = FailedAttempt {
+            reason,
+            reached_back_end: reached,
+            may_have_run: self.may_have_run,
+            repeatable: self.request.repeatable,
+            pressed: self.pressed,
+            can_replay: self.body.can_replay(),
+            in_time: clock::now() < self.parent.expiry,
+        };
+        match attempt.resend() {
+            Resend::No => return false,
+            Resend::Free => return true,
+            Resend::Charged => {}
         }
         if self.parent.ledger().spend().is_err() || self.take_from_ratio().is_err() {
             return false;
@@ -38,13 +38,10 @@
         if self.claimed.is_some() {
             check_entry_floor(self.shared, self.request)?;
         }
-        if first.charged {
-            return self.take_from_ratio();
-        }
-        if self.parent.repeats {
-            budget.count_repeat(&self.request.service, &self.settings);
-        } else {
-            budget.first_try(&self.request.service, &self.settings);
+        match first.budget_entry(self.parent.repeats) {
+            BudgetEntry::Retry => return self.take_from_ratio(),
+            BudgetEntry::CallOfRepeat => budget.count_repeat(&self.request.service, &self.settings),
+            BudgetEntry::FirstTry => budget.first_try(&self.request.service, &self.settings),
         }
         Ok(())
     }
--- a/crates/seamhatchd/src/startup.rs
+++ b/crates/seamhatchd/src/startup.rs
@@ -10,7 +10,6 @@
 use crate::lifecycle::DaemonLifecycle;
 use crate::limits::SharedLimits;
 use crate::limits::entry_floors::EntryFloors;
-use crate::limits::entry_floors::EntryFloors;
 use crate::limits::freshness::Freshness;
 use crate::limits::quota::Quota;
 use crate::limits::retry_budget::RetryBudget;
