--- a/crates/seamhatchd/src/peer/view.rs
+++ b/crates/seamhatchd/src/peer/view.rs
@@ -4,15 +4,11 @@
 
 use crate::base::clock;
 use seamhatch_core::Instant;
-use seamhatch_core::balance::{CallEnd, CandidateStanding, Ejection, SuccessRate};
-use seamhatch_core::clock::{MILLISECOND, Microseconds, PeerClock};
+use seamhatch_core::balance::{self, CallEnd, CandidateStanding, Ejection, SuccessRate};
+use seamhatch_core::clock::PeerClock;
 use seamhatch_core::generation::Generation;
 use seamhatch_wire::{CallIntake, ServerReport};
 
-/// A peer that was silent for this long gets no new calls.
-/// Three heartbeats of a busy peer, with room for one that is late.
-const SILENCE_TO_AVOID: Microseconds = 750 * MILLISECOND;
-
 /// What is known of the peer from its messages.
 #[derive(Debug, Clone)]
 pub struct PeerView {
@@ -68,7 +64,7 @@
     /// When it counts as silent, unless it is heard before.
     #[must_use]
     pub fn silent_at(&self) -> Instant {
-        self.last_heard.plus(SILENCE_TO_AVOID)
+        balance::silent_at(self.last_heard)
     }
 
     /// Whether nothing was heard of it for so long that it should get no new calls.
@@ -86,12 +82,7 @@
     /// Whether it is used while other servers are there.
     #[must_use]
     pub fn standing(&self, now: Instant) -> CandidateStanding {
-        match self.intake {
-            _ if self.should_avoid(now) => CandidateStanding::Ejected,
-            CallIntake::Open => CandidateStanding::Usual,
-            CallIntake::FallbackOnly { .. } => CandidateStanding::Leaving(self.leaves_at.since(now)),
-            CallIntake::Closed => CandidateStanding::Ejected,
-        }
+        balance::standing(self.intake, self.should_avoid(now), self.leaves_at, now)
     }
 
     /// Share of its answers that arrived recently, 0 to 1.
