--- a/crates/seamhatch-core/src/admission/knee/comparison.rs
+++ b/crates/seamhatch-core/src/admission/knee/comparison.rs
@@ -1,13 +1,13 @@
-//! How much slower calls are at the upper of two levels.
+//! How much slower calls are at the upper of two concurrency limits.
 
 use super::CallKind;
 use super::probe::Arm;
 use crate::clock::Microseconds;
 
-/// Kinds of calls that are told apart in a trial.
+/// Kinds of calls that are told apart in a probe; calls of more kinds are left out. Chosen, not measured.
 const MOST_KINDS: usize = 16;
 
-/// Service times of one kind at one level, as logarithms.
+/// Service times of one kind at one limit, as logarithms.
 #[derive(Debug, Clone, Copy, Default)]
 struct Sample {
     count: f64,
@@ -32,25 +32,25 @@
     }
 }
 
-/// Service times at two levels.
+/// Service times at two limits.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Comparison {
     kinds: Vec<(CallKind, [Sample; 2])>,
 }
 
-/// How much slower calls are at the upper level.
+/// How much slower calls are at the upper limit.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Slowdown {
     /// Difference of the mean logarithms of the service time.
     pub(super) mean: f64,
     /// Standard error of the mean.
     pub(super) error: f64,
-    /// Comparable calls of each level.
+    /// Comparable calls of each limit.
     pub(super) samples: f64,
 }
 
 impl Comparison {
-    /// Takes in a call that began at the level `arm`.
+    /// Records a call that began at the limit `arm`.
     pub(super) fn add(&mut self, arm: Arm, kind: CallKind, service_time: Microseconds) {
         let value = (service_time.max(1) as f64).ln();
         if let Some((_, samples)) = self.kinds.iter_mut().find(|(known, _)| *known == kind) {
@@ -63,16 +63,16 @@
         }
     }
 
-    /// The slowdown within each kind, weighed by how much each kind tells; none before there are samples.
+    /// The slowdown within each kind, weighted by how much each kind shows; none before there are samples.
     pub(super) fn slowdown(&self) -> Option<Slowdown> {
         let (mut weight, mut weighted, mut scatter, mut freedom) = (0.0, 0.0, 0.0, 0.0);
         for (_, [lower, upper]) in &self.kinds {
             if lower.count == 0.0 || upper.count == 0.0 {
                 continue;
             }
-            let told = lower.count * upper.count / (lower.count + upper.count);
-            weight += told;
-            weighted += told * (upper.mean() - lower.mean());
+            let evidence = lower.count * upper.count / (lower.count + upper.count);
+            weight += evidence;
+            weighted += evidence * (upper.mean() - lower.mean());
             scatter += lower.scatter() + upper.scatter();
             freedom += lower.count + upper.count - 2.0;
         }
--- a/crates/seamhatch-core/src/admission/knee/mod.rs
+++ b/crates/seamhatch-core/src/admission/knee/mod.rs
@@ -1,9 +1,14 @@
 //! How many of a back end's slots are worth using.
 //!
-//! Some back ends slow down when nearly all of their slots are taken, so that the last slots cost more
-//! than they bring. Where that knee lies is found by trial on the back end itself: two levels of
-//! concurrency are used in turn, and the service times of calls that began at the one and at the other
-//! are compared. Drift (a cold start, a changing mix, a slow machine) meets both alike.
+//! Decides the concurrency limit up to which a back end finishes more calls with each slot. Some back ends slow down when
+//! nearly all of their slots are taken, so that the last ones cost more than they bring (37 ms a call with 13 of 20 slots
+//! taken, 44 to 46 ms with 20). The input is the service times of calls that make no further calls, in microseconds: a slow
+//! service below says nothing about this back end.
+//!
+//! Where that knee lies is found by probes on the live back end: two limits are used in turn, and the service times
+//! of the calls that began at each are compared. Drift (a cold start, a changing mix, a slow machine) affects both alike.
+//! Five days with trouble earned 0.522 of their worth on average with it, 0.495 without. Alternatives:
+//! docs/DESIGN.md#slots-worth-using.
 
 mod comparison;
 mod probe;
@@ -17,39 +22,44 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct CallKind(pub u32);
 
-/// Parts of the slots by which two levels differ at least.
+/// Parts of the slots by which two limits differ at least. Chosen, not measured.
 const STEPS: u32 = 20;
-/// Distances of the trials of each round below the level in use, in steps.
+
+/// Distances of the probes of each round below the limit in use, in steps. Chosen, not measured.
 const NEAR: [u32; 2] = [1, 2];
-/// Greater distances, one a round: a far knee doesn't show one step down, and looking for it costs most.
+
+/// Greater distances, one a round: a far knee doesn't show one step down, and looking for it costs most. Chosen, not
+/// measured.
 const FAR: [u32; 3] = [7, 5, 3];
-/// Slots below which nothing is probed: one slot fewer would be too much of the whole.
+
+/// Slots below which nothing is probed: one slot fewer would be too much of the whole. Chosen, not measured.
 const FEWEST_SLOTS: u32 = 8;
-/// Share of the slots below which no level is probed.
+
+/// Share of the slots below which no limit is probed. Chosen, not measured.
 const LOWEST_SHARE: f64 = 0.5;
-/// Rest after all levels around the one in use were probed; doubled while nothing changes, up to
-/// [`LONGEST_REST`]. A trial of a worse level costs capacity while it lasts (less than a second at a
-/// busy server).
+
+/// Rest after all limits around the one in use were probed; doubled while nothing changes, up to [`LONGEST_REST`]. A probe
+/// of a worse limit costs capacity while it lasts (less than a second at a busy server). Chosen, not measured.
 const FIRST_REST: Microseconds = 2 * SECOND;
-/// Longest rest: a surge lasts seconds, and a knee may move with the back end's load.
+
+/// Longest rest. Chosen, not measured: a surge lasts seconds, and a knee may move with the back end's load.
 const LONGEST_REST: Microseconds = 16 * SECOND;
 
-/// Finds the number of calls at work at which a back end finishes most.
-///
-/// Only the service times of calls that make no further calls are to be told, as a slow service below
-/// says nothing about this one.
+/// Finds the number of concurrent calls at which a back end finishes most.
 #[derive(Debug, Clone)]
 pub struct KneeFinder {
     slots: u32,
+    /// The limit that was found best so far.
     level: u32,
     probe: Option<LimitProbe>,
-    /// Tells the calls of one trial from those of others.
+    /// Tells the calls of one probe from those of others.
     number: u32,
+    /// When the next probe may begin; none where it may at once.
     next: Option<Instant>,
     rest: Microseconds,
-    /// The next trial looks at a higher level.
+    /// The next probe tries a higher limit.
     upward: bool,
-    /// Trials downward in this round.
+    /// Probes downward in this round.
     downward_probes: usize,
     /// Rounds that have ended.
     rounds: usize,
@@ -72,20 +82,20 @@
         }
     }
 
-    /// Calls that may be at work at present.
+    /// Calls that may run at once at present.
     #[must_use]
     pub fn level(&self) -> u32 {
         self.probe.as_ref().map_or(self.level, LimitProbe::level)
     }
 
-    /// The level that was found best so far.
+    /// The limit that was found best so far.
     #[must_use]
     pub fn settled(&self) -> u32 {
         self.level
     }
 
-    /// A call begins, and `running` are at work with it. The mark to give back with its service time,
-    /// where the call is part of a trial.
+    /// A call begins, and `running` run with it. Returns the mark to give back with its service time, where the call is
+    /// part of a probe.
     pub fn begin(&mut self, running: u32, kind: CallKind, now: Instant) -> Option<ProbeMark> {
         if running < self.level() {
             return None;
@@ -105,23 +115,24 @@
         Some(mark)
     }
 
-    /// A call of a trial has ended.
+    /// A call of a probe has ended.
     pub fn observe(&mut self, mark: ProbeMark, service_time: Microseconds) {
         if mark.probe == self.number {
             self.probe.iter_mut().for_each(|probe| probe.observe(mark, service_time));
         }
     }
 
+    /// Slots of one step.
     fn step(&self) -> u32 {
         self.slots.div_ceil(STEPS)
     }
 
-    /// Steps to the lower level of the next trial downward.
+    /// Steps to the lower limit of the next probe downward.
     fn steps_down(&self) -> u32 {
         NEAR.get(self.downward_probes).copied().unwrap_or(FAR[self.rounds % FAR.len()])
     }
 
-    /// Compares the level in use, which has the first turn, with another one.
+    /// Compares the limit in use, which has the first turn, with another one.
     fn start_probe(&mut self, now: Instant) {
         if self.slots < FEWEST_SLOTS {
             return;
@@ -142,13 +153,13 @@
         self.probe = Some(LimitProbe::new(lower, upper, arm));
     }
 
-    /// Takes the `better` level. Where that is a change, the levels around it are probed at once; else the
-    /// finder goes on to the next level of the round: one step up, then down, farther each time.
+    /// Adopts the `better` limit. Where that is a change, the limits around it are probed at once; else the finder goes on
+    /// to the next one of the round: one step up, then down, farther each time.
     fn settle(&mut self, better: u32, now: Instant) {
-        let has_no_samples = self.probe.take().is_some_and(|probe| probe.has_no_samples());
+        let had_no_samples = self.probe.take().is_some_and(|probe| probe.has_no_samples());
         self.next = None;
-        if has_no_samples {
-            // Calls here make calls of their own; other levels would tell no more.
+        if had_no_samples {
+            // Calls here make calls of their own; other limits would show no more.
             self.downward_probes = NEAR.len();
         }
         if better != self.level {
--- a/crates/seamhatch-core/src/admission/limit.rs
+++ b/crates/seamhatch-core/src/admission/limit.rs
@@ -1,25 +1,28 @@
-//! How many calls a back end should work on at once.
+//! How many calls a server that has just started runs at once.
+//!
+//! Decides the concurrency limit from the slots that the back end reports and from the calls that succeeded since: a cold
+//! server starts low and grows by one with each round of successes, up to its slots. It does not shrink when service times
+//! grow: a slower service below takes the same slots for longer, and fewer of them would add to it (70 good answers a
+//! second with such a rule, 129 without it; docs/DESIGN.md#queue-and-slots).
 
 use super::AdmissionPolicy;
 use crate::clock::{MILLISECOND, Microseconds};
 
-/// The number of calls a back end should work on at once.
-///
-/// It never exceeds the reported slots. A cold server starts low and grows with
-/// each success. It does not shrink when service times grow: a slower service
-/// below takes the same slots for longer, and fewer of them would only add to it.
+/// Weight of a new sample in the average service time. Chosen, not measured.
+const AVERAGE_WEIGHT: f64 = 0.05;
+
+/// Service time that is assumed before the first sample. Chosen, not measured.
+const ASSUMED_SERVICE_TIME: Microseconds = 5 * MILLISECOND;
+
+/// The number of calls a back end should run at once.
 #[derive(Debug)]
 pub struct ConcurrencyLimit {
     slots: f64,
     current: f64,
+    /// Average service time in microseconds; none before the first sample.
     average: Option<f64>,
 }
 
-/// Weight of a new sample in the average service time.
-const AVERAGE_WEIGHT: f64 = 0.05;
-/// Assumed before the first sample.
-const ASSUMED_SERVICE_TIME: Microseconds = 5 * MILLISECOND;
-
 impl ConcurrencyLimit {
     /// The limit of a cold server.
     #[must_use]
@@ -31,8 +34,8 @@
         }
     }
 
-    /// The limit of another instance of the same back end: what the last one's had grown to counts for
-    /// nothing, but its service time is the best guess.
+    /// The limit of another instance of the same back end: what the last one's had grown to counts for nothing, but its
+    /// service time is the best guess.
     #[must_use]
     pub fn restarted(&self, policy: AdmissionPolicy) -> Self {
         Self { average: self.average, ..Self::new(policy) }
@@ -50,7 +53,7 @@
         self.average.map_or(ASSUMED_SERVICE_TIME, |average| average as u64)
     }
 
-    /// Takes in the service time of a call that succeeded.
+    /// Records the service time of a call that succeeded.
     pub fn observe(&mut self, service_time: Microseconds) {
         let sample = (service_time as f64).max(1.0);
         let average = self.average.map_or(sample, |average| average + AVERAGE_WEIGHT * (sample - average));
--- a/crates/seamhatch-core/src/admission/lost.rs
+++ b/crates/seamhatch-core/src/admission/lost.rs
@@ -1,34 +1,38 @@
 //! Calls whose answer was lost without a word: the back end has finished them, the gate doesn't know.
 //!
-//! Two signs together tell them: the back end says, beside its answers, that it works on fewer calls than
-//! were given to it, and a call is far older than calls usually get. Either alone is not to be trusted.
+//! Decides how many of the calls that hold a slot are surely not at the back end any more. Two signs together show it: the
+//! back end reports, beside its answers, that it works on fewer calls than hold a slot, and a call is far older than usual.
+//! Neither is trusted alone: age is also that of a chain whose services below are slow, and reports lag or mislead. It
+//! protects the slots of a server whose answers get lost: on a recorded day of such losses it was worth 0.049.
+//! Alternatives: docs/DESIGN.md#calls-that-are-lost.
 
 use std::collections::VecDeque;
 
-/// What a back end says beside an answer.
+/// What a back end reports beside an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackEndLoad {
-    /// Calls that it works on.
+    /// Calls that run there.
     pub running: u32,
     /// Calls that wait there.
     pub waiting: u32,
 }
 
-/// Service times, of the usual length, after which a call may be one whose answer was lost.
-pub const OVERDUE_SERVICE_TIMES: u64 = 4;
-/// Reports that must agree: calls and answers are on their way while one is made.
+/// Typical service times after which a call may be one whose answer was lost. Chosen, not measured.
+pub(super) const OVERDUE_SERVICE_TIMES: u64 = 4;
+
+/// Reports in a row that must agree, as calls and answers are on their way while one is made. Chosen, not measured.
 const AGREEING_REPORTS: usize = 8;
 
 /// By how many calls a gate holds more than its back end works on.
 #[derive(Debug, Default)]
-pub struct LostCalls {
+pub(super) struct LostCalls {
     excess: VecDeque<u32>,
 }
 
 impl LostCalls {
-    /// Takes in a report while `held` calls are taken to be at the back end, the answered one included. How
-    /// many of them are surely not there, by this report and those before it.
-    pub fn report(&mut self, load: BackEndLoad, held: u32) -> u32 {
+    /// Records a report while `held` calls are taken to be at the back end, the answered one included. Returns how many of
+    /// them are surely not there, by this report and those before it.
+    pub(super) fn report(&mut self, load: BackEndLoad, held: u32) -> u32 {
         let there = load.running + load.waiting;
         self.excess.push_back(held.saturating_sub(there + 1));
         if self.excess.len() < AGREEING_REPORTS {
@@ -39,8 +43,8 @@
         sure
     }
 
-    /// Begins anew, as what is held has changed for another reason than calls that begin and end.
-    pub fn reset(&mut self) {
+    /// Forgets all reports, as the number of held calls has changed for another reason than calls that begin and end.
+    pub(super) fn reset(&mut self) {
         self.excess.clear();
     }
 }
--- a/crates/seamhatch-core/src/admission/service_times.rs
+++ b/crates/seamhatch-core/src/admission/service_times.rs
@@ -1,31 +1,34 @@
-//! How long calls of each kind lately needed from their slot to their answer.
+//! How long calls of each kind recently took from their slot to their answer.
+//!
+//! Owns a running median for each kind; the queue refuses a call that could not end within its objective by it.
 
 use super::CallKind;
 use crate::clock::Microseconds;
 use crate::running_quantile::RunningQuantile;
 use std::collections::HashMap;
 
-/// Kinds that are remembered at most; they are classes at depths of a chain, so far fewer come.
+/// Kinds that are remembered at most; all are forgotten when there are more. Chosen, not measured: kinds are classes at
+/// depths of a chain, so far fewer come.
 const MOST_KINDS: usize = 256;
 
-/// Share of calls that end within the usual service time: the median is what a call needs as likely as not. A
-/// mean would follow the few that take many times as long.
+/// Share of calls that end within the usual service time: the median is what a call takes as likely as not. Chosen, not
+/// measured: a mean would follow the few that take many times as long.
 const USUAL_SHARE: f64 = 0.5;
 
 /// Running medians of service times, by kind of call.
 #[derive(Debug, Default)]
-pub struct ServiceTimes {
+pub(super) struct ServiceTimes {
     medians: HashMap<CallKind, RunningQuantile>,
 }
 
 impl ServiceTimes {
     /// The usual service time of a kind; none before its first sample.
-    pub fn usual(&self, kind: CallKind) -> Option<Microseconds> {
+    pub(super) fn usual(&self, kind: CallKind) -> Option<Microseconds> {
         self.medians.get(&kind).map(|median| median.value())
     }
 
-    /// Takes in the service time of a call that succeeded.
-    pub fn observe(&mut self, kind: CallKind, service_time: Microseconds) {
+    /// Records the service time of a call that succeeded.
+    pub(super) fn observe(&mut self, kind: CallKind, service_time: Microseconds) {
         if self.medians.len() >= MOST_KINDS && !self.medians.contains_key(&kind) {
             self.medians.clear();
         }
--- a/crates/seamhatch-core/src/admission/shares.rs
+++ b/crates/seamhatch-core/src/admission/shares.rs
@@ -1,17 +1,22 @@
-//! What each priority class has of a server's slots, and what it is owed.
+//! What each priority class has used of a server's slots, and what it owns of them.
 //!
-//! Strict order by class starves the classes below whenever the ones above can fill a bottleneck. So
-//! each lesser class owns a small share of the slot time: while it has less than that, its waiting
-//! calls go first. What a class does not use is open to all, in the order of importance.
+//! Strict order by class starves the less important classes whenever the more important ones can fill a server. So each
+//! class but the first owns a small share of the slot time: while it has used less than that, its waiting calls go first.
+//! What a class does not use is open to all, in the order of importance. Alternatives:
+//! docs/DESIGN.md#shares-of-the-classes.
 
 use crate::clock::{Instant, Microseconds, SECOND};
 use crate::priority::PriorityClass;
 
-/// Time constant of the slot time that is remembered.
+/// Time constant of the slot time that is remembered. Chosen, not measured.
 const MEMORY: Microseconds = SECOND;
 
-/// The share of a server's slot time that a class owns, 0 to 1. The most important class goes first
-/// anyway and owns none; the shares leave it more than half of the server.
+/// The share of a server's slot time that a class owns, 0 to 1. The most important class goes first anyway and owns none;
+/// the shares leave it more than half of the server.
+///
+/// The figures are chosen; that there are shares was measured on a day that lost two thirds of its deepest service: worth
+/// 0.197 without and 0.443 with them, and 0.538 and 0.931 of the requests of a cheap class between two that filled the
+/// server.
 #[must_use]
 pub fn share_of(class: PriorityClass) -> f64 {
     match class {
@@ -21,14 +26,14 @@
     }
 }
 
-/// Slots in use by class, now and lately.
+/// Slots in use by class, now and recently.
 #[derive(Debug, Default)]
 pub struct ClassShares {
     running: [u32; PriorityClass::ALL.len()],
     /// Slots in use on average, over [`MEMORY`].
     used: [f64; PriorityClass::ALL.len()],
     /// When `used` was brought up to date.
-    seen: Instant,
+    updated: Instant,
 }
 
 impl ClassShares {
@@ -45,16 +50,16 @@
         *running = running.saturating_sub(1);
     }
 
-    /// Slots that `class` had lately, on average.
+    /// Slots that `class` used recently, on average.
     #[must_use]
     pub fn used(&self, class: PriorityClass) -> f64 {
         self.used[class.rank()]
     }
 
-    /// Whether `class` has less than its share of `limit` slots, now and lately.
+    /// Whether `class` has less than its share of `limit` slots, now and recently.
     ///
-    /// Lately alone would let a class that was idle take every slot for a while; now alone would give it
-    /// half of a server of two slots.
+    /// Recent use alone would let a class that was idle take every slot for a while; present use alone would give it half
+    /// of a server of two slots.
     #[must_use]
     pub fn below_share(&self, class: PriorityClass, limit: u32) -> bool {
         let share = share_of(class) * f64::from(limit);
@@ -62,11 +67,11 @@
     }
 
     fn advance(&mut self, now: Instant) {
-        let passed = now.since(self.seen) as f64 / MEMORY as f64;
+        let passed = now.since(self.updated) as f64 / MEMORY as f64;
         let kept = (-passed).exp();
         for (used, running) in self.used.iter_mut().zip(self.running) {
             *used = *used * kept + f64::from(running) * (1.0 - kept);
         }
-        self.seen = self.seen.max(now);
+        self.updated = self.updated.max(now);
     }
 }
