--- /dev/null
+++ b/crates/seamhatch-core/src/quota/cache.rs
@@ -0,0 +1,100 @@
+//! What one daemon holds of one tenant's limit.
+
+use super::{QuotaGrant, ShardNumber};
+use crate::clock::{Instant, Microseconds, SECOND};
+use std::collections::VecDeque;
+
+/// Part of the requests expected within a lifetime that tokens are taken ahead for: the rest may arrive at other daemons.
+/// Chosen, not measured.
+const TAKEN_AHEAD: f64 = 0.5;
+
+/// Tokens of one grant.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+struct HeldTokens {
+    count: u32,
+    until: Instant,
+}
+
+/// A token that was taken for a request.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct QuotaToken {
+    /// When it ceases to count.
+    pub until: Instant,
+}
+
+/// What one daemon holds of one tenant's limit.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct TokenCache {
+    held: VecDeque<HeldTokens>,
+    /// Until when each shard that had no token is not asked again.
+    paused: Vec<(ShardNumber, Instant)>,
+    rate: f64,
+    seen: Instant,
+}
+
+impl TokenCache {
+    /// Records that a request has arrived.
+    pub fn note_request(&mut self, now: Instant) {
+        let passed = now.since(self.seen) as f64 / SECOND as f64;
+        // The mean over about a second.
+        self.rate = self.rate * (-passed).exp() + 1.0;
+        self.seen = now;
+    }
+
+    /// When it was last used.
+    #[must_use]
+    pub fn seen(&self) -> Instant {
+        self.seen
+    }
+
+    /// Takes a token, if there is one that still counts.
+    pub fn take(&mut self, now: Instant) -> Option<QuotaToken> {
+        self.held.retain(|held| held.count > 0 && held.until > now);
+        let first = self.held.front_mut()?;
+        first.count -= 1;
+        Some(QuotaToken { until: first.until })
+    }
+
+    /// Puts back the token of a request that did not run.
+    pub fn put_back(&mut self, token: QuotaToken, now: Instant) {
+        if token.until > now {
+            self.held.push_front(HeldTokens { count: 1, until: token.until });
+        }
+    }
+
+    /// How many tokens to ask for: one for the request that waits, and some for the requests expected while they count.
+    #[must_use]
+    pub fn wanted(&self, lifetime: Microseconds) -> u32 {
+        let expected = (self.rate - 1.0).max(0.0) * lifetime as f64 / SECOND as f64;
+        1 + (expected * TAKEN_AHEAD) as u32
+    }
+
+    /// Records the grant of a shard that was asked at `asked`.
+    pub fn add(
+        &mut self,
+        shard: ShardNumber,
+        grant: QuotaGrant,
+        asked: Instant,
+        lifetime: Microseconds,
+        now: Instant,
+    ) {
+        self.paused.retain(|(paused, until)| *paused != shard && *until > now);
+        if grant.tokens > 0 {
+            self.held.push_back(HeldTokens { count: grant.tokens, until: asked.plus(lifetime) });
+        } else {
+            self.paused.push((shard, now.plus(grant.pause)));
+        }
+    }
+
+    /// Whether a shard may be asked.
+    #[must_use]
+    pub fn may_ask(&self, shard: ShardNumber, now: Instant) -> bool {
+        !self.paused.iter().any(|(paused, until)| *paused == shard && *until > now)
+    }
+
+    /// When the first shard that had no token may be asked again.
+    #[must_use]
+    pub fn room_at(&self, now: Instant) -> Option<Instant> {
+        self.paused.iter().map(|(_, until)| *until).filter(|until| *until > now).min()
+    }
+}
--- a/crates/seamhatch-core/tests/quota.rs
+++ b/crates/seamhatch-core/tests/quota.rs
@@ -77,7 +77,7 @@
             let (come, later): (Vec<Answer>, _) = answers.into_iter().partition(|answer| answer.arrives <= now);
             answers = later;
             for Answer { daemon, shard, asked, grant, .. } in come {
-                caches[daemon].take_in(shard as u32, grant, asked, lifetime, now);
+                caches[daemon].add(shard as u32, grant, asked, lifetime, now);
             }
             match event {
                 Event::Request { daemon, shard, delay_ms } => {
@@ -141,7 +141,7 @@
             let shard = (number + offset) as usize % 8;
             if token.is_none() && cache.may_ask(shard as u32, now) {
                 let grant = shards[shard].grant(shard_limit, cache.wanted(lifetime), now);
-                cache.take_in(shard as u32, grant, now, lifetime, now);
+                cache.add(shard as u32, grant, now, lifetime, now);
                 token = cache.take(now);
             }
         }
@@ -187,7 +187,7 @@
     let lifetime: Microseconds = 500 * MILLISECOND;
     let grant = QuotaGrant { tokens: 2, pause: 0 };
     let mut cache = TokenCache::default();
-    cache.take_in(0, grant, START, lifetime, START);
+    cache.add(0, grant, START, lifetime, START);
     let token = cache.take(START).expect("a token");
     cache.put_back(token, START.plus(1));
     assert!(cache.take(START.plus(2)).is_some() && cache.take(START.plus(3)).is_some());
--- a/crates/seamhatchd/src/controllers/control_thread/quota_shards.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/quota_shards.rs
@@ -5,13 +5,12 @@
 
 use super::ControlThread;
 use crate::controllers::follow::holder_of;
-use crate::limits::quota::ShardHolder;
 use crate::store::ShardRecord;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, Microseconds};
 use seamhatch_core::identity::Address;
 use seamhatch_core::membership::MemberRecord;
-use seamhatch_core::quota::ShardNumber;
+use seamhatch_core::quota::{ShardHolder, ShardNumber};
 use seamhatch_core::rendezvous;
 
 /// Seed of the order in which daemons may take shards. Any number will do that differs from the other seeds of rendezvous hashing.
--- a/crates/seamhatchd/src/controllers/follow/quota_shards.rs
+++ b/crates/seamhatchd/src/controllers/follow/quota_shards.rs
@@ -8,14 +8,13 @@
 use super::store_calls::{Backoff, call_store};
 use crate::base::clock;
 use crate::control::ControlEvent;
-use crate::limits::quota::ShardHolder;
 use crate::ports::FollowedStore;
 use crate::shared::Shared;
 use crate::store::{Item, LeaseId, Revision, ShardRecord, StoreError, Write, WriteOutcome};
 use log::{debug, info, warn};
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, Microseconds, SECOND};
-use seamhatch_core::quota::ShardNumber;
+use seamhatch_core::quota::{ShardHolder, ShardNumber};
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::sync::Arc;
--- a/crates/seamhatchd/src/limits/quota/admission.rs
+++ b/crates/seamhatchd/src/limits/quota/admission.rs
@@ -1,13 +1,13 @@
 //! Charging a request to its tenant's limit.
 
-use super::directory::ShardHolder;
 use super::holder::grant;
 use super::{Quota, limit_of};
 use crate::base::clock;
 use crate::filters::{Rejection, RequestState};
 use crate::shared::Shared;
+use seamhatch_core::clock::Microseconds;
 use seamhatch_core::outcome::Reason;
-use seamhatch_core::quota::{QuotaGrant, QuotaToken, ShardNumber};
+use seamhatch_core::quota::{QuotaGrant, QuotaToken, ShardHolder, ShardNumber, refusal_without_token};
 use seamhatch_core::return_time;
 use seamhatch_policy::Tenant;
 use seamhatch_wire::{ControlReply, ControlRequest};
@@ -46,19 +46,17 @@
         return Ok(Some(permit));
     }
     let mut answered = false;
-    let shards =
-        shared.limits.quota.directory.in_order(&shared.settings.zone, |below| rand::random_range(0..below));
-    for (shard, place) in shards {
+    for (shard, holder) in shared.limits.quota.directory.in_order(&shared.settings.zone) {
         if !charge.may_ask(shard) {
             answered = true;
             continue;
         }
-        answered |= charge.ask(shard, place).await;
+        answered |= charge.ask(shard, holder).await;
         if let Some(permit) = charge.take() {
             return Ok(Some(permit));
         }
     }
-    Err(if answered { charge.at_limit() } else { no_quota_shard() })
+    Err(charge.refusal(answered))
 }
 
 /// One request that is being charged.
@@ -89,28 +87,28 @@
     }
 
     /// Asks a shard for tokens. False when its holder did not answer.
-    async fn ask(&self, shard: ShardNumber, place: ShardHolder) -> bool {
+    async fn ask(&self, shard: ShardNumber, holder: ShardHolder) -> bool {
         let quota = &self.shared.limits.quota;
         let asked = clock::now();
         let lifetime = quota.policy.token_lifetime();
         let wanted = quota.caches().get(self.tenant).map_or(1, |cache| cache.wanted(lifetime));
-        let Some(grant) = self.grant_of(shard, place, wanted).await else {
+        let Some(grant) = self.grant_of(shard, holder, wanted).await else {
             quota.directory.note_silent(shard);
             return false;
         };
         if let Some(cache) = quota.caches().get_mut(self.tenant) {
-            cache.take_in(shard, grant, asked, lifetime, clock::now());
+            cache.add(shard, grant, asked, lifetime, clock::now());
         }
         true
     }
 
-    async fn grant_of(&self, shard: ShardNumber, place: ShardHolder, wanted: u32) -> Option<QuotaGrant> {
-        if place.peer == self.shared.settings.advertise.peer {
+    async fn grant_of(&self, shard: ShardNumber, holder: ShardHolder, wanted: u32) -> Option<QuotaGrant> {
+        if holder.peer == self.shared.settings.advertise.peer {
             return grant(self.shared, shard, self.tenant, wanted);
         }
         let request = ControlRequest::GetTokens { shard, tenant: self.tenant.to_owned(), wanted };
         let asking = async {
-            let connection = self.shared.pool.get(place.peer).await.ok()?;
+            let connection = self.shared.pool.get(holder.peer).await.ok()?;
             connection.control(request).await
         };
         match tokio::time::timeout(ANSWER_TIMEOUT, asking).await {
@@ -119,17 +117,22 @@
         }
     }
 
-    fn at_limit(&self) -> Rejection {
+    /// The refusal of a request that got no token; `any_known` says that a shard answered, or had no token a moment ago.
+    fn refusal(&self, any_known: bool) -> Rejection {
+        let reason = refusal_without_token(any_known);
+        if reason == Reason::OverQuota {
+            let detail = "the tenant is at its limit; come back after Retry-After, or ask for a higher one";
+            return Rejection::not_run(reason, detail).retry_after(self.return_time());
+        }
+        let detail =
+            "nobody can tell at present what is left of the tenant's limit; come back after Retry-After";
+        Rejection::not_run(reason, detail)
+    }
+
+    fn return_time(&self) -> Microseconds {
         let now = clock::now();
         let caches = self.shared.limits.quota.caches();
         let room_at = caches.get(self.tenant).and_then(|cache| cache.room_at(now));
-        let span = return_time::at_limit(room_at.map(|at| at.since(now)));
-        let detail = "the tenant is at its limit; come back after Retry-After, or ask for a higher one";
-        Rejection::not_run(Reason::OverQuota, detail).retry_after(span)
+        return_time::at_limit(room_at.map(|at| at.since(now)))
     }
 }
-
-fn no_quota_shard() -> Rejection {
-    let detail = "nobody can tell at present what is left of the tenant's limit; come back after Retry-After";
-    Rejection::not_run(Reason::NoQuotaShard, detail)
-}
--- a/crates/seamhatchd/src/limits/quota/mod.rs
+++ b/crates/seamhatchd/src/limits/quota/mod.rs
@@ -7,7 +7,7 @@
 mod holder;
 
 pub use admission::{QuotaPermit, admit};
-pub use directory::{ShardDirectory, ShardHolder};
+pub use directory::SharedShardDirectory;
 pub use holder::{HeldShards, grant};
 
 use crate::base::clock;
@@ -28,7 +28,7 @@
     /// How exactly limits are kept.
     pub policy: QuotaPolicy,
     /// Shards of other daemons and this one, as far as is known.
-    pub directory: ShardDirectory,
+    pub directory: SharedShardDirectory,
     /// Shards held here.
     pub held: HeldShards,
     caches: Mutex<HashMap<String, TokenCache>>,
@@ -42,7 +42,7 @@
     pub fn new(policy: QuotaPolicy) -> Self {
         Self {
             policy,
-            directory: ShardDirectory::default(),
+            directory: SharedShardDirectory::default(),
             held: HeldShards::default(),
             caches: Mutex::default(),
             needed: AtomicBool::new(false),
