--- a/crates/seamhatch-core/src/crashes/mod.rs
+++ b/crates/seamhatch-core/src/crashes/mod.rs
@@ -7,10 +7,14 @@
 //! Evidence is a set of distinct crashes, not a sum of reports, so that it may be told twice, late and in any order.
 
 mod ledger;
+mod quarantine;
 mod record;
+mod work;
 
 pub use ledger::{CrashLedger, CrashPolicy, EvidenceEffect, SuspectStanding};
+pub use quarantine::{ends_try, home_of, runs_isolated};
 pub use record::{CondemnedRecord, CrashMark, MOST_MARKS, SuspectRecord, SuspectReport};
+pub use work::{Suspect, WorkNumber, WorkTable};
 
 use crate::identity::{Incarnation, RequestDigest};
 use crate::instance::InstanceId;
--- /dev/null
+++ b/crates/seamhatch-core/tests/quarantine.rs
@@ -0,0 +1,100 @@
+//! Where a suspect runs, when its try ends, and which requests become suspects of a crash.
+
+use seamhatch_core::Instant;
+use seamhatch_core::clock::{MILLISECOND, SECOND};
+use seamhatch_core::crashes::{InstanceDigest, Suspect, WorkTable, ends_try, home_of, runs_isolated};
+use seamhatch_core::identity::{Incarnation, RequestDigest};
+use seamhatch_core::instance::InstanceId;
+use seamhatch_core::outcome::Reason;
+
+const NOW: Instant = Instant(100 * SECOND);
+const DAEMON: Incarnation = Incarnation(1);
+
+fn request(number: u64) -> RequestDigest {
+    RequestDigest(number)
+}
+
+#[test]
+fn suspects_of_several_crashes_run_alone_and_are_not_sent_again() {
+    let cases = [(0, false), (1, false), (2, true), (9, true)];
+    for (crashes, is_strict) in cases {
+        assert_eq!(runs_isolated(crashes), is_strict, "{crashes} crashes");
+        assert_eq!(ends_try(Reason::BackendCrashed, crashes), is_strict, "{crashes} crashes");
+        assert!(!ends_try(Reason::BackendFailed, crashes), "{crashes} crashes, but this was none");
+    }
+}
+
+#[test]
+fn all_daemons_choose_one_home_whatever_the_order_they_know_servers_in() {
+    let servers = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"];
+    let key = |server: &&str| server.as_bytes().to_vec();
+    for number in 0..20 {
+        let home = home_of(request(number), servers.iter(), key).copied();
+        let reversed = home_of(request(number), servers.iter().rev(), key).copied();
+        assert!(home.is_some() && home == reversed, "{number}");
+        // Another server that goes does not move it.
+        let left = servers.iter().filter(|server| Some(**server) == home || **server == servers[0]);
+        assert_eq!(home_of(request(number), left, key).copied(), home, "{number}");
+    }
+    assert_eq!(home_of(request(1), servers[..0].iter(), key), None);
+}
+
+#[test]
+fn each_request_that_ran_on_the_instance_is_a_suspect_once() {
+    let mut table = WorkTable::default();
+    let (first, second) = (InstanceId::named("a"), InstanceId::named("b"));
+    let (_, instance) = table.begin(DAEMON, Some(&first), request(1), false);
+    table.begin(DAEMON, Some(&first), request(1), true);
+    table.begin(DAEMON, Some(&second), request(2), false);
+    let (done, _) = table.begin(DAEMON, Some(&first), request(3), false);
+    table.finish(done);
+    assert!(!table.has_ended(instance));
+    assert_eq!(table.end(instance, false), [Suspect { request: request(1), on_trial: true }]);
+    assert!(table.has_ended(instance) && !table.has_ended(InstanceDigest::of_instance(&second)));
+}
+
+#[test]
+fn an_unnamed_back_end_is_another_instance_after_each_crash() {
+    let mut table = WorkTable::default();
+    let (_, before) = table.begin(DAEMON, None, request(1), false);
+    table.end(before, true);
+    let (_, after) = table.begin(DAEMON, None, request(1), false);
+    assert_ne!(before, after);
+    assert!(!table.has_ended(after));
+}
+
+/// A call whose connection broke, and how long before another instance took over.
+struct BrokenCase {
+    name: &'static str,
+    broke_before: u64,
+    still_waits: bool,
+    is_suspect: bool,
+}
+
+/// A daemon that was frozen while its back end crashed learns of it from the next instance.
+#[test]
+fn a_call_that_broke_recently_is_a_suspect_once_its_instance_is_replaced() {
+    let cases = [
+        BrokenCase { name: "just before", broke_before: MILLISECOND, still_waits: false, is_suspect: true },
+        BrokenCase {
+            name: "three seconds before",
+            broke_before: 3 * SECOND,
+            still_waits: false,
+            is_suspect: true,
+        },
+        BrokenCase { name: "long before", broke_before: 4 * SECOND, still_waits: false, is_suspect: false },
+        BrokenCase { name: "it still waits", broke_before: 4 * SECOND, still_waits: true, is_suspect: true },
+    ];
+    for case in cases {
+        let mut table = WorkTable::default();
+        let instance = InstanceId::named("a");
+        let (number, _) = table.begin(DAEMON, Some(&instance), request(1), false);
+        table.note_broken(number, NOW.minus(case.broke_before));
+        if !case.still_waits {
+            table.finish(number);
+        }
+        let suspects = table.replace(&instance, NOW);
+        assert_eq!(!suspects.is_empty(), case.is_suspect, "{}", case.name);
+        assert!(table.replace(&instance, NOW).is_empty(), "{}: known", case.name);
+    }
+}
--- a/crates/seamhatchd/src/controllers/control_thread/instances.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/instances.rs
@@ -6,7 +6,6 @@
 use super::ControlThread;
 use crate::base::clock;
 use crate::control::{InstanceAnswer, InstanceEvent};
-use crate::server::crashes;
 use crate::server::instances::OpenInstance;
 use log::{info, warn};
 use seamhatch_core::Instant;
@@ -78,7 +77,7 @@
         let replaced = before.filter(|before| Some(before) != open.as_ref());
         let crashed = replaced.filter(|before| !self.shared.server.instances.is_leaving(before));
         if let Some(instance) = crashed {
-            crashes::instance_replaced(&self.shared, &instance);
+            self.shared.crash_context().instance_replaced(&instance);
         }
     }
 
--- a/crates/seamhatchd/src/dispatch/suspects.rs
+++ b/crates/seamhatchd/src/dispatch/suspects.rs
@@ -3,18 +3,12 @@
 use super::Dispatcher;
 use crate::filters::Rejection;
 use crate::peer::PeerConnection;
-use crate::server::crashes::time_until_trial;
 use crate::snapshot::Server;
 use seamhatch_core::balance::{Candidate, CandidateStanding};
-use seamhatch_core::crashes::SuspectStanding;
+use seamhatch_core::crashes::{SuspectStanding, ends_try, home_of};
 use seamhatch_core::outcome::Reason;
-use seamhatch_core::rendezvous;
 use seamhatch_wire::{PeerMessage, Refusal};
 
-/// Crashes after which a request isn't sent again within the same try. One is most often an accident, and a repeat at once
-/// saves the many calls that were at work beside the cause; what was there twice goes on at its caller's next attempt.
-const CRASHES_PER_TRY: u32 = 2;
-
 impl Dispatcher<'_> {
     /// Turns a condemned request away.
     pub(super) fn check_suspect(&self) -> Result<(), Rejection> {
@@ -25,7 +19,7 @@
             "this request was at work when {crashes} servers crashed, so it is not run for now; an operator can clear {}",
             self.digest
         );
-        let pause = time_until_trial(self.shared, self.digest);
+        let pause = self.shared.suspects.time_until_trial(self.digest);
         Err(Rejection::not_run(Reason::CrashesServers, detail).retry_after(pause))
     }
 
@@ -40,7 +34,7 @@
     /// Whether a refusal tells that the request has crashed too many servers to be sent again in this try.
     pub(super) fn crashes_too_much(&self, refusal: &Refusal) -> bool {
         let known = self.shared.suspects.standing(self.digest).crashes();
-        refusal.reason == Reason::BackendCrashed && known.max(refusal.crashes) >= CRASHES_PER_TRY
+        ends_try(refusal.reason, known.max(refusal.crashes))
     }
 
     /// The index of the server that runs a suspect. All daemons choose the same one, so that the daemon beside it sees all
@@ -51,6 +45,6 @@
         let indices: Vec<usize> =
             (0..servers.len()).zip(usable).filter(|(_, usable)| *usable).map(|(i, _)| i).collect();
         let key = |index: &usize| servers[*index].peer.to_string().into_bytes();
-        rendezvous::choose(self.digest.0, indices.iter(), key, 1).first().map(|index| **index)
+        home_of(self.digest, indices.iter(), key).copied()
     }
 }
--- a/crates/seamhatchd/src/listeners/admin.rs
+++ b/crates/seamhatchd/src/listeners/admin.rs
@@ -87,7 +87,10 @@
         (&Method::POST, "/v1/submissions") => submit(&shared, body).await,
         (&Method::POST, "/v1/explain") => explain(&shared, body).await,
         (&Method::POST, "/v1/drain") => drain(&shared, body).await,
-        (&Method::GET, "/v1/crashes") => json(StatusCode::OK, &crash_report(&shared)),
+        (&Method::GET, "/v1/crashes") => {
+            let report = crash_report(&shared.suspects, shared.metrics.crashes.get());
+            json(StatusCode::OK, &report)
+        }
         (&Method::POST, "/v1/crashes/clear") => clear_suspect(&shared, body).await,
         _ => problem(StatusCode::NOT_FOUND, "not-found", "no such page; see docs/OPERATIONS.md"),
     };
--- a/crates/seamhatchd/src/peer_server/call/execute.rs
+++ b/crates/seamhatchd/src/peer_server/call/execute.rs
@@ -9,7 +9,7 @@
 use crate::base::clock;
 use crate::base::metrics::seconds;
 use crate::server::backend::{self, BackendAnswer, BackendError, BackendRequest};
-use crate::server::crashes::{self, CallAtWork, Trial};
+use crate::server::crashes::{CallAtWork, TrialRun};
 use crate::server::gate::Permit;
 use crate::server::instances::OpenInstance;
 use crate::server::running::RunningCall;
@@ -35,7 +35,7 @@
         &self,
         running: &Arc<RunningCall>,
         permit: Permit,
-        trial: Option<&Trial>,
+        trial: Option<&TrialRun>,
         body: backend::RequestBody,
     ) {
         let registration = self.shared.server.running.register(running.clone(), self.request_name());
@@ -44,7 +44,7 @@
             Err(reason) => return self.refuse(running, Outcome::NotRun, reason, ""),
         };
         self.shared.metrics.execution(running.priority.class);
-        let is_isolated = trial.is_some_and(Trial::is_isolated);
+        let is_isolated = trial.is_some_and(TrialRun::is_isolated);
         let work = self.shared.server.crashes.begin(instance.as_ref(), self.head.request, is_isolated);
         let run = BackendRun { instance, work, started: clock::now() };
         let exchanged = tokio::select! {
@@ -153,7 +153,7 @@
     }
 
     async fn has_crashed(&self, run: &BackendRun) -> bool {
-        crashes::has_crashed(&self.shared, &run.work, run.instance.as_ref()).await
+        self.shared.crash_context().has_crashed(&run.work, run.instance.as_ref()).await
     }
 
     /// Clears the request of any suspicion: one that crashes every server never runs to its end.
--- a/crates/seamhatchd/src/peer_server/call/mod.rs
+++ b/crates/seamhatchd/src/peer_server/call/mod.rs
@@ -15,7 +15,7 @@
 use crate::peer::Outbox;
 use crate::peer_server::incoming_calls::IncomingCalls;
 use crate::server::backend;
-use crate::server::crashes::{self, Trial};
+use crate::server::crashes::{self, TrialRun};
 use crate::server::gate::{GateRequest, Permit};
 use crate::server::running::RunningCall;
 use crate::shared::Shared;
@@ -79,7 +79,7 @@
     ///
     /// # Errors
     /// The reason of the refusal; the call has not run.
-    async fn admit(&self, running: &RunningCall) -> Result<(Permit, Option<Trial>), Reason> {
+    async fn admit(&self, running: &RunningCall) -> Result<(Permit, Option<TrialRun>), Reason> {
         self.check_intake(running)?;
         let trial = self.admit_suspect(running).await?;
         let request = GateRequest {
@@ -113,9 +113,9 @@
 
     /// Waits until a call whose request is a suspect may run, as long as its answer is worth waiting for. Other calls
     /// don't wait.
-    async fn admit_suspect(&self, running: &RunningCall) -> Result<Option<Trial>, Reason> {
+    async fn admit_suspect(&self, running: &RunningCall) -> Result<Option<TrialRun>, Reason> {
         let latest = clock::now().plus(self.head.context.objective_left).min(running.expiry);
-        let admitted = crashes::until_admitted(&self.shared, self.head.request);
+        let admitted = crashes::until_admitted(&self.shared.suspects, self.head.request);
         tokio::select! {
             admitted = clock::timeout_at(latest, admitted) => {
                 admitted.unwrap_or(Err(Reason::DeadlineExceeded))
--- a/crates/seamhatchd/src/peer_server/call/refusal.rs
+++ b/crates/seamhatchd/src/peer_server/call/refusal.rs
@@ -2,7 +2,6 @@
 
 use super::ServerCall;
 use crate::base::clock;
-use crate::server::crashes;
 use crate::server::running::RunningCall;
 use log::info;
 use seamhatch_core::clock::{MILLISECOND, Microseconds};
@@ -37,7 +36,7 @@
     fn retry_after(&self, reason: Reason) -> Microseconds {
         match reason.rule().return_time {
             ReturnTime::AfterQueue => self.shared.server.gate.retry_after(),
-            ReturnTime::UntilTrial => crashes::time_until_trial(&self.shared, self.head.request),
+            ReturnTime::UntilTrial => self.shared.suspects.time_until_trial(self.head.request),
             ReturnTime::Never | ReturnTime::After(_) | ReturnTime::AfterOverload | ReturnTime::AtLimit => {
                 SERVER_RETURN
             }
--- a/crates/seamhatchd/src/server/crashes/mod.rs
+++ b/crates/seamhatchd/src/server/crashes/mod.rs
@@ -1,95 +1,128 @@
-//! Crashes of the back end beside this daemon, the calls that were at work then, and what follows for them.
+//! Crashes of the back end beside this daemon, the calls that ran then, and what follows for them.
 //!
-//! A crash is one life of the back end that ended without a word while calls were at work on it: their connections
-//! closed, nothing listens any more, and the instance had not told that it leaves. An answer that broke off is none.
+//! A crash is one instance of the back end that ended without reporting that it leaves while calls ran on it: their
+//! connections closed and nothing listens any more. An answer that broke off is none. [`seamhatch_core::crashes`] decides what
+//! follows; here the back end is looked for, suspects wait for their trial runs, and crashes are reported to the control
+//! thread, which spreads them.
 
 mod at_work;
 mod report;
 mod suspects;
-mod trials;
+mod trial_runs;
 
-pub use at_work::{CallAtWork, CrashWatch, Suspect};
+pub use at_work::{CallAtWork, CrashWatch};
 pub use report::{CrashReport, SuspectStatus, crash_report};
 pub use suspects::SuspectBook;
-pub use trials::{CRASHES_TO_ISOLATE, Trial, Trials};
+pub use trial_runs::{TrialRun, TrialRuns};
 
 use crate::base::clock;
-use crate::shared::Shared;
+use crate::base::metrics::Metrics;
+use crate::control::ControlHandle;
+use crate::server::ServerSide;
 use log::warn;
-use seamhatch_core::clock::Microseconds;
-use seamhatch_core::crashes::{InstanceDigest, SuspectStanding};
+use seamhatch_core::crashes::{InstanceDigest, Suspect, SuspectStanding};
 use seamhatch_core::identity::RequestDigest;
 use seamhatch_core::instance::InstanceId;
 use seamhatch_core::outcome::Reason;
-use std::sync::Arc;
 
-/// Whether the back end has crashed under a call to `instance` whose connection broke. The first call that finds out reports
-/// it for all that were at work.
-pub async fn has_crashed(shared: &Arc<Shared>, work: &CallAtWork, instance: Option<&InstanceId>) -> bool {
-    let watch = &shared.server.crashes;
-    if watch.has_ended(work) {
-        return true;
-    }
-    let broke = clock::now();
-    let mut seen_alive = watch.seen_alive.lock().await;
-    if watch.has_ended(work) {
-        return true;
-    }
-    // Many connections may break at once: one look that began after that tells all of them.
-    if *seen_alive >= broke {
-        watch.note_broken(work, broke);
-        return false;
-    }
-    let looked = clock::now();
-    let is_leaving = || instance.is_some_and(|instance| shared.server.instances.is_leaving(instance));
-    // The goodbye may come while the back end is being looked for.
-    if is_leaving() || !shared.server.backend.is_gone().await || is_leaving() {
-        *seen_alive = looked;
-        watch.note_broken(work, broke);
-        return false;
+/// The parts of the daemon that notice a crash, or have to hear of it.
+#[derive(Debug, Clone, Copy)]
+pub struct CrashContext<'a> {
+    /// The back end.
+    pub server: &'a ServerSide,
+    /// Requests that ran when servers crashed, here and elsewhere.
+    pub suspects: &'a SuspectBook,
+    /// Counts the crash.
+    pub metrics: &'a Metrics,
+    /// Spreads the suspects.
+    pub control: &'a ControlHandle,
+}
+
+impl CrashContext<'_> {
+    /// Whether the back end has crashed under a call to `instance` whose connection broke. The first call that finds out
+    /// reports it for all that ran.
+    pub async fn has_crashed(&self, work: &CallAtWork, instance: Option<&InstanceId>) -> bool {
+        let watch = &self.server.crashes;
+        if watch.has_ended(work) {
+            return true;
+        }
+        let broke = clock::now();
+        let mut seen_alive = watch.seen_alive.lock().await;
+        if watch.has_ended(work) {
+            return true;
+        }
+        // Many connections may break at once: one look that began after that answers for all of them.
+        if *seen_alive >= broke {
+            watch.note_broken(work, broke);
+            return false;
+        }
+        let looked = clock::now();
+        let is_leaving = || instance.is_some_and(|instance| self.server.instances.is_leaving(instance));
+        // The goodbye may come while the back end is being looked for.
+        if is_leaving() || !self.server.backend.is_gone().await || is_leaving() {
+            *seen_alive = looked;
+            watch.note_broken(work, broke);
+            return false;
+        }
+        let suspects = watch.end_instance(work);
+        self.report(work.instance, instance, &suspects);
+        if let Some(instance) = instance {
+            self.control.lost_instance(instance.clone(), Reason::BackendCrashed);
+        }
+        true
     }
-    let suspects = watch.end_life(work);
-    report(shared, work.life, instance, &suspects);
-    if let Some(instance) = instance {
-        shared.control.lost_instance(instance.clone(), Reason::BackendCrashed);
+
+    /// Records that another instance of the back end is there in place of `instance`, which had not reported that it leaves.
+    /// Where this daemon was frozen while that one crashed, nothing else shows the crash.
+    pub fn instance_replaced(&self, instance: &InstanceId) {
+        let suspects = self.server.crashes.replace_instance(instance, clock::now());
+        if !suspects.is_empty() {
+            self.report(InstanceDigest::of_instance(instance), Some(instance), &suspects);
+        }
     }
-    true
-}
 
-/// Takes in that another instance of the back end is there in place of `instance`, which had not told that it leaves. Where
-/// this daemon was frozen while that one crashed, nothing else tells.
-pub fn instance_replaced(shared: &Shared, instance: &InstanceId) {
-    let suspects = shared.server.crashes.replace_life(instance, clock::now());
-    if !suspects.is_empty() {
-        report(shared, InstanceDigest::of_instance(instance), Some(instance), &suspects);
+    /// Records a crash here and has it reported to other daemons.
+    fn report(&self, digest: InstanceDigest, instance: Option<&InstanceId>, suspects: &[Suspect]) {
+        let condemned = self.suspects.report_crash(digest, suspects);
+        self.log_crash(instance, suspects);
+        self.metrics.crashes.inc();
+        self.control.suspects_changed(suspects.iter().map(|suspect| suspect.request).collect());
+        if !condemned.is_empty() {
+            self.control.remember_condemned(condemned);
+        }
     }
-}
 
-/// Notes a crash here and has it told everywhere.
-fn report(shared: &Shared, life: InstanceDigest, instance: Option<&InstanceId>, suspects: &[Suspect]) {
-    let condemned = shared.suspects.report_crash(life, suspects);
-    log_crash(shared, instance, suspects);
-    shared.metrics.crashes.inc();
-    shared.control.suspects_changed(suspects.iter().map(|suspect| suspect.request).collect());
-    if !condemned.is_empty() {
-        shared.control.remember_condemned(condemned);
+    fn log_crash(&self, instance: Option<&InstanceId>, suspects: &[Suspect]) {
+        let evidence = suspects.iter().map(|Suspect { request, .. }| {
+            let crashes = self.suspects.standing(*request).crashes();
+            format!("{request}:{crashes}")
+        });
+        warn!(
+            instance = instance.map_or("", |instance| instance.name.as_str()),
+            at_work = suspects.len(),
+            crashes_by_digest = evidence.collect::<Vec<_>>().join(",").as_str();
+            "back end crashed"
+        );
     }
 }
 
-/// Waits until a call may run at the server here: at once, unless its request is a suspect.
+/// Waits until a call may run at the back end here: at once, unless its request is a suspect.
 ///
 /// # Errors
 /// [`Reason::CrashesServers`]: it may not run at all.
-pub async fn until_admitted(shared: &Shared, request: RequestDigest) -> Result<Option<Trial>, Reason> {
-    let mut standing = shared.suspects.standing(request);
+pub async fn until_admitted(
+    suspects: &SuspectBook,
+    request: RequestDigest,
+) -> Result<Option<TrialRun>, Reason> {
+    let mut standing = suspects.standing(request);
     loop {
         match standing {
             SuspectStanding::Clear => return Ok(None),
             SuspectStanding::Condemned { .. } => return Err(Reason::CrashesServers),
             SuspectStanding::Suspect { crashes } => {
-                let trial = shared.suspects.trials.begin(request, crashes).await;
-                // The copy before may have told how it ends.
-                let now = shared.suspects.standing(request);
+                let trial = suspects.trial_runs.begin(request, crashes).await;
+                // The copy before may have ended well, or in a crash.
+                let now = suspects.standing(request);
                 if now == standing {
                     return Ok(Some(trial));
                 }
@@ -98,24 +131,3 @@
         }
     }
 }
-
-fn log_crash(shared: &Shared, instance: Option<&InstanceId>, suspects: &[Suspect]) {
-    let evidence = suspects.iter().map(|Suspect { request, .. }| {
-        let crashes = shared.suspects.standing(*request).crashes();
-        format!("{request}:{crashes}")
-    });
-    warn!(
-        instance = instance.map_or("", |instance| instance.name.as_str()),
-        at_work = suspects.len(),
-        crashes_by_digest = evidence.collect::<Vec<_>>().join(",").as_str();
-        "back end crashed"
-    );
-}
-
-/// Time until one copy of a condemned request is tried again.
-pub fn time_until_trial(shared: &Shared, request: RequestDigest) -> Microseconds {
-    match shared.suspects.standing(request) {
-        SuspectStanding::Condemned { until, .. } => until.since(clock::now()),
-        SuspectStanding::Clear | SuspectStanding::Suspect { .. } => 0,
-    }
-}
--- a/crates/seamhatchd/src/server/crashes/report.rs
+++ b/crates/seamhatchd/src/server/crashes/report.rs
@@ -1,7 +1,7 @@
-//! What operators see of requests that were at work when servers crashed.
+//! What operators see of requests that ran when servers crashed.
 
 use crate::base::clock;
-use crate::shared::Shared;
+use crate::server::crashes::SuspectBook;
 use seamhatch_core::clock::MILLISECOND;
 use seamhatch_core::crashes::SuspectStanding;
 use serde::{Deserialize, Serialize};
@@ -26,11 +26,11 @@
     pub turned_away_for_ms: Option<u64>,
 }
 
-/// What this daemon knows.
+/// What this daemon knows; `crashes_here` are those of the back end beside it.
 #[must_use]
-pub fn crash_report(shared: &Shared) -> CrashReport {
+pub fn crash_report(suspects: &SuspectBook, crashes_here: u64) -> CrashReport {
     let now = clock::now();
-    let suspects = shared.suspects.suspects().into_iter().map(|(digest, standing)| SuspectStatus {
+    let suspects = suspects.suspects().into_iter().map(|(digest, standing)| SuspectStatus {
         digest: digest.to_string(),
         crashes: standing.crashes(),
         turned_away_for_ms: match standing {
@@ -38,5 +38,5 @@
             SuspectStanding::Clear | SuspectStanding::Suspect { .. } => None,
         },
     });
-    CrashReport { crashes_here: shared.metrics.crashes.get(), suspects: suspects.collect() }
+    CrashReport { crashes_here, suspects: suspects.collect() }
 }
--- a/crates/seamhatchd/src/server/crashes/suspects.rs
+++ b/crates/seamhatchd/src/server/crashes/suspects.rs
@@ -1,30 +1,32 @@
-//! The requests that were at work when servers crashed, as all threads of the daemon see them.
+//! The requests that ran when servers crashed, shared by all threads.
+//!
+//! Locks [`seamhatch_core::crashes::CrashLedger`], which decides. Calls read it, crashes here and reports of other daemons write
+//! it.
 
 use crate::base::clock;
 use crate::base::lock::lock;
-use crate::server::crashes::at_work::Suspect;
-use crate::server::crashes::trials::Trials;
+use crate::server::crashes::trial_runs::TrialRuns;
 use log::{info, warn};
 use seamhatch_core::Instant;
-use seamhatch_core::clock::MILLISECOND;
+use seamhatch_core::clock::{MILLISECOND, Microseconds};
 use seamhatch_core::crashes::{
-    CrashLedger, CrashPolicy, EvidenceEffect, InstanceDigest, SuspectReport, SuspectStanding,
+    CrashLedger, CrashPolicy, EvidenceEffect, InstanceDigest, Suspect, SuspectReport, SuspectStanding,
 };
 use seamhatch_core::identity::RequestDigest;
 use seamhatch_policy::CrashSettings;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Mutex, MutexGuard};
 
-/// The ledger of suspects, and the trials beside this daemon's server.
+/// The ledger of suspects, and their trial runs at the back end beside this daemon.
 #[derive(Debug)]
 pub struct SuspectBook {
     ledger: Mutex<CrashLedger>,
     /// Records in the ledger, so that a call pays one load while there are none.
     known: AtomicUsize,
-    /// Whether suspects are treated otherwise than other requests.
+    /// Whether suspects are treated differently from other requests.
     acts: AtomicBool,
     /// Suspects that run here.
-    pub trials: Trials,
+    pub trial_runs: TrialRuns,
 }
 
 impl Default for SuspectBook {
@@ -38,10 +40,15 @@
     #[must_use]
     pub fn new(policy: CrashPolicy) -> Self {
         let ledger = Mutex::new(CrashLedger::new(policy));
-        Self { ledger, known: AtomicUsize::new(0), acts: AtomicBool::new(true), trials: Trials::default() }
+        Self {
+            ledger,
+            known: AtomicUsize::new(0),
+            acts: AtomicBool::new(true),
+            trial_runs: TrialRuns::default(),
+        }
     }
 
-    /// Takes over what the configuration says.
+    /// Adopts what the configuration says.
     pub fn set_settings(&self, settings: &CrashSettings) {
         let policy = CrashPolicy {
             condemned_after: settings.limit,
@@ -61,7 +68,16 @@
         self.lock().standing(request, clock::now())
     }
 
-    /// Takes in a crash and what was at work then. Returns what it has condemned.
+    /// Time until the trial run of a condemned request, in microseconds; zero for any other.
+    #[must_use]
+    pub fn time_until_trial(&self, request: RequestDigest) -> Microseconds {
+        match self.standing(request) {
+            SuspectStanding::Condemned { until, .. } => until.since(clock::now()),
+            SuspectStanding::Clear | SuspectStanding::Suspect { .. } => 0,
+        }
+    }
+
+    /// Records a crash and what ran then. Returns what it has condemned.
     pub fn report_crash(&self, life: InstanceDigest, suspects: &[Suspect]) -> Vec<RequestDigest> {
         let now = clock::now();
         let mut ledger = self.lock();
@@ -77,7 +93,7 @@
         condemned
     }
 
-    /// A run of this request has come to a good end. True when it was a suspect.
+    /// A run of this request has ended well. True when it was a suspect.
     pub fn ended_well(&self, request: RequestDigest) -> bool {
         self.known.load(Ordering::Acquire) > 0 && self.clear(request)
     }
@@ -91,7 +107,7 @@
         effect != EvidenceEffect::Known
     }
 
-    /// Takes in what another daemon knows.
+    /// Records what another daemon knows.
     pub fn merge(&self, reports: &[SuspectReport]) {
         let now = clock::now();
         let mut ledger = self.lock();
@@ -123,7 +139,7 @@
         self.lock().suspects(clock::now())
     }
 
-    /// Requests that are turned away.
+    /// Requests that are refused.
     #[must_use]
     pub fn condemned(&self) -> usize {
         if self.known.load(Ordering::Acquire) == 0 {
--- a/crates/seamhatchd/src/server/crashes/trials.rs
+++ b/crates/seamhatchd/src/server/crashes/trial_runs.rs
@@ -1,30 +1,30 @@
-//! Suspects run here one at a time, so that the next crash tells which of them it was.
+//! Trial runs: suspects run here one at a time, so that the next crash shows which of them it was.
+//!
+//! Owns a lock for each suspect that runs at the back end, and one for all suspects of several crashes;
+//! [`seamhatch_core::crashes::runs_isolated`] decides which need the second one.
 
 use crate::base::lock::lock;
+use seamhatch_core::crashes::runs_isolated;
 use seamhatch_core::identity::RequestDigest;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex as StdMutex};
 use tokio::sync::{Mutex, OwnedMutexGuard};
 
-/// Suspects with this many crashes run alone among their kind. With one crash they are many, as each call that was at
-/// work is one, and would wait for each other; two crashes leave few.
-pub const CRASHES_TO_ISOLATE: u32 = 2;
-
-/// The suspects that run at the server beside this daemon.
+/// The suspects that run at the back end beside this daemon.
 #[derive(Debug, Default)]
-pub struct Trials {
+pub struct TrialRuns {
     by_request: StdMutex<HashMap<RequestDigest, Arc<Mutex<()>>>>,
     isolation: Arc<Mutex<()>>,
 }
 
 /// The right to run a suspect, until it is dropped.
 #[derive(Debug)]
-pub struct Trial {
+pub struct TrialRun {
     isolation: Option<OwnedMutexGuard<()>>,
     _copies: OwnedMutexGuard<()>,
 }
 
-impl Trial {
+impl TrialRun {
     /// Whether it runs alone among the suspects of several crashes.
     #[must_use]
     pub fn is_isolated(&self) -> bool {
@@ -32,13 +32,13 @@
     }
 }
 
-impl Trials {
+impl TrialRuns {
     /// Waits until no other copy of the request runs here and, with enough crashes, no other such suspect. Cancel-safe.
-    pub async fn begin(&self, request: RequestDigest, crashes: u32) -> Trial {
+    pub async fn begin(&self, request: RequestDigest, crashes: u32) -> TrialRun {
         let copies = self.copies_of(request).lock_owned().await;
-        let isolated = crashes >= CRASHES_TO_ISOLATE;
-        let isolation = if isolated { Some(self.isolation.clone().lock_owned().await) } else { None };
-        Trial { isolation, _copies: copies }
+        let isolation =
+            if runs_isolated(crashes) { Some(self.isolation.clone().lock_owned().await) } else { None };
+        TrialRun { isolation, _copies: copies }
     }
 
     fn copies_of(&self, request: RequestDigest) -> Arc<Mutex<()>> {
--- a/crates/seamhatchd/src/shared.rs
+++ b/crates/seamhatchd/src/shared.rs
@@ -14,7 +14,7 @@
 use crate::limits::entry_floors::EntryFloors;
 use crate::peer::PeerPool;
 use crate::server::ServerSide;
-use crate::server::crashes::SuspectBook;
+use crate::server::crashes::{CrashContext, SuspectBook};
 use crate::settings::Settings;
 use crate::snapshot::Snapshot;
 use arc_swap::{ArcSwap, Guard};
@@ -67,6 +67,17 @@
         self.published.load()
     }
 
+    /// What the detection of crashes uses.
+    #[must_use]
+    pub fn crash_context(&self) -> CrashContext<'_> {
+        CrashContext {
+            server: &self.server,
+            suspects: &self.suspects,
+            metrics: &self.metrics,
+            control: &self.control,
+        }
+    }
+
     /// Whether the daemon is leaving.
     #[must_use]
     pub fn is_draining(&self) -> bool {
--- a/crates/seamhatchd/tests/suspects.rs
+++ b/crates/seamhatchd/tests/suspects.rs
@@ -1,12 +1,12 @@
 //! Suspects as the threads of one daemon see them: standing by the configuration, trials one after the other, and what a
 //! call pays while nothing is suspected.
 
-use seamhatch_core::crashes::{InstanceDigest, SuspectStanding};
+use seamhatch_core::crashes::{InstanceDigest, Suspect, SuspectStanding};
 use seamhatch_core::identity::{Incarnation, RequestDigest, RootId};
 use seamhatch_core::priority::{Priority, PriorityClass};
 use seamhatch_core::retry::RetryLedger;
 use seamhatch_policy::CrashSettings;
-use seamhatchd::server::crashes::{CrashWatch, Suspect, SuspectBook};
+use seamhatchd::server::crashes::{CrashWatch, SuspectBook};
 use seamhatchd::server::running::{RunningCall, RunningCalls};
 use std::hint::black_box;
 use std::sync::Arc;
@@ -77,10 +77,12 @@
 async fn suspects_wait_for_copies_and_those_of_several_crashes_for_each_other() {
     for case in TRIALS {
         let book = Arc::new(SuspectBook::default());
-        let first = book.trials.begin(RequestDigest(case.first.0), case.first.1).await;
+        let first = book.trial_runs.begin(RequestDigest(case.first.0), case.first.1).await;
         let waiting = {
             let book = book.clone();
-            tokio::spawn(async move { book.trials.begin(RequestDigest(case.second.0), case.second.1).await })
+            tokio::spawn(
+                async move { book.trial_runs.begin(RequestDigest(case.second.0), case.second.1).await },
+            )
         };
         tokio::time::sleep(Duration::from_millis(20)).await;
         assert_eq!(!waiting.is_finished(), case.waits, "{}", case.name);
