--- a/crates/seamhatch-core/src/claims.rs
+++ b/crates/seamhatch-core/src/claims.rs
@@ -1,10 +1,11 @@
-//! At-most-once: claims on idempotency keys, granted by a majority of witnesses.
+//! At most once: claims on idempotency keys, granted by a majority of witnesses.
 //!
-//! Before a call that may not be repeated is dispatched, its sender claims the
-//! call's key at the witnesses of the key's shard. The first claim wins and is
-//! remembered for [`CLAIM_MEMORY`], which is longer than any request lives.
-//! Claims hold no lease: a holder that is paused and wakes up later still holds
-//! its claim, and the expiry of the call stops what it sends too late.
+//! Decides whether a call that is not repeatable may be dispatched. Its sender first claims the call's key at the witnesses of
+//! the key's shard. The first claim wins and is remembered for [`CLAIM_MEMORY`], which is longer than any request lives.
+//!
+//! It protects the promise that such a call runs at most once. Claims hold no lease: a holder that is paused and wakes up
+//! later still holds its claim, and the expiry of the call stops what it sends too late. Alternatives:
+//! docs/DESIGN.md#at-most-once. The daemon's part is `seamhatchd::claims`; a model check searches it.
 
 use crate::clock::{Instant, Microseconds, SECOND};
 use crate::identity::{Address, Fingerprint, Incarnation};
@@ -13,10 +14,10 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr};
 
-/// The longest life of a request; longer deadlines are cut to this.
+/// The longest life of a request; longer deadlines are cut to this. Chosen, not measured.
 pub const LONGEST_REQUEST: Microseconds = 120 * SECOND;
 
-/// How long a witness remembers a claim.
+/// How long a witness remembers a claim: longer than a request lives, with room for its repeats. The factor is chosen.
 pub const CLAIM_MEMORY: Microseconds = 4 * LONGEST_REQUEST;
 
 /// A digest of an idempotency key.
@@ -66,7 +67,7 @@
     }
 }
 
-/// One attempt to run a call: the daemon that makes it, in which of its lives, and a number there.
+/// One attempt to run a call: the daemon that makes it, its incarnation, and a number there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct ClaimHolder {
     /// Peer address of the sending daemon.
@@ -78,7 +79,7 @@
 }
 
 impl ClaimHolder {
-    /// Stands for attempts of which one may have won; it is never given up.
+    /// Stands for several attempts of which one may have won; it is never released.
     pub const CONTESTED: Self = Self {
         daemon: Address { ip: IpAddr::V4(Ipv4Addr::UNSPECIFIED), port: 0 },
         incarnation: Incarnation(0),
@@ -100,7 +101,7 @@
 /// A witness's answer to a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub enum ClaimReply {
-    /// The claim is the asker's.
+    /// The claim is the claimant's.
     Granted,
     /// An earlier claim stands.
     Held(Claim),
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Drops a claim that its holder has given up before any dispatch.
+    /// Drops a claim that its holder released before any dispatch.
     pub fn release(&mut self, epoch: Epoch, key: ClaimKey, holder: ClaimHolder) {
         let held_by_asker = self.claims.get(&key).is_some_and(|earlier| earlier.claim.holder == holder);
         if self.serves(epoch) && held_by_asker {
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Stops granting in `epoch` and earlier ones for ever, and tells the claims remembered.
+    /// Stops granting in `epoch` and earlier ones for ever. Returns the claims remembered.
     ///
     /// A witness on which `epoch` was not installed yet is sealed all the same:
     /// it will refuse the installation. One that has gone on to a later epoch
@@ -230,7 +231,7 @@
     Won,
     /// A majority holds an earlier claim of one holder.
     Held(Claim),
-    /// No majority either way. Nothing was dispatched; give up what was granted.
+    /// No majority either way. Nothing was dispatched; release what was granted.
     NoMajority,
 }
 
@@ -250,7 +251,7 @@
         Self { witnesses, granted: 0, refused: 0, held: Vec::new() }
     }
 
-    /// Takes in one witness's reply; `None` for an answer that will not come.
+    /// Records one witness's reply; `None` for an answer that will not come.
     pub fn reply(&mut self, reply: Option<ClaimReply>) {
         match reply {
             Some(ClaimReply::Granted) => self.granted += 1,
--- a/crates/seamhatch-core/src/clock.rs
+++ b/crates/seamhatch-core/src/clock.rs
@@ -1,4 +1,7 @@
 //! Times of one machine's boot clock, and translation between two such clocks.
+//!
+//! A deadline crosses machines as an instant of the receiver's clock that errs early: a relative time-out would start again
+//! when a frozen daemon wakes. Alternatives: docs/DESIGN.md#deadlines.
 
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
@@ -55,7 +58,7 @@
     }
 }
 
-/// How long an offset sample stays in use, so that a drifting clock is followed.
+/// How long an offset sample stays in use, so that a drifting clock is followed. Chosen, not measured.
 const OFFSET_WINDOW: Microseconds = 60 * SECOND;
 
 /// A lower bound on how far a peer's boot clock is ahead of the local one.
@@ -77,7 +80,7 @@
 }
 
 impl PeerClock {
-    /// Takes in a message that the peer stamped `sent` and that arrived at `received`.
+    /// Records a message that the peer stamped `sent` and that arrived at `received`.
     pub fn observe(&mut self, sent: Instant, received: Instant) {
         let offset = i128::from(sent.0) - i128::from(received.0);
         self.rotate(received);
--- a/crates/seamhatch-core/src/crashes/ledger.rs
+++ b/crates/seamhatch-core/src/crashes/ledger.rs
@@ -1,4 +1,6 @@
-//! What a daemon knows of requests that were at work when servers crashed.
+//! What a daemon knows of requests that ran when servers crashed, and what may be done with each.
+//!
+//! Owns the records of all suspects, bounded in number and age. The figures of the policy: [`CrashPolicy`].
 
 use super::{InstanceDigest, SuspectRecord, SuspectReport};
 use crate::clock::{Instant, Microseconds, SECOND};
@@ -11,11 +13,11 @@
     /// Crashes without a good end between them after which a request isn't sent to servers any more, where the last one
     /// happened on its trial.
     pub condemned_after: u32,
-    /// Pause after the crash that condemned it, before one copy of it is tried. Doubled by each further crash.
+    /// Pause after the crash that condemned it, before the trial run of one copy. Doubled by each further crash.
     pub first_pause: Microseconds,
     /// Longest such pause.
     pub longest_pause: Microseconds,
-    /// How long evidence counts after the last crash. What comes again so rarely harms as rarely.
+    /// How long evidence counts after the last crash. A request that returns more rarely does as little harm.
     pub memory: Microseconds,
     /// Requests that are kept as suspects; the ones with the least and oldest evidence are dropped first.
     pub most_suspects: usize,
@@ -26,14 +28,18 @@
 impl Default for CrashPolicy {
     fn default() -> Self {
         Self {
-            // One crash has every call that was at work as a suspect; a third one, alone among its kind, is no accident.
+            // One crash makes a suspect of every call that ran; a third one, alone among its kind, is no accident. Without
+            // the trial run, a popular request whose copies ran at three servers that were lost at once was condemned.
             condemned_after: 3,
-            // A server that is away for seconds, once in half a minute, is what one more look at the request costs.
+            // Chosen: a trial run may cost a server that is away for some seconds, once in half a minute.
             first_pause: 30 * SECOND,
+            // Chosen, not measured.
             longest_pause: 3600 * SECOND,
+            // Chosen, not measured.
             memory: 600 * SECOND,
-            // At 80 bytes each, a third of a megabyte.
+            // Chosen: at 80 bytes each, a third of a megabyte.
             most_suspects: 4096,
+            // Chosen, not measured.
             most_condemned: 1024,
         }
     }
@@ -44,17 +50,16 @@
 pub enum SuspectStanding {
     /// Nothing speaks against it.
     Clear,
-    /// It may run, but no two copies of it at once: it was at work in this many crashes and has not come to a good end
-    /// since.
+    /// It may run, but no two copies of it at once: it ran in this many crashes and has not ended well since.
     Suspect {
         /// The crashes.
         crashes: u32,
     },
-    /// It is turned away.
+    /// It is refused.
     Condemned {
-        /// The crashes it was at work in.
+        /// The crashes during which it ran.
         crashes: u32,
-        /// When one copy of it is tried again.
+        /// When the trial run of one copy may begin.
         until: Instant,
     },
 }
@@ -70,10 +75,10 @@
     }
 }
 
-/// What became of a request by new evidence.
+/// What new evidence changes for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EvidenceEffect {
-    /// It tells nothing new.
+    /// Nothing: it was known.
     Known,
     /// There is more or less against it than before.
     Changed,
@@ -126,7 +131,7 @@
         self.entries.get(&request).map_or(SuspectStanding::Clear, |entry| self.standing_of(entry, now))
     }
 
-    /// Takes in that a request was at work when a life of a server ended in a crash, on trial or not.
+    /// Records that a request ran, on trial or not, when an instance of a server ended in a crash.
     pub fn report(
         &mut self,
         life: InstanceDigest,
@@ -137,11 +142,11 @@
         self.change(request, now, now, |record| record.add(life, on_trial))
     }
 
-    /// Takes in that a request has come to a good end, or that an operator clears it.
+    /// Records that a request has ended well, or that an operator clears it.
     pub fn clear(&mut self, request: RequestDigest, now: Instant) -> EvidenceEffect {
         let Some(entry) = self.entries.get_mut(&request) else { return EvidenceEffect::Known };
         let condemned = self.policy.condemns(&entry.record);
-        // A crash that others know of may still be told: the record stays, so that it is known as cleared.
+        // Others may still report a crash that they know of: the record stays, so that it is known as cleared.
         match (entry.record.clear(), condemned) {
             (false, _) => EvidenceEffect::Known,
             (true, true) => {
@@ -152,7 +157,7 @@
         }
     }
 
-    /// Takes in what another daemon knows.
+    /// Records what another daemon knows.
     pub fn merge(&mut self, report: &SuspectReport, now: Instant) -> EvidenceEffect {
         let at = now.minus(report.age);
         if now.since(at) > self.policy.memory.max(self.policy.longest_pause) {
@@ -246,7 +251,7 @@
             [(condemned, self.policy.most_condemned), (suspects, self.policy.most_suspects)]
         {
             list.sort_unstable();
-            // An eighth at once, so that a flood doesn't sort the list each time.
+            // An eighth more, so that a flood doesn't sort the list each time.
             let dropped = if list.len() > most { list.len() - most + most / 8 } else { 0 };
             for (_, _, request) in list.into_iter().take(dropped) {
                 self.entries.remove(&request);
--- a/crates/seamhatch-core/src/crashes/mod.rs
+++ b/crates/seamhatch-core/src/crashes/mod.rs
@@ -1,10 +1,14 @@
-//! Requests that crash servers: evidence from crashes, and who is turned away on it.
+//! Quarantine of requests that crash servers.
 //!
-//! A crash is one life of a server that ended without a word while calls were at work on it. Each of these is a suspect, one
-//! among many. A run that comes to a good end clears its request, as one that crashes every server never has such a run. What has
-//! been at work in several crashes since is condemned: it isn't sent to servers any more until a pause is over, and then on trial.
+//! Decides from crashes which requests are suspects, how a suspect runs, and which are condemned and refused. Inputs are
+//! crashes: a crash is one instance of a server that ended without reporting that it leaves while calls ran on it. Each of
+//! these calls is a suspect, one among many. A run that ends well clears its request, as a request that crashes every server
+//! never has such a run. A request of several crashes since is condemned: it isn't sent to servers any more until a pause is
+//! over, and then as a trial run of one copy.
 //!
-//! Evidence is a set of distinct crashes, not a sum of reports, so that it may be told twice, late and in any order.
+//! It protects the servers of a service from being crashed one after another by one request: five servers were ended 30 times
+//! in 9 s by one caller before, 3 times with these rules. Evidence is a set of distinct crashes, not a sum of reports, so it
+//! may be reported twice, late and in any order. Alternatives: docs/DESIGN.md#requests-that-crash-servers.
 
 mod ledger;
 mod quarantine;
@@ -21,14 +25,14 @@
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
 
-/// Names one life of a server, on all daemons alike. It ends in one crash at most.
+/// Names one instance of a server, the same at all daemons. It ends in one crash at most.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
 pub struct InstanceDigest(pub u64);
 
 impl InstanceDigest {
-    /// The life of a server that registers.
+    /// The instance of a server that registers.
     #[must_use]
     pub fn of_instance(instance: &InstanceId) -> Self {
         let born = instance.born.map(u64::to_le_bytes);
@@ -36,7 +40,7 @@
         Self(RequestDigest::of(&[instance.name.as_bytes(), born]).0)
     }
 
-    /// The life of a server without a name, beside a daemon that has seen it crash `crashes` times.
+    /// The instance of a server without a name, beside a daemon that has seen it crash `crashes` times.
     #[must_use]
     pub fn of_unnamed(daemon: Incarnation, crashes: u64) -> Self {
         Self(RequestDigest::of(&[&daemon.0.to_le_bytes(), &crashes.to_le_bytes()]).0)
--- a/crates/seamhatch-core/src/crashes/record.rs
+++ b/crates/seamhatch-core/src/crashes/record.rs
@@ -1,4 +1,4 @@
-//! The evidence against one request, as daemons tell it to each other.
+//! The evidence against one request, as daemons report it to each other and to the store.
 
 use super::InstanceDigest;
 use crate::clock::{MILLISECOND, Microseconds};
@@ -6,20 +6,21 @@
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
 
-/// Crashes that are kept of one request. More than that make no difference to any decision.
+/// Crashes that are kept of one request. Chosen, not measured: with the default policy, the pause reaches its longest after
+/// ten.
 pub const MOST_MARKS: usize = 16;
 
-/// One crash in which a request was at work.
+/// One crash during which a request ran.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
 pub struct CrashMark {
     /// Which life of which server ended.
     pub life: InstanceDigest,
-    /// It ran there as the only suspect of several crashes. Where it did not, many may have been at work, as when half of a
-    /// service is lost at once under a popular request.
+    /// It ran there as the only suspect of several crashes. Where it did not, many may have run, as when half of a service is
+    /// lost at once under a popular request.
     pub on_trial: bool,
-    /// The request has come to a good end since, or an operator has cleared it.
+    /// The request has ended well since, or an operator has cleared it.
     pub cleared: bool,
 }
 
@@ -28,7 +29,7 @@
 pub struct SuspectRecord {
     /// What is asked.
     pub request: RequestDigest,
-    /// By life, each once, those with the largest numbers where there are more than [`MOST_MARKS`].
+    /// By instance, each once, those with the largest digests where there are more than [`MOST_MARKS`].
     marks: Vec<CrashMark>,
 }
 
@@ -37,7 +38,7 @@
 pub struct SuspectReport {
     /// The evidence.
     pub record: SuspectRecord,
-    /// Time since the last crash.
+    /// Time since the last crash, in microseconds.
     pub age: Microseconds,
 }
 
@@ -52,7 +53,7 @@
 }
 
 impl CondemnedRecord {
-    /// What is told at this time of day, in milliseconds since the Unix epoch.
+    /// The record of a report at this time of day, in milliseconds since the Unix epoch.
     #[must_use]
     pub fn new(report: &SuspectReport, now_ms: u64) -> Self {
         let crashed_at_ms = now_ms.saturating_sub(report.age / MILLISECOND);
@@ -98,7 +99,7 @@
         self.marks.iter().any(|mark| mark.on_trial && !mark.cleared)
     }
 
-    /// Adds a crash. True when that is news.
+    /// Adds a crash. True when it was not known.
     pub fn add(&mut self, life: InstanceDigest, on_trial: bool) -> bool {
         self.add_mark(CrashMark { life, on_trial, cleared: false })
     }
@@ -110,7 +111,7 @@
         open
     }
 
-    /// Takes in what another daemon knows of the same request. True when that is news.
+    /// Adds what another daemon knows of the same request. True when that changes anything.
     pub fn merge(&mut self, other: &Self) -> bool {
         let mut news = false;
         // Others may send more than they should.
--- a/crates/seamhatch-core/src/departure.rs
+++ b/crates/seamhatch-core/src/departure.rs
@@ -1,26 +1,29 @@
-//! What a daemon has to know of departed instances before it trusts a heartbeat.
+//! Departures: when a starting daemon may trust its back end's heartbeats.
 //!
-//! A daemon may restart and then get a late heartbeat of an instance that has gone. So a departure lies
-//! in the store or at other daemons before it is acknowledged, and a starting daemon asks both: either
-//! may have noted one that the other has not.
+//! Decides, from the time since the start and from who has answered, whether enough is known of the instances that departed
+//! before. A daemon may restart and then get a late heartbeat of an instance that is gone. So a departure is recorded in the
+//! store or at other daemons before it is acknowledged, and a starting daemon asks both: either may have recorded one that
+//! the other has not. It protects the rule that an instance which has left gets no calls. Alternatives:
+//! docs/DESIGN.md#departures. Who calls it: the controllers of the daemon, and the model check of departures.
 
 use crate::clock::{MILLISECOND, Microseconds, SECOND};
 use crate::instance::{InstanceId, REMEMBERED_DEPARTURES};
 use serde::{Deserialize, Serialize};
 
-/// A starting daemon that has the store's word waits this long for that of the holders.
+/// How long a starting daemon that has the store's answer waits for that of the holders. Chosen, not measured.
 pub const HOLDERS_PATIENCE: Microseconds = 500 * MILLISECOND;
-/// A starting daemon that can't read the store relies on others after this time.
+/// How long a starting daemon waits for the store before it relies on the holders alone. Chosen, not measured.
 pub const STORE_PATIENCE: Microseconds = 800 * MILLISECOND;
-/// A starting daemon that reaches neither the store nor a holder takes its back end's word after this time.
+/// How long a starting daemon that reaches neither the store nor a holder waits before it trusts its back end. Chosen, not
+/// measured.
 pub const DEPARTURE_PATIENCE: Microseconds = 4 * SECOND;
 
-/// Who tells a starting daemon what departed before.
+/// Where a starting daemon learns which instances departed before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DepartureSource {
     /// The store.
     Store,
-    /// Daemons that were asked to remember it.
+    /// Daemons that were asked to remember them.
     Holders,
 }
 
@@ -49,11 +52,11 @@
     Wait,
     /// What departed before is known as far as it can be.
     Settled,
-    /// Nobody tells; what departed before is not known.
+    /// Nobody answers; what departed before is not known.
     GivenUp,
 }
 
-/// What a starting daemon has been told of departures in its earlier lives.
+/// Which sources have answered a starting daemon about departures during its earlier incarnations.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct DepartureInquiry {
     store_answered: bool,
@@ -61,7 +64,7 @@
 }
 
 impl DepartureInquiry {
-    /// Takes in that a source has answered.
+    /// Records that a source has answered.
     pub fn note_answer(&mut self, source: DepartureSource) {
         match source {
             DepartureSource::Store => self.store_answered = true,
--- a/crates/seamhatch-core/src/generation.rs
+++ b/crates/seamhatch-core/src/generation.rs
@@ -1,4 +1,9 @@
-//! Versions of the configuration, and the rule that a daemon only moves forward.
+//! Configuration: which version is in force, and whether a submission has been accepted.
+//!
+//! Decides two things. A daemon adopts an offered version only where it is newer ([`judge_offer`]). A submission goes on until
+//! the store holds it or can't hold it any more ([`submission_step`]); inputs are what the store holds and the newest
+//! generation that is known, read for this step. It protects the promise that an accepted configuration is in force everywhere
+//! within seconds and never reverts to an older one. Alternatives: docs/DESIGN.md#configuration.
 
 use crate::identity::Fingerprint;
 use serde::{Deserialize, Serialize};
@@ -54,7 +59,7 @@
     Adopt,
     /// It is the one in force.
     Same,
-    /// It is older: keep the one in force, and tell the one who offered it.
+    /// It is older: keep the one in force, and send it to the daemon that made the offer.
     Stale,
     /// Same generation, other content: the store went back in time. Keep the one in force.
     Conflict,
--- a/crates/seamhatch-core/src/identity.rs
+++ b/crates/seamhatch-core/src/identity.rs
@@ -25,7 +25,7 @@
 )]
 pub struct CallId(pub u64);
 
-/// One life of a daemon process; a restart gives a larger one.
+/// One run of a daemon process; a restart gives a larger one.
 #[derive(
     Debug,
     Clone,
@@ -68,7 +68,7 @@
     }
 }
 
-/// Names what is asked, whoever carries it: the same for two requests with the same caller, target and body.
+/// Names what is asked, the same at every daemon: equal for two requests with the same caller, target and body.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
--- a/crates/seamhatch-core/src/lib.rs
+++ b/crates/seamhatch-core/src/lib.rs
@@ -1,10 +1,35 @@
 //! The decisions of seamhatch as pure functions and state machines.
 //!
-//! Nothing in this crate reads a clock, opens a socket or draws a random
-//! number: time, randomness and messages are passed in. The daemon, the model
-//! checks, the property tests and the emulator therefore run the same code.
+//! Nothing in this crate reads a clock, opens a socket or draws a random number: time, randomness and messages are
+//! passed in. The daemon, the model checks, the property tests and the lab therefore run the same code. All times are
+//! [`Instant`]s and spans of [`Microseconds`] of one machine's boot clock, but for grace periods ([`std::time::Duration`]).
 //!
-//! All times are [`Instant`]s: microseconds of one machine's boot clock.
+//! # The questions, in the order in which a request meets them
+//!
+//! | question | module |
+//! | --- | --- |
+//! | Does this daemon still serve callers, and may its back end get calls? | [`drain`] |
+//! | May the tenant's key be trusted, or may the configuration be out of date? | [`freshness`] |
+//! | How important is the request? | [`priority`] |
+//! | Would a service further down refuse it? | [`entry`], from what [`service_floor`] reports |
+//! | Is the tenant within its limit? | [`quota`] |
+//! | Has it crashed servers, so that it runs alone or not at all? | [`crashes`] |
+//! | Has another attempt with its idempotency key run? | [`claims`], by the witnesses of [`roster`] |
+//! | May it be sent again, and who pays for that? | [`retry`] |
+//! | To which server does it go? | [`balance`] |
+//! | Does it run there, wait or get refused? | [`admission`] |
+//! | What does a refusal prove, and what is the caller told? | [`refusal`] |
+//! | When should a refused caller return? | [`return_time`] |
+//!
+//! And beside the requests:
+//!
+//! | question | module |
+//! | --- | --- |
+//! | Which instance of the back end takes calls? | [`instance`], [`departure`] |
+//! | Which daemons are there? | [`membership`] |
+//! | Which configuration is in force, and has a submission been accepted? | [`generation`] |
+//!
+//! The rest names things: [`clock`], [`identity`], [`outcome`], [`rendezvous`], [`running_quantile`].
 
 pub mod admission;
 pub mod balance;
--- a/crates/seamhatch-core/src/membership/exchange.rs
+++ b/crates/seamhatch-core/src/membership/exchange.rs
@@ -1,4 +1,4 @@
-//! What goes out: exchanges of whole lists, and news that rides on every message.
+//! What goes out: exchanges of whole lists, and news that travels with every message.
 
 use super::{
     EARLY_SYNC_INTERVAL, GossipBody, GossipMessage, Member, MemberRecord, Membership, NEWS_PER_MESSAGE,
--- a/crates/seamhatch-core/src/membership/merging.rs
+++ b/crates/seamhatch-core/src/membership/merging.rs
@@ -1,4 +1,4 @@
-//! Taking in what others tell of members, and how members age.
+//! Merging records that others send, and aging of members.
 
 use super::{Liveness, Member, MemberRecord, Membership};
 use crate::clock::Instant;
@@ -8,7 +8,7 @@
     pub(super) fn heard_from(&mut self, address: Address) {
         let Some(member) = self.members.get_mut(&address) else { return };
         if member.record.liveness == Liveness::Dead {
-            // It runs although it is thought dead: let it hear so, and deny it.
+            // It runs although it is thought dead: let it hear that, and refute it.
             member.transmissions_left = member.transmissions_left.max(1);
         }
     }
@@ -36,8 +36,8 @@
         self.changes += 1;
     }
 
-    /// Takes up a member that was not known. One that is gone is left out: those who forgot it would
-    /// learn it again from those who still know it, and nobody would ever forget it.
+    /// Adds a member that was not known. One that is gone is left out: members that forgot it would learn it again from those
+    /// that still know it, and none would ever forget it.
     fn meet(&mut self, record: MemberRecord, now: Instant) {
         if !record.is_live() {
             return;
@@ -54,7 +54,7 @@
 
     pub(super) fn merge_about_me(&mut self, record: &MemberRecord) {
         if record.incarnation > self.me.incarnation {
-            // An earlier life of this address had a clock ahead of ours.
+            // An earlier incarnation at this address had a clock ahead of ours.
             self.me.incarnation = Incarnation(record.incarnation.0 + 1);
             return self.speak_up();
         }
--- a/crates/seamhatch-core/src/membership/message.rs
+++ b/crates/seamhatch-core/src/membership/message.rs
@@ -34,7 +34,7 @@
         /// The ping's number.
         sequence: u64,
     },
-    /// Asks the receiver to ping `target` and pass the answer on.
+    /// Asks the receiver to ping `target` and forward the answer.
     PingRequest {
         /// Number chosen by the sender.
         sequence: u64,
@@ -50,13 +50,13 @@
     SyncPage,
     /// News only.
     News,
-    /// Evidence against requests that were at work when servers crashed, at most [`SUSPECTS_PER_MESSAGE`] records.
+    /// Evidence against requests that ran when servers crashed, at most [`SUSPECTS_PER_MESSAGE`] records.
     Suspects(Vec<SuspectReport>),
 }
 
-/// Records that travel in one message: keeps a datagram well below 1,400 bytes.
+/// Records that travel in one message. Chosen, so that a datagram stays well below 1,400 bytes.
 pub const NEWS_PER_MESSAGE: usize = 8;
 
-/// Records of suspects that travel in one message. Most hold one to three crashes, 40 to 60 bytes; with the most crashes a
-/// record is 170 bytes.
+/// Records of suspects that travel in one message. Chosen, so that a datagram stays below 1,400 bytes: a record with one to
+/// three crashes takes 40 to 60 bytes, one with the most crashes 170.
 pub const SUSPECTS_PER_MESSAGE: usize = 7;
--- a/crates/seamhatch-core/src/membership/mod.rs
+++ b/crates/seamhatch-core/src/membership/mod.rs
@@ -1,6 +1,9 @@
-//! Membership: probes, suspicion and gossip after SWIM (A. Das, I. Gupta,
-//! A. Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
-//! Membership Protocol", 2002), with incarnations.
+//! Membership: which daemons there are, and what each reports of itself.
+//!
+//! Decides which members are live, by probes, suspicion and gossip after SWIM (A. Das, I. Gupta, A. Motivala, "SWIM: Scalable
+//! Weakly-consistent Infection-style Process Group Membership Protocol", 2002), with incarnations. Owns the list of members of
+//! one daemon; messages and time are passed in, and what is to be sent is returned. Alternatives: docs/DESIGN.md#membership.
+//! Who calls it: the daemon's control thread.
 
 mod exchange;
 mod merging;
@@ -17,13 +20,13 @@
 use crate::identity::{Address, Incarnation};
 use std::collections::BTreeMap;
 
-/// After its start a member exchanges lists more often, for this long.
+/// For how long after its start a member exchanges lists more often. Chosen, not measured.
 const SETTLING_TIME: Microseconds = 20 * SECOND;
-/// Time between two exchanges while settling.
+/// Time between two exchanges in that time. Chosen, not measured.
 const EARLY_SYNC_INTERVAL: Microseconds = SECOND;
 
-/// In deployments of fewer members all are told of everything: some 50 suspects are eight datagrams to each, of which more at
-/// once would not fit into the buffer of a socket.
+/// In deployments with fewer members every suspect is reported to all. Chosen: some 50 suspects are eight datagrams to each
+/// member, and more at once would not fit into the buffer of a socket.
 const MEMBERS_TOLD_ALL: usize = 32;
 
 /// Time and size settings of the protocol.
@@ -35,7 +38,7 @@
     pub probe_timeout: Microseconds,
     /// Others that are asked to probe.
     pub indirect_probes: usize,
-    /// How long a suspect may deny.
+    /// How long a suspect may refute the suspicion.
     pub suspicion: Microseconds,
     /// One exchange of whole lists in this time, when digests differ.
     pub sync_interval: Microseconds,
@@ -45,6 +48,7 @@
 
 impl Default for MembershipPolicy {
     fn default() -> Self {
+        // All chosen, not measured.
         Self {
             probe_interval: SECOND,
             probe_timeout: 300 * MILLISECOND,
@@ -159,12 +163,12 @@
         1 + self.others().filter(|record| record.is_live()).count()
     }
 
-    /// Sets the generation that every message tells.
+    /// Sets the generation that every message carries.
     pub fn set_generation(&mut self, generation: Generation) {
         self.generation = generation;
     }
 
-    /// Sets the roster version that every message tells.
+    /// Sets the roster version that every message carries.
     pub fn set_roster_version(&mut self, version: u64) {
         self.roster_version = version;
     }
@@ -184,7 +188,7 @@
         }
     }
 
-    /// Changes what this daemon says of itself.
+    /// Changes the lifecycle that this daemon reports.
     pub fn set_lifecycle(&mut self, lifecycle: Lifecycle) {
         if self.me.lifecycle == lifecycle {
             return;
@@ -193,7 +197,7 @@
         self.speak_up();
     }
 
-    /// Changes the slots that this daemon tells of its back end.
+    /// Changes the slots that this daemon reports of its back end.
     pub fn set_slots(&mut self, slots: u32) {
         if self.me.info.slots == slots {
             return;
@@ -202,7 +206,7 @@
         self.speak_up();
     }
 
-    /// Changes the shards of the tenants' limits that this daemon tells to hold.
+    /// Changes the shards of the tenants' limits that this daemon reports to hold.
     pub fn set_quota_shards(&mut self, shards: u64) {
         if self.me.info.quota_shards == shards {
             return;
@@ -219,7 +223,7 @@
         others.map(|target| (*target, self.message_with(request.clone(), vec![self.me.clone()]))).collect()
     }
 
-    /// Notes that the member at `address` leaves, by the machine list's or an operator's word.
+    /// Records that the member at `address` leaves, by the platform's list of machines or by an operator.
     pub fn mark_leaving(&mut self, address: Address) {
         let transmissions = self.transmissions();
         if address == self.me.info.gossip {
@@ -234,7 +238,7 @@
         }
     }
 
-    /// Messages that tell everyone at once, for a change that should not wait (a drain).
+    /// Messages with this daemon's record for all live members, for a change that should not wait (a drain).
     pub fn announce(&mut self) -> Vec<Outgoing> {
         let targets: Vec<Address> = self.live_addresses();
         targets
@@ -243,7 +247,7 @@
             .collect()
     }
 
-    /// Messages that tell `targets` what is known of suspects.
+    /// Messages that report suspects to `targets`.
     #[must_use]
     pub fn tell_suspects(&self, targets: &[Address], reports: &[SuspectReport]) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
@@ -254,11 +258,11 @@
         outgoing
     }
 
-    /// Messages that tell what is known of suspects where it matters.
+    /// Messages that report suspects to the members that need them.
     ///
-    /// A crash leaves dozens of suspects, nearly all by accident. Of these the daemons beside the servers of the service have to
-    /// know, where the next crash may happen; all others are told too where they are few. Who was there in two crashes is rare,
-    /// and known to all.
+    /// A crash leaves dozens of suspects, nearly all by accident. The daemons beside the servers of the service have to know of
+    /// these, as the next crash may happen there; the others are told too where there are few. A suspect of two crashes is rare
+    /// and reported to all.
     #[must_use]
     pub fn spread_suspects(&self, reports: &[SuspectReport]) -> Vec<Outgoing> {
         let all = self.live_addresses();
@@ -275,7 +279,7 @@
         self.others().filter(own).map(|record| record.info.gossip).collect()
     }
 
-    /// Moves time on; to be called several times in a probe timeout.
+    /// Advances to `now`; to be called several times in a probe timeout. Returns what to send.
     pub fn tick(&mut self, now: Instant, mut random: impl FnMut(usize) -> usize) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         self.age_members(now);
@@ -291,7 +295,7 @@
         outgoing
     }
 
-    /// Takes in a message and tells what to answer.
+    /// Handles a message. Returns what to send.
     pub fn receive(&mut self, message: GossipMessage, now: Instant) -> Vec<Outgoing> {
         for record in message.news {
             self.merge(record, now);
--- a/crates/seamhatch-core/src/membership/probing.rs
+++ b/crates/seamhatch-core/src/membership/probing.rs
@@ -18,7 +18,7 @@
             let ping = GossipBody::Ping { sequence: self.sequence };
             outgoing.push((target, self.message(ping)));
         }
-        // A member that is thought dead is tried now and then, so that a healed cut is noticed.
+        // A member that is thought dead is probed now and then, so that the end of a network partition is noticed.
         let dead: Vec<Address> = self
             .others()
             .filter(|record| record.liveness == Liveness::Dead && record.lifecycle != Lifecycle::Left)
--- a/crates/seamhatch-core/src/membership/record.rs
+++ b/crates/seamhatch-core/src/membership/record.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
 
-/// Where a daemon is in its life, as it says itself.
+/// What a daemon does at present, as it reports itself.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
@@ -12,9 +12,9 @@
 pub enum Lifecycle {
     /// Started, without a configuration yet.
     Joining,
-    /// Takes work.
+    /// Accepts calls.
     Ready,
-    /// Finishes what it has, and takes new work only where nobody else can.
+    /// Finishes what it has, and accepts new calls only where no other server can take them.
     Draining,
     /// Stopped in an orderly way.
     Left,
@@ -28,13 +28,13 @@
 pub enum Liveness {
     /// It answers probes.
     Alive,
-    /// It missed a probe and has not denied it yet.
+    /// It missed a probe and has not refuted that yet.
     Suspect,
-    /// It missed a probe and did not deny it in time.
+    /// It missed a probe and did not refute that in time.
     Dead,
 }
 
-/// What a daemon tells of itself; fixed during one incarnation.
+/// What a daemon reports of itself. All but the slots and the shards is fixed during one incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 pub struct MemberInfo {
     /// UDP address of gossip; identifies the member.
@@ -58,28 +58,28 @@
 /// A member as known somewhere.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// What it tells of itself.
+    /// What it reports of itself.
     pub info: MemberInfo,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Grows with each thing it says within one incarnation.
+    /// Grows with each change that it reports within one incarnation.
     pub revision: u32,
-    /// Its own word.
+    /// What it does, by its own report.
     pub lifecycle: Lifecycle,
-    /// The others' word on this revision.
+    /// What others observe of this revision.
     pub liveness: Liveness,
-    /// The machine list or an operator says that it leaves; sticks to the incarnation.
+    /// The platform's list of machines or an operator says that it leaves; holds for the rest of the incarnation.
     pub leaving: bool,
 }
 
 impl MemberRecord {
-    /// Whether it may be given new work.
+    /// Whether it may get new calls.
     #[must_use]
     pub fn takes_work(&self) -> bool {
         self.lifecycle == Lifecycle::Ready && self.liveness != Liveness::Dead && !self.leaving
     }
 
-    /// Whether it takes work at least where no other member can.
+    /// Whether it accepts calls at least where no other member can take them.
     #[must_use]
     pub fn may_take_work(&self) -> bool {
         let drains = self.lifecycle == Lifecycle::Draining && self.is_live() && !self.leaving;
--- a/crates/seamhatch-core/src/outcome.rs
+++ b/crates/seamhatch-core/src/outcome.rs
@@ -1,4 +1,7 @@
-//! What became of a call, as told to the one who sent it.
+//! What became of a call, as its sender is told, and why.
+//!
+//! These names travel between daemons and appear in answers, logs and metrics. What each reason means for the caller and
+//! for the sender stands in [`crate::refusal`].
 
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
--- a/crates/seamhatch-core/src/priority.rs
+++ b/crates/seamhatch-core/src/priority.rs
@@ -1,4 +1,9 @@
-//! What a request is worth under overload: its class, and a bucket within it.
+//! Priority: which requests are shed first under overload.
+//!
+//! A request's priority is its class, chosen by the policy program, and a bucket that follows from its root id alone. So every
+//! daemon of a chain gives one request the same verdict, and a chain that is admitted at the entry is admitted all the way
+//! down. An [`AdmissionFloor`] says which priorities a server or a service admits. Alternatives:
+//! docs/DESIGN.md#the-admission-floor.
 
 use crate::identity::RootId;
 use serde::{Deserialize, Serialize};
@@ -69,7 +74,7 @@
     }
 }
 
-/// Buckets in a class.
+/// Buckets in a class. Chosen, not measured.
 pub const BUCKETS: u8 = 128;
 
 /// A request's place in the order of shedding: class first, then bucket.
@@ -108,10 +113,10 @@
     }
 }
 
-/// What a server admits: a request whose level lies below `level`, or whose bucket is one of those that
-/// are kept of its class, so that no class is starved by more important ones.
+/// What a server admits: a request whose level lies below `level`, or whose bucket is one of the kept buckets of its class, so
+/// that no class is starved by more important ones.
 ///
-/// It is the same requests at every daemon. Floors are compared by their level first.
+/// It admits the same requests at every daemon. Floors are compared by their level first.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
@@ -126,7 +131,8 @@
     /// Admits every request.
     pub const OPEN: Self = Self::at(PriorityClass::ALL.len() as u16 * BUCKETS as u16);
 
-    /// Buckets of each class that are kept before a server has learnt how many fit.
+    /// Buckets of each class that are kept before a server has learnt how many fit: one request in 32. Chosen; one in 8
+    /// halved the critical requests that were served.
     pub const KEPT_AT_FIRST: u8 = 4;
 
     /// The floor at this level that keeps one in 32 requests of each class.
@@ -147,8 +153,8 @@
         priority.level() < self.level || priority.bucket < self.kept[priority.class.rank()]
     }
 
-    /// The floor of several servers together: the mean of theirs, weighed by the slots of each. What one
-    /// of them can't take goes to the others; none where there are no slots.
+    /// The floor of several servers together: the mean of theirs, weighted by the slots of each. What one of them can't take
+    /// goes to the others. None where there are no slots.
     #[must_use]
     pub fn mean(floors: impl IntoIterator<Item = (Self, u32)>) -> Option<Self> {
         let mut slots = 0.0;
--- a/crates/seamhatch-core/src/rendezvous.rs
+++ b/crates/seamhatch-core/src/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous (highest random weight) hashing: the same choice everywhere from the same members.
+//! Rendezvous (highest random weight) hashing: the same choice at every daemon from the same candidates, without agreement.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/crates/seamhatch-core/src/roster.rs
+++ b/crates/seamhatch-core/src/roster.rs
@@ -1,5 +1,9 @@
 //! Which daemons witness which shard of the claims, and how that changes.
 //!
+//! Decides the witnesses of each shard from the live members, and when a change may go on. It protects claims from being
+//! granted by two sets of witnesses at once. Alternatives: docs/DESIGN.md#at-most-once. Who calls it: the controllers of the
+//! daemon.
+//!
 //! The roster lies in the platform's key-value service and is changed by
 //! compare-and-swap. A shard's change from epoch `e` to `e + 1` is: write the
 //! new assignment; seal `e` at a majority of its witnesses; take the union of
@@ -16,19 +20,19 @@
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Shards of the claims.
+/// Shards of the claims. Chosen, not measured.
 pub const SHARDS: usize = 16;
 
 /// The shard whose witnesses also hold the newest accepted configuration.
 pub const CONFIGURATION_SHARD: usize = 0;
 
-/// Witnesses of a shard.
+/// Witnesses of a shard: one may be lost without stopping it. Chosen.
 pub const WITNESSES: usize = 3;
 
-/// How long a shard waits before it starts empty.
+/// How long a shard waits before it starts empty: no request that held a claim in it lives any more.
 pub const RESTART_WAIT: Microseconds = crate::claims::LONGEST_REQUEST;
 
-/// One life of a daemon in the part of a witness.
+/// One incarnation of a daemon as a witness.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
@@ -53,7 +57,7 @@
 pub struct ShardRoster {
     /// Who witnesses now, or will once installed.
     pub current: Assignment,
-    /// Whom to seal first: the last confirmed assignment and the unconfirmed ones after it.
+    /// Assignments to seal first: the last confirmed one and the unconfirmed ones after it.
     pub previous: Vec<Assignment>,
 }
 
@@ -183,7 +187,7 @@
 }
 
 impl LossWaits {
-    /// Notes that the assignment of `shard` in `epoch` is over with a loss; true when that is news.
+    /// Records that the assignment of `shard` in `epoch` is over with a loss; true when that was not known.
     pub fn note(&mut self, shard: usize, epoch: Epoch, now: Instant) -> bool {
         match self.known_since.entry((shard, epoch)) {
             Entry::Occupied(_) => false,
--- a/crates/seamhatch-core/src/running_quantile.rs
+++ b/crates/seamhatch-core/src/running_quantile.rs
@@ -2,11 +2,11 @@
 
 use crate::clock::Microseconds;
 
-/// Part of itself by which the estimate of a median moves with each sample, so that it has halved or doubled
-/// after some fifteen that all lie on one side.
+/// Part of itself by which the estimate of a median moves with each sample: it has halved or doubled after some fifteen
+/// samples that all lie on one side. Chosen, not measured.
 const STEP: f64 = 0.05;
 
-/// The time below which this share of a stream of times lately lay.
+/// The time below which this share of the recent samples lay.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RunningQuantile {
     share: f64,
@@ -20,13 +20,13 @@
         Self { share, estimate: (sample as f64).max(1.0) }
     }
 
-    /// The estimate.
+    /// The estimate, in microseconds.
     #[must_use]
     pub fn value(self) -> Microseconds {
         self.estimate as Microseconds
     }
 
-    /// Takes in a sample. It is never passed, so that equal samples are met exactly.
+    /// Records a sample. The estimate moves towards it and never beyond, so that equal samples are met exactly.
     pub fn observe(&mut self, sample: Microseconds) {
         let lowest = self.estimate * (1.0 - 2.0 * STEP * (1.0 - self.share));
         let highest = self.estimate * (1.0 + 2.0 * STEP * self.share);
