--- a/crates/seamhatch-core/src/freshness.rs
+++ b/crates/seamhatch-core/src/freshness.rs
@@ -1,21 +1,21 @@
-//! Proof that the configuration held here was the newest at some instant.
+//! Freshness: proof that the configuration held here was the newest a short time ago.
 //!
-//! A daemon that is cut off, was frozen or has just started can't know from silence that nothing has changed. What
-//! must not be done by an old configuration, as running a request with a key that was taken away, is done only
-//! while a *proof* is young enough: that at an instant not long ago, no configuration newer than the one held
-//! here had been accepted. These prove an instant:
+//! Decides whether a daemon may act by a tenant's key. A daemon that is cut off, was frozen or has just started can't know
+//! from silence that nothing has changed. What must not be done by an old configuration, such as running a request with a
+//! revoked key, is done only while a *freshness proof* is young enough: that at a recent instant no configuration newer than
+//! the one held here had been accepted. These prove an instant:
 //!
-//! - An answered, linearizable read of the store: the instant at which it was *sent*. When the answer was made or
-//!   arrived says nothing, as it may have been on its way for any time.
+//! - An answered, linearizable read of the store: the instant at which it was *sent*. When the answer was made or arrived
+//!   shows nothing, as it may have been on its way for any time.
 //! - Another daemon's proof: the instant that it proves, translated into the local clock so that it errs early.
 //!
 //! A watch that hangs proves nothing, nor does a read that may be stale, nor a message by itself.
 //!
-//! A proof names a generation: at `at`, nothing newer than it had been accepted. It counts here once that
-//! generation or a newer one is in force. What is in force only moves forward, so that a proof never ceases to
-//! be true.
+//! A proof names a generation: at `at`, nothing newer than it had been accepted. It counts here once that generation or a
+//! newer one is in force. What is in force only moves forward, so a proof never becomes false. Alternatives:
+//! docs/DESIGN.md#tenants. The daemon's part is `seamhatchd::limits::freshness`.
 
-use crate::clock::{Instant, Microseconds};
+use crate::clock::{Instant, MILLISECOND, Microseconds};
 use crate::generation::Generation;
 use speedy::{Readable, Writable};
 
@@ -24,11 +24,15 @@
 pub struct FreshnessProof {
     /// The newest generation at that instant, or an older one that then was the newest.
     pub generation: Generation,
-    /// The instant, in the boot clock of whoever holds the proof.
+    /// The instant, in the boot clock of the daemon that holds the proof.
     pub at: Instant,
 }
 
-/// The youngest proof that a daemon has for the configuration that it goes by.
+/// A proof counts for this much less than the operator's bound, as the boot clocks of two machines may run at rates that
+/// differ a little. Chosen, not measured.
+const CLOCK_MARGIN: Microseconds = 100 * MILLISECOND;
+
+/// The youngest proof that a daemon has for the configuration in force there.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct FreshnessTracker {
     in_force: Generation,
@@ -38,7 +42,7 @@
 }
 
 impl FreshnessTracker {
-    /// Takes in that a generation is in force here.
+    /// Records that a generation is in force here.
     pub fn set_in_force(&mut self, generation: Generation) {
         self.in_force = self.in_force.max(generation);
         if let Some(proof) = self.awaited.take() {
@@ -46,7 +50,7 @@
         }
     }
 
-    /// Takes in a proof in the local clock.
+    /// Records a proof in the local clock.
     pub fn prove(&mut self, proof: FreshnessProof) {
         if proof.generation <= self.in_force {
             self.proved_at = self.proved_at.max(Some(proof.at));
@@ -61,7 +65,13 @@
         self.proved_at.map(|at| FreshnessProof { generation: self.in_force, at })
     }
 
-    /// For how long nothing is known of changes; none before the first proof.
+    /// Whether the youngest proof is young enough at `now` for an operator who allows `bound` microseconds.
+    #[must_use]
+    pub fn is_proved(&self, bound: Microseconds, now: Instant) -> bool {
+        self.age(now).is_some_and(|age| age <= bound.saturating_sub(CLOCK_MARGIN))
+    }
+
+    /// For how long nothing is known of changes, in microseconds; none before the first proof.
     #[must_use]
     pub fn age(&self, now: Instant) -> Option<Microseconds> {
         self.proved_at.map(|at| now.since(at))
--- a/crates/seamhatch-core/tests/freshness.rs
+++ b/crates/seamhatch-core/tests/freshness.rs
@@ -79,3 +79,15 @@
         assert_eq!(tracker.age(Instant(30)), case.proved.map(|(_, at)| 30 - at), "{}", case.name);
     }
 }
+
+/// A proof's age against the operator's bound, less the margin of the clocks.
+#[test]
+fn a_proof_counts_until_shortly_before_the_bound() {
+    let bound = 5_000_000;
+    let mut tracker = FreshnessTracker::default();
+    assert!(!tracker.is_proved(bound, Instant(0)), "no proof yet");
+    tracker.prove(FreshnessProof { generation: Generation(0), at: Instant(1_000_000) });
+    for (age, counts) in [(0, true), (4_900_000, true), (4_900_001, false), (5_000_000, false)] {
+        assert_eq!(tracker.is_proved(bound, Instant(1_000_000 + age)), counts, "{age}");
+    }
+}
--- a/crates/seamhatchd/src/limits/freshness.rs
+++ b/crates/seamhatchd/src/limits/freshness.rs
@@ -1,22 +1,22 @@
-//! Whether this daemon may go by its configuration where an old one would do harm.
+//! Whether this daemon may act by its configuration where an old one would do harm.
+//!
+//! Locks [`seamhatch_core::freshness::FreshnessTracker`], which decides. The control thread and the links write proofs; the request
+//! path asks before it acts by a tenant's key.
 
 use crate::base::clock;
 use crate::base::lock::lock;
 use seamhatch_core::Instant;
-use seamhatch_core::clock::{MILLISECOND, Microseconds};
+use seamhatch_core::clock::Microseconds;
 use seamhatch_core::freshness::{FreshnessProof, FreshnessTracker};
 use seamhatch_core::generation::Generation;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
-/// A proof counts for this much less than the operator's bound, as the boot clocks of two machines may run at
-/// rates that differ a little.
-const CLOCK_MARGIN: Microseconds = 100 * MILLISECOND;
-
-/// What this daemon can prove of its configuration, and how young the proof has to be.
+/// What this daemon can prove of its configuration, and how old the proof may be.
 #[derive(Debug)]
 pub struct Freshness {
+    /// How old a proof may be; none where no proof is needed.
     bound: Option<Microseconds>,
     tracker: Mutex<FreshnessTracker>,
     /// Whether the configuration has tenants, so that anything depends on the proof.
@@ -29,29 +29,29 @@
     /// No proof yet; one older than `bound` does not count. Without a bound none is needed.
     #[must_use]
     pub fn new(bound: Option<Duration>) -> Self {
-        let bound = bound.map(|bound| (bound.as_micros() as Microseconds).saturating_sub(CLOCK_MARGIN));
+        let bound = bound.map(|bound| bound.as_micros() as Microseconds);
         Self { bound, tracker: Mutex::default(), needed: AtomicBool::new(false), rank: AtomicUsize::new(0) }
     }
 
-    /// Takes in the configuration in force.
+    /// Records the configuration in force.
     pub fn set_in_force(&self, generation: Generation, has_tenants: bool) {
         self.lock().set_in_force(generation);
         self.needed.store(has_tenants, Ordering::Relaxed);
     }
 
-    /// Takes in a proof in the local boot clock.
+    /// Records a proof in the local boot clock.
     pub fn prove(&self, proof: FreshnessProof) {
         self.lock().prove(proof);
     }
 
-    /// Whether the keys of the configuration may be gone by.
+    /// Whether requests may run by the keys of the configuration.
     #[must_use]
     pub fn is_proved(&self) -> bool {
         let Some(bound) = self.bound else { return true };
-        self.lock().age(clock::now()).is_some_and(|age| age <= bound)
+        self.lock().is_proved(bound, clock::now())
     }
 
-    /// What other daemons are told; nothing while nothing depends on it.
+    /// The proof for other daemons; none while nothing depends on it.
     #[must_use]
     pub fn proof(&self) -> Option<FreshnessProof> {
         self.lock().proof().filter(|_| self.is_needed())
@@ -63,7 +63,7 @@
         self.bound.is_some() && self.needed.load(Ordering::Relaxed)
     }
 
-    /// How old the proof is; none without one.
+    /// How old the proof is, in microseconds; none without one.
     #[must_use]
     pub fn age(&self, now: Instant) -> Option<Microseconds> {
         self.lock().age(now)
