--- a/crates/seamhatchd/src/server/gate.rs
+++ b/crates/seamhatchd/src/server/gate.rs
@@ -1,4 +1,7 @@
-//! The admission queue as the traffic threads use it: a call awaits its slot.
+//! The gate of the back end: where a call waits for its slot.
+//!
+//! Locks [`seamhatch_core::admission::AdmissionQueue`], which decides, and owns the channels on which waiting calls get its
+//! verdicts. Each call to the back end holds a [`Permit`]; the control thread calls [`AdmissionGate::tick`].
 
 use crate::base::clock;
 use crate::base::lock::lock;
@@ -18,7 +21,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::oneshot;
 
-/// What a call tells when it asks for a slot.
+/// A call that asks for a slot.
 #[derive(Debug, Clone, Copy)]
 pub struct GateRequest {
     /// Its request, for logs.
@@ -29,7 +32,7 @@
     pub root_admitted: Instant,
     /// When the call becomes useless.
     pub expiry: Instant,
-    /// Until when its answer is early.
+    /// Until when its answer is early; [`Instant::NEVER`] for a call without an objective.
     pub objective_end: Instant,
     /// Which calls' service times may be compared with its own.
     pub kind: CallKind,
@@ -39,20 +42,20 @@
 struct State {
     queue: AdmissionQueue,
     waiters: HashMap<Ticket, oneshot::Sender<Result<(), Reason>>>,
-    /// Slots worth using, as logged last.
+    /// Slots worth using, as last logged.
     logged_slots: u32,
 }
 
 impl State {
-    /// Tells a call that left the queue why.
+    /// Refuses a call that was removed from the queue.
     fn refuse_waiting(&mut self, ticket: Ticket, reason: Reason) {
         if let Some(waiter) = self.waiters.remove(&ticket) {
-            // The call may have gone away by itself.
+            // Fails where the call has gone away by itself: then nobody needs the verdict.
             let _ = waiter.send(Err(reason));
         }
     }
 
-    /// Logs how many slots are worth using, where that has changed.
+    /// Logs how many slots are worth using, when that has changed.
     fn log_slots(&mut self) {
         let slots = self.queue.worthwhile_slots();
         if slots != self.logged_slots {
@@ -84,14 +87,14 @@
         self.succeeded = true;
     }
 
-    /// Takes in what the back end says of its load beside the call's answer.
+    /// Records the load that the back end reports beside the call's answer.
     pub fn note_load(&self, load: BackEndLoad) {
         let mut state = self.gate.lock();
         state.queue.note_back_end_load(load, clock::now());
         self.gate.pump(&mut state);
     }
 
-    /// The call has made calls of its own, so that its service time tells of other back ends too.
+    /// The call has made calls of its own, so that its service time depends on other back ends too.
     pub fn mark_calls_made(&mut self) {
         self.gate.lock().queue.makes_calls(self.ticket);
     }
@@ -103,8 +106,8 @@
     }
 }
 
-/// Takes a waiting call out of the queue when its future is dropped. Where the
-/// slot was granted at that very moment, it is given back.
+/// Removes a waiting call from the queue when its future is dropped. A slot that was granted at that very moment is given
+/// back.
 struct WaitGuard<'a> {
     gate: &'a AdmissionGate,
     ticket: Ticket,
@@ -180,14 +183,14 @@
         self.lock().queue.set_queue_per_slot(queue_per_slot);
     }
 
-    /// Takes over what an instance of the back end tells of its slots. More calls may run at once now.
+    /// Adopts what an instance of the back end reports of its slots. More calls may run at once now.
     pub fn set_slots(&self, slots: u32, initial_slots: u32) {
         let mut state = self.lock();
         state.queue.set_slots(slots, initial_slots);
         self.pump(&mut state);
     }
 
-    /// Refuses all calls that wait, as the back end takes no more work.
+    /// Refuses all waiting calls, as the back end takes no more.
     pub fn close(&self) {
         let mut state = self.lock();
         for ticket in state.queue.close() {
@@ -195,7 +198,7 @@
         }
     }
 
-    /// The state that is told to other daemons.
+    /// The state that is reported to other daemons.
     #[must_use]
     pub fn report(&self) -> ServerReport {
         let state = self.lock();
@@ -206,21 +209,20 @@
         }
     }
 
-    /// How long a refused caller should stay away, before jitter.
+    /// When a refused caller should return, in microseconds before jitter.
     #[must_use]
     pub fn retry_after(&self) -> Microseconds {
         self.lock().queue.retry_after()
     }
 
-    /// Calls that run or wait, those whose answer seems to be lost included.
+    /// Calls that run or wait, those included whose answer seems to be lost.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         let state = self.lock();
         state.queue.running() + state.queue.lost() + state.queue.waiting()
     }
 
-    /// Refuses the calls that wait for a turn that comes too late, and moves the admission floor; to be called
-    /// every 100 ms.
+    /// Refuses the calls that wait for a turn that comes too late, and moves the admission floor; to be called every 100 ms.
     pub fn tick(&self) {
         let mut state = self.lock();
         for ticket in state.queue.give_up_late(clock::now()) {
