--- a/crates/seamhatch-core/src/claims.rs
+++ b/crates/seamhatch-core/src/claims.rs
@@ -9,7 +9,7 @@
 
 use crate::clock::{Instant, Microseconds, SECOND};
 use crate::identity::{Address, Fingerprint, Incarnation};
-use serde::{Deserialize, Serialize};
+use crate::wire_number::wire_number;
 use speedy::{Readable, Writable};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr};
@@ -20,11 +20,10 @@
 /// How long a witness remembers a claim: longer than a request lives, with room for its repeats. The factor is chosen.
 pub const CLAIM_MEMORY: Microseconds = 4 * LONGEST_REQUEST;
 
-/// A digest of an idempotency key.
-#[derive(
-    Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
-)]
-pub struct ClaimKey(pub u128);
+wire_number! {
+    /// A digest of an idempotency key.
+    pub struct ClaimKey(pub u128);
+}
 
 impl ClaimKey {
     /// The key of a text, within one service.
@@ -41,23 +40,11 @@
     }
 }
 
-/// The roster epoch of one shard; witnesses of different epochs never grant at once.
-#[derive(
-    Debug,
-    Clone,
-    Copy,
-    PartialEq,
-    Eq,
-    PartialOrd,
-    Ord,
-    Hash,
-    Default,
-    Readable,
-    Writable,
-    Serialize,
-    Deserialize,
-)]
-pub struct Epoch(pub u64);
+wire_number! {
+    /// The roster epoch of one shard; witnesses of different epochs never grant at once.
+    #[derive(Default)]
+    pub struct Epoch(pub u64);
+}
 
 impl Epoch {
     /// The epoch after this one.
--- a/crates/seamhatch-core/src/clock.rs
+++ b/crates/seamhatch-core/src/clock.rs
@@ -3,8 +3,7 @@
 //! A deadline crosses machines as an instant of the receiver's clock that errs early: a relative time-out would start again
 //! when a frozen daemon wakes. Alternatives: docs/DESIGN.md#deadlines.
 
-use serde::{Deserialize, Serialize};
-use speedy::{Readable, Writable};
+use crate::wire_number::wire_number;
 
 /// A span of time in microseconds.
 pub type Microseconds = u64;
@@ -15,25 +14,13 @@
 /// Microseconds in a millisecond.
 pub const MILLISECOND: Microseconds = 1_000;
 
-/// A point in time: microseconds of the local machine's boot clock.
-///
-/// Two machines' instants can't be compared; see [`PeerClock`].
-#[derive(
-    Debug,
-    Clone,
-    Copy,
-    PartialEq,
-    Eq,
-    PartialOrd,
-    Ord,
-    Hash,
-    Default,
-    Readable,
-    Writable,
-    Serialize,
-    Deserialize,
-)]
-pub struct Instant(pub Microseconds);
+wire_number! {
+    /// A point in time: microseconds of the local machine's boot clock.
+    ///
+    /// Two machines' instants can't be compared; see [`PeerClock`].
+    #[derive(Default)]
+    pub struct Instant(pub Microseconds);
+}
 
 impl Instant {
     /// Later than any instant that is reached.
--- a/crates/seamhatch-core/src/crashes/mod.rs
+++ b/crates/seamhatch-core/src/crashes/mod.rs
@@ -22,14 +22,12 @@
 
 use crate::identity::{Incarnation, RequestDigest};
 use crate::instance::InstanceId;
-use serde::{Deserialize, Serialize};
-use speedy::{Readable, Writable};
+use crate::wire_number::wire_number;
 
-/// Names one instance of a server, the same at all daemons. It ends in one crash at most.
-#[derive(
-    Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
-)]
-pub struct InstanceDigest(pub u64);
+wire_number! {
+    /// Names one instance of a server, the same at all daemons. It ends in one crash at most.
+    pub struct InstanceDigest(pub u64);
+}
 
 impl InstanceDigest {
     /// The instance of a server that registers.
--- a/crates/seamhatch-core/src/generation.rs
+++ b/crates/seamhatch-core/src/generation.rs
@@ -6,26 +6,15 @@
 //! within seconds and never reverts to an older one. Alternatives: docs/DESIGN.md#configuration.
 
 use crate::identity::Fingerprint;
+use crate::wire_number::wire_number;
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
 
-/// A version of the configuration. Zero is no configuration.
-#[derive(
-    Debug,
-    Clone,
-    Copy,
-    PartialEq,
-    Eq,
-    PartialOrd,
-    Ord,
-    Hash,
-    Default,
-    Readable,
-    Writable,
-    Serialize,
-    Deserialize,
-)]
-pub struct Generation(pub u64);
+wire_number! {
+    /// A version of the configuration. Zero is no configuration.
+    #[derive(Default)]
+    pub struct Generation(pub u64);
+}
 
 impl Generation {
     /// The generation after this one.
@@ -35,11 +24,10 @@
     }
 }
 
-/// Identifies one submission of one submitter, so that a lost answer can be resolved by reading.
-#[derive(
-    Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
-)]
-pub struct SubmissionId(pub u64);
+wire_number! {
+    /// Identifies one submission of one submitter, so that a lost answer can be resolved by reading.
+    pub struct SubmissionId(pub u64);
+}
 
 /// A generation with what tells its content apart.
 #[derive(
--- a/crates/seamhatch-core/src/identity.rs
+++ b/crates/seamhatch-core/src/identity.rs
@@ -1,5 +1,6 @@
 //! Names of requests, calls and processes.
 
+use crate::wire_number::wire_number;
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
 use std::fmt;
@@ -7,11 +8,10 @@
 use std::str::FromStr;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Identifies one request from outside, over its whole chain of calls.
-#[derive(
-    Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
-)]
-pub struct RootId(pub u128);
+wire_number! {
+    /// Identifies one request from outside, over its whole chain of calls.
+    pub struct RootId(pub u128);
+}
 
 impl fmt::Display for RootId {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -19,29 +19,16 @@
     }
 }
 
-/// Identifies one dispatch of a call, unique within the sending daemon's incarnation.
-#[derive(
-    Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
-)]
-pub struct CallId(pub u64);
+wire_number! {
+    /// Identifies one dispatch of a call, unique within the sending daemon's incarnation.
+    pub struct CallId(pub u64);
+}
 
-/// One run of a daemon process; a restart gives a larger one.
-#[derive(
-    Debug,
-    Clone,
-    Copy,
-    PartialEq,
-    Eq,
-    PartialOrd,
-    Ord,
-    Hash,
-    Default,
-    Readable,
-    Writable,
-    Serialize,
-    Deserialize,
-)]
-pub struct Incarnation(pub u64);
+wire_number! {
+    /// One run of a daemon process; a restart gives a larger one.
+    #[derive(Default)]
+    pub struct Incarnation(pub u64);
+}
 
 impl fmt::Display for Incarnation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -49,11 +36,10 @@
     }
 }
 
-/// A 64-bit digest of call content, used to recognise a repeat of the same call.
-#[derive(
-    Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
-)]
-pub struct Fingerprint(pub u64);
+wire_number! {
+    /// A 64-bit digest of call content, used to recognise a repeat of the same call.
+    pub struct Fingerprint(pub u64);
+}
 
 impl Fingerprint {
     /// Digests the parts in order; the length of each part is part of the digest.
@@ -68,11 +54,10 @@
     }
 }
 
-/// Names what is asked, the same at every daemon: equal for two requests with the same caller, target and body.
-#[derive(
-    Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
-)]
-pub struct RequestDigest(pub u64);
+wire_number! {
+    /// Names what is asked, the same at every daemon: equal for two requests with the same caller, target and body.
+    pub struct RequestDigest(pub u64);
+}
 
 impl RequestDigest {
     /// Digests the parts in order, each with its length. Allocates nothing.
--- a/crates/seamhatch-core/src/lib.rs
+++ b/crates/seamhatch-core/src/lib.rs
@@ -54,5 +54,6 @@
 pub mod roster;
 pub mod running_quantile;
 pub mod service_floor;
+mod wire_number;
 
 pub use clock::{Instant, Microseconds};
