--- a/crates/seamhatch-core/src/membership/mod.rs
+++ b/crates/seamhatch-core/src/membership/mod.rs
@@ -8,14 +8,16 @@
 mod exchange;
 mod merging;
 mod message;
+mod policy;
 mod probing;
 mod record;
+mod spreading;
 
 pub use message::{GossipBody, GossipMessage, NEWS_PER_MESSAGE, SUSPECTS_PER_MESSAGE};
+pub use policy::MembershipPolicy;
 pub use record::{Lifecycle, Liveness, MemberInfo, MemberRecord};
 
-use crate::clock::{Instant, MILLISECOND, Microseconds, SECOND};
-use crate::crashes::SuspectReport;
+use crate::clock::{Instant, Microseconds, SECOND};
 use crate::generation::Generation;
 use crate::identity::{Address, Incarnation};
 use std::collections::BTreeMap;
@@ -25,41 +27,6 @@
 /// Time between two exchanges in that time. Chosen, not measured.
 const EARLY_SYNC_INTERVAL: Microseconds = SECOND;
 
-/// In deployments with fewer members every suspect is reported to all. Chosen: some 50 suspects are eight datagrams to each
-/// member, and more at once would not fit into the buffer of a socket.
-const MEMBERS_TOLD_ALL: usize = 32;
-
-/// Time and size settings of the protocol.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct MembershipPolicy {
-    /// One probe in this time.
-    pub probe_interval: Microseconds,
-    /// Wait for a direct answer before others are asked to probe.
-    pub probe_timeout: Microseconds,
-    /// Others that are asked to probe.
-    pub indirect_probes: usize,
-    /// How long a suspect may refute the suspicion.
-    pub suspicion: Microseconds,
-    /// One exchange of whole lists in this time, when digests differ.
-    pub sync_interval: Microseconds,
-    /// How long a dead or left member is remembered.
-    pub tombstone: Microseconds,
-}
-
-impl Default for MembershipPolicy {
-    fn default() -> Self {
-        // All chosen, not measured.
-        Self {
-            probe_interval: SECOND,
-            probe_timeout: 300 * MILLISECOND,
-            indirect_probes: 3,
-            suspicion: 3 * SECOND,
-            sync_interval: 10 * SECOND,
-            tombstone: 7_200 * SECOND,
-        }
-    }
-}
-
 #[derive(Debug, Clone)]
 struct Member {
     record: MemberRecord,
@@ -215,14 +182,6 @@
         self.speak_up();
     }
 
-    /// Offers this daemon's record and list to `targets` at once, as a starting daemon does.
-    #[must_use]
-    pub fn greet(&self, targets: &[Address]) -> Vec<Outgoing> {
-        let request = GossipBody::SyncRequest { digest: self.digest() };
-        let others = targets.iter().filter(|target| **target != self.me.info.gossip);
-        others.map(|target| (*target, self.message_with(request.clone(), vec![self.me.clone()]))).collect()
-    }
-
     /// Records that the member at `address` leaves, by the platform's list of machines or by an operator.
     pub fn mark_leaving(&mut self, address: Address) {
         let transmissions = self.transmissions();
@@ -238,47 +197,6 @@
         }
     }
 
-    /// Messages with this daemon's record for all live members, for a change that should not wait (a drain).
-    pub fn announce(&mut self) -> Vec<Outgoing> {
-        let targets: Vec<Address> = self.live_addresses();
-        targets
-            .into_iter()
-            .map(|target| (target, self.message_with(GossipBody::News, vec![self.me.clone()])))
-            .collect()
-    }
-
-    /// Messages that report suspects to `targets`.
-    #[must_use]
-    pub fn tell_suspects(&self, targets: &[Address], reports: &[SuspectReport]) -> Vec<Outgoing> {
-        let mut outgoing = Vec::new();
-        for page in reports.chunks(SUSPECTS_PER_MESSAGE) {
-            let message = self.message_with(GossipBody::Suspects(page.to_vec()), Vec::new());
-            outgoing.extend(targets.iter().map(|target| (*target, message.clone())));
-        }
-        outgoing
-    }
-
-    /// Messages that report suspects to the members that need them.
-    ///
-    /// A crash leaves dozens of suspects, nearly all by accident. The daemons beside the servers of the service have to know of
-    /// these, as the next crash may happen there; the others are told too where there are few. A suspect of two crashes is rare
-    /// and reported to all.
-    #[must_use]
-    pub fn spread_suspects(&self, reports: &[SuspectReport]) -> Vec<Outgoing> {
-        let all = self.live_addresses();
-        let (repeated, single): (Vec<_>, Vec<_>) =
-            reports.iter().cloned().partition(|report| report.record.crashes() > 1);
-        let mut outgoing = self.tell_suspects(&all, &repeated);
-        let targets = if all.len() < MEMBERS_TOLD_ALL { all } else { self.live_of_own_service() };
-        outgoing.extend(self.tell_suspects(&targets, &single));
-        outgoing
-    }
-
-    fn live_of_own_service(&self) -> Vec<Address> {
-        let own = |record: &&MemberRecord| record.is_live() && record.info.service == self.me.info.service;
-        self.others().filter(own).map(|record| record.info.gossip).collect()
-    }
-
     /// Advances to `now`; to be called several times in a probe timeout. Returns what to send.
     pub fn tick(&mut self, now: Instant, mut random: impl FnMut(usize) -> usize) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
