--- a/crates/seamhatch-core/src/membership/mod.rs
+++ b/crates/seamhatch-core/src/membership/mod.rs
@@ -26,6 +26,10 @@
 const SETTLING_TIME: Microseconds = 20 * SECOND;
 /// Time between two exchanges in that time. Chosen, not measured.
 const EARLY_SYNC_INTERVAL: Microseconds = SECOND;
+/// How long the answer to a probe for another member is waited for. Chosen, not measured.
+const RELAY_LIFETIME: Microseconds = SECOND;
+/// Times that a news record is sent on, for each doubling of the number of members. Chosen, not measured.
+const TRANSMISSIONS_PER_DOUBLING: u32 = 4;
 
 #[derive(Debug, Clone)]
 struct Member {
@@ -201,7 +205,7 @@
     pub fn tick(&mut self, now: Instant, mut random: impl FnMut(usize) -> usize) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         self.age_members(now);
-        self.relays.retain(|_, relay| now.since(relay.sent) < SECOND);
+        self.relays.retain(|_, relay| now.since(relay.sent) < RELAY_LIFETIME);
         self.follow_probe(now, &mut random, &mut outgoing);
         if now >= self.next_probe {
             self.next_probe = now.plus(self.policy.probe_interval);
@@ -265,7 +269,7 @@
 
     fn transmissions(&self) -> u32 {
         let members = self.members.len() as u32 + 2;
-        4 * (u32::BITS - members.leading_zeros())
+        TRANSMISSIONS_PER_DOUBLING * (u32::BITS - members.leading_zeros())
     }
 
     fn live_addresses(&self) -> Vec<Address> {
