--- a/crates/seamhatch-core/src/admission/knee/mod.rs
+++ b/crates/seamhatch-core/src/admission/knee/mod.rs
@@ -1,56 +1,66 @@
 //! How many of a back end's slots are worth using.
 //!
-//! Some back ends slow down when nearly all of their slots are taken, so that the last slots cost more
-//! than they bring. Where that knee lies is found by trial on the back end itself: two levels of
-//! concurrency are used in turn, and the service times of calls that began at the one and at the other
-//! are compared. Drift (a cold start, a changing mix, a slow machine) meets both alike.
+//! Decides the concurrency limit up to which a back end finishes more calls with each slot. Some back ends slow down when
+//! nearly all of their slots are taken, so that the last ones cost more than they bring (37 ms a call with 13 of 20 slots
+//! taken, 44 to 46 ms with 20). The input is the service times of calls that make no further calls, in microseconds: a slow
+//! service below says nothing about this back end.
+//!
+//! Where that knee lies is found by probes on the live back end: two limits are used in turn, and the service times
+//! of the calls that began at each are compared. Drift (a cold start, a changing mix, a slow machine) affects both alike.
+//! Five days with trouble earned 0.522 of their worth on average with it, 0.495 without. Alternatives:
+//! docs/DESIGN.md#slots-worth-using.
 
 mod comparison;
-mod trial;
+mod probe;
 
-pub use trial::TrialMark;
+pub use probe::ProbeMark;
 
 use crate::clock::{Instant, Microseconds, SECOND};
-use trial::{Arm, Trial};
+use probe::{Arm, LimitProbe};
 
 /// Calls of one kind do alike work, so that their service times may be compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct CallKind(pub u32);
 
-/// Parts of the slots by which two levels differ at least.
+/// Parts of the slots by which two limits differ at least. Chosen, not measured.
 const STEPS: u32 = 20;
-/// Distances of the trials of each round below the level in use, in steps.
+
+/// Distances of the probes of each round below the limit in use, in steps. Chosen, not measured.
 const NEAR: [u32; 2] = [1, 2];
-/// Greater distances, one a round: a far knee doesn't show one step down, and looking for it costs most.
+
+/// Greater distances, one a round: a far knee doesn't show one step down, and looking for it costs most. Chosen, not
+/// measured.
 const FAR: [u32; 3] = [7, 5, 3];
-/// Slots below which nothing is tried: one slot fewer would be too much of the whole.
+
+/// Slots below which nothing is probed: one slot fewer would be too much of the whole. Chosen, not measured.
 const FEWEST_SLOTS: u32 = 8;
-/// Share of the slots below which no level is tried.
+
+/// Share of the slots below which no limit is probed. Chosen, not measured.
 const LOWEST_SHARE: f64 = 0.5;
-/// Rest after all levels around the one in use were tried; doubled while nothing changes, up to
-/// [`LONGEST_REST`]. A trial of a worse level costs capacity while it lasts (less than a second at a
-/// busy server).
+
+/// Rest after all limits around the one in use were probed; doubled while nothing changes, up to [`LONGEST_REST`]. A probe
+/// of a worse limit costs capacity while it lasts (less than a second at a busy server). Chosen, not measured.
 const FIRST_REST: Microseconds = 2 * SECOND;
-/// Longest rest: a surge lasts seconds, and a knee may move with the back end's load.
+
+/// Longest rest. Chosen, not measured: a surge lasts seconds, and a knee may move with the back end's load.
 const LONGEST_REST: Microseconds = 16 * SECOND;
 
-/// Finds the number of calls at work at which a back end finishes most.
-///
-/// Only the service times of calls that make no further calls are to be told, as a slow service below
-/// says nothing about this one.
+/// Finds the number of concurrent calls at which a back end finishes most.
 #[derive(Debug, Clone)]
 pub struct KneeFinder {
     slots: u32,
+    /// The limit that was found best so far.
     level: u32,
-    trial: Option<Trial>,
-    /// Tells the calls of one trial from those of others.
+    probe: Option<LimitProbe>,
+    /// Tells the calls of one probe from those of others.
     number: u32,
+    /// When the next probe may begin; none where it may at once.
     next: Option<Instant>,
     rest: Microseconds,
-    /// The next trial looks at a higher level.
+    /// The next probe tries a higher limit.
     upward: bool,
-    /// Trials downward in this round.
-    tried: usize,
+    /// Probes downward in this round.
+    downward_probes: usize,
     /// Rounds that have ended.
     rounds: usize,
 }
@@ -62,67 +72,68 @@
         Self {
             slots,
             level: slots,
-            trial: None,
+            probe: None,
             number: 0,
             next: None,
             rest: FIRST_REST,
             upward: false,
-            tried: 0,
+            downward_probes: 0,
             rounds: 0,
         }
     }
 
-    /// Calls that may be at work at present.
+    /// Calls that may run at once at present.
     #[must_use]
     pub fn level(&self) -> u32 {
-        self.trial.as_ref().map_or(self.level, Trial::level)
+        self.probe.as_ref().map_or(self.level, LimitProbe::level)
     }
 
-    /// The level that was found best so far.
+    /// The limit that was found best so far.
     #[must_use]
     pub fn settled(&self) -> u32 {
         self.level
     }
 
-    /// A call begins, and `running` are at work with it. The mark to give back with its service time,
-    /// where the call is part of a trial.
-    pub fn begin(&mut self, running: u32, kind: CallKind, now: Instant) -> Option<TrialMark> {
+    /// A call begins, and `running` run with it. Returns the mark to give back with its service time, where the call is
+    /// part of a probe.
+    pub fn begin(&mut self, running: u32, kind: CallKind, now: Instant) -> Option<ProbeMark> {
         if running < self.level() {
             return None;
         }
-        if self.trial.is_none() && self.next.is_none_or(|next| now >= next) {
-            self.start_trial(now);
+        if self.probe.is_none() && self.next.is_none_or(|next| now >= next) {
+            self.start_probe(now);
         }
         let number = self.number;
-        let trial = self.trial.as_mut()?;
-        if running != trial.level() {
+        let probe = self.probe.as_mut()?;
+        if running != probe.level() {
             return None;
         }
-        let mark = trial.mark(number, kind);
-        if let Some(better) = trial.count_begun() {
+        let mark = probe.mark(number, kind);
+        if let Some(better) = probe.count_begun() {
             self.settle(better, now);
         }
         Some(mark)
     }
 
-    /// A call of a trial has ended.
-    pub fn observe(&mut self, mark: TrialMark, service_time: Microseconds) {
-        if mark.trial == self.number {
-            self.trial.iter_mut().for_each(|trial| trial.observe(mark, service_time));
+    /// A call of a probe has ended.
+    pub fn observe(&mut self, mark: ProbeMark, service_time: Microseconds) {
+        if mark.probe == self.number {
+            self.probe.iter_mut().for_each(|probe| probe.observe(mark, service_time));
         }
     }
 
+    /// Slots of one step.
     fn step(&self) -> u32 {
         self.slots.div_ceil(STEPS)
     }
 
-    /// Steps to the lower level of the next trial downward.
-    fn reach(&self) -> u32 {
-        NEAR.get(self.tried).copied().unwrap_or(FAR[self.rounds % FAR.len()])
+    /// Steps to the lower limit of the next probe downward.
+    fn steps_down(&self) -> u32 {
+        NEAR.get(self.downward_probes).copied().unwrap_or(FAR[self.rounds % FAR.len()])
     }
 
-    /// Compares the level in use, which has the first turn, with another one.
-    fn start_trial(&mut self, now: Instant) {
+    /// Compares the limit in use, which has the first turn, with another one.
+    fn start_probe(&mut self, now: Instant) {
         if self.slots < FEWEST_SLOTS {
             return;
         }
@@ -131,7 +142,7 @@
         let (lower, upper) = if self.upward {
             (self.level, (self.level + self.step()).min(self.slots))
         } else {
-            (self.level.saturating_sub(self.step() * self.reach()).max(lowest), self.level)
+            (self.level.saturating_sub(self.step() * self.steps_down()).max(lowest), self.level)
         };
         if lower >= upper {
             self.settle(self.level, now);
@@ -139,29 +150,29 @@
         }
         self.number = self.number.wrapping_add(1);
         let arm = if lower == self.level { Arm::Lower } else { Arm::Upper };
-        self.trial = Some(Trial::new(lower, upper, arm));
+        self.probe = Some(LimitProbe::new(lower, upper, arm));
     }
 
-    /// Takes the `better` level. Where that is a change, the levels around it are tried at once; else the
-    /// finder goes on to the next level of the round: one step up, then down, farther each time.
+    /// Adopts the `better` limit. Where that is a change, the limits around it are probed at once; else the finder goes on
+    /// to the next one of the round: one step up, then down, farther each time.
     fn settle(&mut self, better: u32, now: Instant) {
-        let told_nothing = self.trial.take().is_some_and(|trial| trial.told_nothing());
+        let had_no_samples = self.probe.take().is_some_and(|probe| probe.has_no_samples());
         self.next = None;
-        if told_nothing {
-            // Calls here make calls of their own; other levels would tell no more.
-            self.tried = NEAR.len();
+        if had_no_samples {
+            // Calls here make calls of their own; other limits would show no more.
+            self.downward_probes = NEAR.len();
         }
         if better != self.level {
             self.upward = better > self.level;
             self.level = better;
-            self.tried = 0;
+            self.downward_probes = 0;
             self.rest = FIRST_REST;
         } else if self.upward {
             self.upward = false;
-        } else if self.tried < NEAR.len() {
-            self.tried += 1;
+        } else if self.downward_probes < NEAR.len() {
+            self.downward_probes += 1;
         } else {
-            self.tried = 0;
+            self.downward_probes = 0;
             self.rounds += 1;
             self.upward = true;
             self.next = Some(now.plus(self.rest));
--- a/crates/seamhatch-core/src/generation.rs
+++ b/crates/seamhatch-core/src/generation.rs
@@ -1,26 +1,20 @@
-//! Versions of the configuration, and the rule that a daemon only moves forward.
+//! Configuration: which version is in force, and whether a submission has been accepted.
+//!
+//! Decides two things. A daemon adopts an offered version only where it is newer ([`judge_offer`]). A submission goes on until
+//! the store holds it or can't hold it any more ([`submission_step`]); inputs are what the store holds and the newest
+//! generation that is known, read for this step. It protects the promise that an accepted configuration is in force everywhere
+//! within seconds and never reverts to an older one. Alternatives: docs/DESIGN.md#configuration.
 
 use crate::identity::Fingerprint;
+use crate::wire_number::wire_number;
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
 
-/// A version of the configuration. Zero is no configuration.
-#[derive(
-    Debug,
-    Clone,
-    Copy,
-    PartialEq,
-    Eq,
-    PartialOrd,
-    Ord,
-    Hash,
-    Default,
-    Readable,
-    Writable,
-    Serialize,
-    Deserialize,
-)]
-pub struct Generation(pub u64);
+wire_number! {
+    /// A version of the configuration. Zero is no configuration.
+    #[derive(Default)]
+    pub struct Generation(pub u64);
+}
 
 impl Generation {
     /// The generation after this one.
@@ -30,11 +24,10 @@
     }
 }
 
-/// Identifies one submission of one submitter, so that a lost answer can be resolved by reading.
-#[derive(
-    Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
-)]
-pub struct SubmissionId(pub u64);
+wire_number! {
+    /// Identifies one submission of one submitter, so that a lost answer can be resolved by reading.
+    pub struct SubmissionId(pub u64);
+}
 
 /// A generation with what tells its content apart.
 #[derive(
@@ -54,7 +47,7 @@
     Adopt,
     /// It is the one in force.
     Same,
-    /// It is older: keep the one in force, and tell the one who offered it.
+    /// It is older: keep the one in force, and send it to the daemon that made the offer.
     Stale,
     /// Same generation, other content: the store went back in time. Keep the one in force.
     Conflict,
--- a/crates/seamhatch-core/src/membership/mod.rs
+++ b/crates/seamhatch-core/src/membership/mod.rs
@@ -1,60 +1,35 @@
-//! Membership: probes, suspicion and gossip after SWIM (A. Das, I. Gupta,
-//! A. Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
-//! Membership Protocol", 2002), with incarnations.
+//! Membership: which daemons there are, and what each reports of itself.
+//!
+//! Decides which members are live, by probes, suspicion and gossip after SWIM (A. Das, I. Gupta, A. Motivala, "SWIM: Scalable
+//! Weakly-consistent Infection-style Process Group Membership Protocol", 2002), with incarnations. Owns the list of members of
+//! one daemon; messages and time are passed in, and what is to be sent is returned. Alternatives: docs/DESIGN.md#membership.
+//! Who calls it: the daemon's control thread.
 
 mod exchange;
 mod merging;
 mod message;
+mod policy;
 mod probing;
 mod record;
+mod spreading;
 
 pub use message::{GossipBody, GossipMessage, NEWS_PER_MESSAGE, SUSPECTS_PER_MESSAGE};
+pub use policy::MembershipPolicy;
 pub use record::{Lifecycle, Liveness, MemberInfo, MemberRecord};
 
-use crate::clock::{Instant, MILLISECOND, Microseconds, SECOND};
-use crate::crashes::SuspectReport;
+use crate::clock::{Instant, Microseconds, SECOND};
 use crate::generation::Generation;
 use crate::identity::{Address, Incarnation};
 use std::collections::BTreeMap;
 
-/// After its start a member exchanges lists more often, for this long.
+/// For how long after its start a member exchanges lists more often. Chosen, not measured.
 const SETTLING_TIME: Microseconds = 20 * SECOND;
-/// Time between two exchanges while settling.
+/// Time between two exchanges in that time. Chosen, not measured.
 const EARLY_SYNC_INTERVAL: Microseconds = SECOND;
-
-/// In deployments of fewer members all are told of everything: some 50 suspects are eight datagrams to each, of which more at
-/// once would not fit into the buffer of a socket.
-const MEMBERS_TOLD_ALL: usize = 32;
-
-/// Time and size settings of the protocol.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct MembershipPolicy {
-    /// One probe in this time.
-    pub probe_interval: Microseconds,
-    /// Wait for a direct answer before others are asked to probe.
-    pub probe_timeout: Microseconds,
-    /// Others that are asked to probe.
-    pub indirect_probes: usize,
-    /// How long a suspect may deny.
-    pub suspicion: Microseconds,
-    /// One exchange of whole lists in this time, when digests differ.
-    pub sync_interval: Microseconds,
-    /// How long a dead or left member is remembered.
-    pub tombstone: Microseconds,
-}
-
-impl Default for MembershipPolicy {
-    fn default() -> Self {
-        Self {
-            probe_interval: SECOND,
-            probe_timeout: 300 * MILLISECOND,
-            indirect_probes: 3,
-            suspicion: 3 * SECOND,
-            sync_interval: 10 * SECOND,
-            tombstone: 7_200 * SECOND,
-        }
-    }
-}
+/// How long the answer to a probe for another member is waited for. Chosen, not measured.
+const RELAY_LIFETIME: Microseconds = SECOND;
+/// Times that a news record is sent on, for each doubling of the number of members. Chosen, not measured.
+const TRANSMISSIONS_PER_DOUBLING: u32 = 4;
 
 #[derive(Debug, Clone)]
 struct Member {
@@ -159,12 +134,12 @@
         1 + self.others().filter(|record| record.is_live()).count()
     }
 
-    /// Sets the generation that every message tells.
+    /// Sets the generation that every message carries.
     pub fn set_generation(&mut self, generation: Generation) {
         self.generation = generation;
     }
 
-    /// Sets the roster version that every message tells.
+    /// Sets the roster version that every message carries.
     pub fn set_roster_version(&mut self, version: u64) {
         self.roster_version = version;
     }
@@ -184,7 +159,7 @@
         }
     }
 
-    /// Changes what this daemon says of itself.
+    /// Changes the lifecycle that this daemon reports.
     pub fn set_lifecycle(&mut self, lifecycle: Lifecycle) {
         if self.me.lifecycle == lifecycle {
             return;
@@ -193,7 +168,7 @@
         self.speak_up();
     }
 
-    /// Changes the slots that this daemon tells of its back end.
+    /// Changes the slots that this daemon reports of its back end.
     pub fn set_slots(&mut self, slots: u32) {
         if self.me.info.slots == slots {
             return;
@@ -202,7 +177,7 @@
         self.speak_up();
     }
 
-    /// Changes the shards of the tenants' limits that this daemon tells to hold.
+    /// Changes the shards of the tenants' limits that this daemon reports to hold.
     pub fn set_quota_shards(&mut self, shards: u64) {
         if self.me.info.quota_shards == shards {
             return;
@@ -211,15 +186,7 @@
         self.speak_up();
     }
 
-    /// Offers this daemon's record and list to `targets` at once, as a starting daemon does.
-    #[must_use]
-    pub fn greet(&self, targets: &[Address]) -> Vec<Outgoing> {
-        let request = GossipBody::SyncRequest { digest: self.digest() };
-        let others = targets.iter().filter(|target| **target != self.me.info.gossip);
-        others.map(|target| (*target, self.message_with(request.clone(), vec![self.me.clone()]))).collect()
-    }
-
-    /// Notes that the member at `address` leaves, by the machine list's or an operator's word.
+    /// Records that the member at `address` leaves, by the platform's list of machines or by an operator.
     pub fn mark_leaving(&mut self, address: Address) {
         let transmissions = self.transmissions();
         if address == self.me.info.gossip {
@@ -234,52 +201,11 @@
         }
     }
 
-    /// Messages that tell everyone at once, for a change that should not wait (a drain).
-    pub fn announce(&mut self) -> Vec<Outgoing> {
-        let targets: Vec<Address> = self.live_addresses();
-        targets
-            .into_iter()
-            .map(|target| (target, self.message_with(GossipBody::News, vec![self.me.clone()])))
-            .collect()
-    }
-
-    /// Messages that tell `targets` what is known of suspects.
-    #[must_use]
-    pub fn tell_suspects(&self, targets: &[Address], reports: &[SuspectReport]) -> Vec<Outgoing> {
-        let mut outgoing = Vec::new();
-        for page in reports.chunks(SUSPECTS_PER_MESSAGE) {
-            let message = self.message_with(GossipBody::Suspects(page.to_vec()), Vec::new());
-            outgoing.extend(targets.iter().map(|target| (*target, message.clone())));
-        }
-        outgoing
-    }
-
-    /// Messages that tell what is known of suspects where it matters.
-    ///
-    /// A crash leaves dozens of suspects, nearly all by accident. Of these the daemons beside the servers of the service have to
-    /// know, where the next crash may happen; all others are told too where they are few. Who was there in two crashes is rare,
-    /// and known to all.
-    #[must_use]
-    pub fn spread_suspects(&self, reports: &[SuspectReport]) -> Vec<Outgoing> {
-        let all = self.live_addresses();
-        let (repeated, single): (Vec<_>, Vec<_>) =
-            reports.iter().cloned().partition(|report| report.record.crashes() > 1);
-        let mut outgoing = self.tell_suspects(&all, &repeated);
-        let targets = if all.len() < MEMBERS_TOLD_ALL { all } else { self.live_of_own_service() };
-        outgoing.extend(self.tell_suspects(&targets, &single));
-        outgoing
-    }
-
-    fn live_of_own_service(&self) -> Vec<Address> {
-        let own = |record: &&MemberRecord| record.is_live() && record.info.service == self.me.info.service;
-        self.others().filter(own).map(|record| record.info.gossip).collect()
-    }
-
-    /// Moves time on; to be called several times in a probe timeout.
+    /// Advances to `now`; to be called several times in a probe timeout. Returns what to send.
     pub fn tick(&mut self, now: Instant, mut random: impl FnMut(usize) -> usize) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         self.age_members(now);
-        self.relays.retain(|_, relay| now.since(relay.sent) < SECOND);
+        self.relays.retain(|_, relay| now.since(relay.sent) < RELAY_LIFETIME);
         self.follow_probe(now, &mut random, &mut outgoing);
         if now >= self.next_probe {
             self.next_probe = now.plus(self.policy.probe_interval);
@@ -291,7 +217,7 @@
         outgoing
     }
 
-    /// Takes in a message and tells what to answer.
+    /// Handles a message. Returns what to send.
     pub fn receive(&mut self, message: GossipMessage, now: Instant) -> Vec<Outgoing> {
         for record in message.news {
             self.merge(record, now);
@@ -343,7 +269,7 @@
 
     fn transmissions(&self) -> u32 {
         let members = self.members.len() as u32 + 2;
-        4 * (u32::BITS - members.leading_zeros())
+        TRANSMISSIONS_PER_DOUBLING * (u32::BITS - members.leading_zeros())
     }
 
     fn live_addresses(&self) -> Vec<Address> {
--- a/crates/seamhatchd/src/dispatch/claiming.rs
+++ b/crates/seamhatchd/src/dispatch/claiming.rs
@@ -1,30 +1,28 @@
-//! Claiming the key of a call that may not be repeated, before anything that may refuse it.
+//! Claiming the key of a call that is not repeatable, before anything that may refuse it.
 
-use super::{CallResult, Dispatcher, call_fingerprint};
+use super::digests::call_fingerprint;
+use super::{CallResult, Dispatcher};
 use crate::base::clock;
-use crate::claims::{self, ClaimRefused, Claimed};
+use crate::claims::{ClaimRefused, Claimed};
 use crate::filters::Rejection;
 use seamhatch_core::claims::ClaimKey;
 use seamhatch_core::identity::Fingerprint;
 use seamhatch_core::outcome::Reason;
 use seamhatch_core::retry::ChildEnd;
 
+/// What the caller of a request with a key of another request is told.
 const MISMATCH_ADVICE: &str = "this idempotency key was used with another request; use a new key";
 
 impl Dispatcher<'_> {
     /// Claims the key of a call that has one.
     ///
     /// # Errors
-    /// What the caller is told instead: the key is another request's, its answer is recorded, or nobody
-    /// can tell.
+    /// The end of the call: the key belongs to another request, an earlier attempt holds it, or no majority answered.
     pub(super) async fn claim(&mut self, body: Fingerprint) -> Result<Option<Claimed>, CallResult> {
         let Some(text) = &self.request.claim_text else { return Ok(None) };
-        // A key that the back end did not set is completed by the body.
-        let text =
-            if text.starts_with("derived") { format!("{text}\n{:016x}", body.0) } else { text.clone() };
-        let key = ClaimKey::of(&self.request.service, &text);
+        let key = ClaimKey::of(&self.request.service, &text.complete(body));
         let content = call_fingerprint(self.request, body);
-        let claiming = claims::claim(self.shared, key, content);
+        let claiming = self.shared.claimant.claim(key, content);
         let claimed = clock::timeout_at(self.parent.expiry, claiming).await;
         let result = claimed.unwrap_or(Err(ClaimRefused::Undecided(Reason::DeadlineExceeded)));
         match result {
@@ -36,17 +34,17 @@
     fn refuse_claim(&mut self, refused: ClaimRefused) -> CallResult {
         match refused {
             ClaimRefused::KeyMismatch => {
-                self.child.finish(ChildEnd::NotRun);
+                self.ledger_entry.finish(ChildEnd::NotRun);
                 CallResult::Rejected(Rejection::not_run(Reason::KeyMismatch, MISMATCH_ADVICE))
             }
             // This attempt was not run, but an earlier one with the same key may have been.
             ClaimRefused::Undecided(reason) => {
-                self.child.finish(ChildEnd::NotRun);
+                self.ledger_entry.finish(ChildEnd::NotRun);
                 CallResult::Rejected(Rejection::unknown(reason, claim_advice(reason)))
             }
             ClaimRefused::Duplicate(Some(answer)) => {
                 let failed = answer.status >= 500;
-                self.child.finish(if failed { ChildEnd::Failed } else { ChildEnd::Succeeded });
+                self.ledger_entry.finish(if failed { ChildEnd::Failed } else { ChildEnd::Succeeded });
                 CallResult::Recorded(answer)
             }
             ClaimRefused::Duplicate(None) => CallResult::Rejected(Rejection::duplicate()),
@@ -54,6 +52,7 @@
     }
 }
 
+/// What the caller is told where nobody knows whether an earlier attempt ran.
 fn claim_advice(reason: Reason) -> &'static str {
     match reason {
         Reason::DeadlineExceeded => "the deadline passed before the key could be claimed",
--- a/crates/seamhatchd/src/filters/idempotency.rs
+++ b/crates/seamhatchd/src/filters/idempotency.rs
@@ -1,16 +1,16 @@
-//! What a call that may not be repeated is claimed by.
+//! The text that a call that is not repeatable is claimed by. The claim itself is made at dispatch.
 
 use crate::base::metrics::BadInput;
 use crate::conventions::headers;
-use crate::filters::{Rejection, RequestFilter, RequestState};
+use crate::filters::{ClaimText, Rejection, RequestFilter, RequestState};
 use crate::shared::Shared;
 use seamhatch_core::outcome::Reason;
 
-/// Longest idempotency key, in bytes.
+/// Longest idempotency key, in bytes. Chosen, not measured.
 const LONGEST_KEY: usize = 256;
 
-/// Takes the caller's idempotency key. It counts within the caller's own
-/// credentials, so that no caller can ask for another's recorded answer.
+/// Reads the caller's idempotency key. It counts within the caller's own credentials, so that no caller can ask for another's
+/// recorded answer.
 ///
 /// A request without a key is dispatched once and needs no claim.
 pub struct CallerKey;
@@ -22,15 +22,16 @@
             let tenant = request.tenant.as_ref().map(|tenant| tenant.name.as_str());
             let credentials = tenant.or_else(|| request.header("authorization")).unwrap_or_default();
             let cookies = request.header("cookie").unwrap_or_default();
-            request.claim_text = Some(format!("caller\n{credentials}\n{cookies}\n{key}"));
+            // Absent fields count as empty ones.
+            let text = format!("caller\n{credentials}\n{cookies}\n{key}");
+            request.claim_text = Some(ClaimText::Key(text));
         }
         Ok(())
     }
 }
 
-/// Claims every call in a chain that may not be repeated: by the back end's own
-/// key where it sets one, else (with the body's digest, added at dispatch) by
-/// its content within the request, so that two runs of a parent make one call.
+/// Has every call in a chain that is not repeatable claimed: by the back end's own key where it sets one, else by its content
+/// within the root request (dispatch adds the digest of the body), so that two runs of a parent make one call.
 pub struct ChainKey;
 
 impl RequestFilter for ChainKey {
@@ -38,8 +39,11 @@
         let key = checked_key(shared, request)?;
         if !request.repeatable {
             request.claim_text = Some(match key {
-                Some(key) => format!("chain\n{key}"),
-                None => format!("derived\n{}\n{}\n{}", request.root, request.method, request.path),
+                Some(key) => ClaimText::Key(format!("chain\n{key}")),
+                None => {
+                    let text = format!("derived\n{}\n{}\n{}", request.root, request.method, request.path);
+                    ClaimText::Content(text)
+                }
             });
         }
         Ok(())
--- a/crates/seamhatchd/src/filters/readiness.rs
+++ b/crates/seamhatchd/src/filters/readiness.rs
@@ -1,12 +1,12 @@
-//! Refuses requests while the daemon is leaving or has no configuration.
+//! Rejects requests while the daemon drains or has no configuration, and pins the configuration that decides a request.
 
 use crate::conventions::headers;
 use crate::filters::{Rejection, RequestFilter, RequestState};
 use crate::shared::Shared;
-use seamhatch_core::clock::{MILLISECOND, Microseconds};
 use seamhatch_core::outcome::Reason;
+use seamhatch_core::return_time::RESTART_RETURN;
 
-/// Refuses at once, so that the caller goes to another daemon.
+/// Rejects at once, so that the caller goes to another daemon.
 pub struct Readiness;
 
 impl RequestFilter for Readiness {
@@ -22,31 +22,28 @@
             return Ok(());
         };
         if request.header(headers::IDEMPOTENCY_KEY).is_some() {
-            // An earlier attempt with this key may have run; this daemon does not find out.
+            // An earlier attempt with this key may have run; this daemon can't find out now.
             return Err(Rejection::unknown(reason, detail));
         }
         Err(Rejection::not_run(reason, detail))
     }
 }
 
-/// Refuses callers that come so late in a planned stop that the end of the process would cut them off.
-/// Some still come, where too few other daemons are near.
+/// Rejects requests that come so late in a planned stop that the end of the process would cut them off. Callers still come then
+/// where too few other daemons are near.
 pub struct BeforeTheEnd;
 
-/// A restarted daemon serves again by then, as one that takes no callers soon has nothing to wait for.
-const RETURN_AFTER: Microseconds = 800 * MILLISECOND;
-
 impl RequestFilter for BeforeTheEnd {
     fn apply(&self, shared: &Shared, request: &mut RequestState) -> Result<(), Rejection> {
         if request.parent.is_some() || !shared.is_too_late_for_callers() {
             return Ok(());
         }
         let detail = "this daemon is about to end; use another one, or come back after Retry-After";
-        Err(Rejection::not_run(Reason::Draining, detail).retry_after(RETURN_AFTER))
+        Err(Rejection::not_run(Reason::Draining, detail).retry_after(RESTART_RETURN))
     }
 }
 
-/// Holds on to the configuration in force, so that one configuration decides the whole request.
+/// Pins the configuration in force, so that one configuration decides the whole request.
 pub struct PinConfiguration;
 
 impl RequestFilter for PinConfiguration {
--- a/crates/seamhatchd/src/filters/request.rs
+++ b/crates/seamhatchd/src/filters/request.rs
@@ -1,4 +1,4 @@
-//! A request on its way through the filters.
+//! A request on its way through the filters, and what they have decided so far.
 
 use crate::base::clock;
 use crate::conventions::CallerTerms;
@@ -6,7 +6,7 @@
 use crate::server::running::RunningCall;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::Microseconds;
-use seamhatch_core::identity::RootId;
+use seamhatch_core::identity::{Fingerprint, RootId};
 use seamhatch_core::outcome::Reason;
 use seamhatch_core::priority::PriorityClass;
 use seamhatch_policy::{Configuration, Tenant};
@@ -24,6 +24,26 @@
     Shared,
 }
 
+/// What a call that is not repeatable is claimed by. All daemons digest the same text, so its form must not change.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum ClaimText {
+    /// An idempotency key, and what it counts within.
+    Key(String),
+    /// The call's content within its root request, where it has no key. The body belongs to it, too.
+    Content(String),
+}
+
+impl ClaimText {
+    /// The whole text, given the digest of the body.
+    #[must_use]
+    pub fn complete(&self, body: Fingerprint) -> String {
+        match self {
+            Self::Key(text) => text.clone(),
+            Self::Content(text) => format!("{text}\n{:016x}", body.0),
+        }
+    }
+}
+
 /// A request without its body, and what the filters have decided so far.
 #[derive(Debug)]
 pub struct RequestState {
@@ -39,27 +59,27 @@
     pub headers: Vec<HeaderField>,
     /// Host that it was sent to, as `host_name` spells it.
     pub host: Option<String>,
-    /// What its caller tells.
+    /// What its caller states by header fields.
     pub terms: CallerTerms,
-    /// The configuration that decides it from its first filter on, whatever comes into force meanwhile.
+    /// The configuration that decides it, whatever comes into force meanwhile.
     pub configuration: Option<Arc<Configuration>>,
-    /// Header fields as its caller sent them, names and values, in bytes.
+    /// Size of the header fields as its caller sent them, names and values, in bytes.
     pub field_bytes: usize,
-    /// Length of its body, when it says so.
+    /// Length of its body in bytes, where the request states it.
     pub body_length: Option<u64>,
     /// Service that it goes to.
     pub service: String,
-    /// Key under which admission floors are learnt, at ingress.
+    /// Kind of the request, under which the entry learns admission floors and answer times.
     pub entry_key: String,
     /// Order of shedding.
     pub class: PriorityClass,
     /// Request it belongs to.
     pub root: RootId,
-    /// The call that caused it; made for a request from outside.
+    /// The call that caused it; for a request from outside, the request itself as its calls' parent.
     pub parent: Option<Arc<RunningCall>>,
     /// Whether its route needs no key.
     pub anonymous: bool,
-    /// Whose key it brought.
+    /// The tenant whose key it brought.
     pub tenant: Option<Arc<Tenant>>,
     /// Whether it may run more than once.
     pub repeatable: bool,
@@ -67,8 +87,8 @@
     pub objective_left: Microseconds,
     /// Time from its arrival in which its answer is early.
     pub objective: Microseconds,
-    /// What its claim is about, for one that may not be repeated.
-    pub claim_text: Option<String>,
+    /// What it is claimed by, where it is not repeatable.
+    pub claim_text: Option<ClaimText>,
 }
 
 impl RequestState {
@@ -109,14 +129,14 @@
         self.configuration.clone().ok_or_else(|| Rejection::not_run(Reason::NotReady, detail))
     }
 
-    /// Takes it for a request of its own, whatever call its name seemed to belong to.
+    /// Makes it a caller's own request, whatever call it named as its parent.
     pub fn stand_alone(&mut self) {
         if self.parent.take().is_some() {
             self.root = RootId(rand::random());
         }
     }
 
-    /// How logs name it: as its caller does, else by its root id.
+    /// How logs name the request: as its caller does, else by its root id.
     #[must_use]
     pub fn log_name(&self) -> String {
         self.terms.name.clone().unwrap_or_else(|| self.root.to_string())
--- a/crates/seamhatchd/src/peer/mod.rs
+++ b/crates/seamhatchd/src/peer/mod.rs
@@ -1,24 +1,32 @@
-//! Connections between daemons: calls, claims and control messages.
+//! Connections that this daemon opens to other daemons, for calls, claims and control requests.
+//!
+//! [`PeerPool`] owns the connections. `handshake` opens a [`PeerConnection`], `upkeep` runs and ends it, `incoming` handles what
+//! comes back, [`CallStream`] is one call on it. `link` (outbox, writer, heartbeats) and [`CreditWindow`] are shared with the
+//! other end, `peer_server`. Of the daemon around it this module sees only its [`LinkHost`].
 
 mod call;
 mod connection;
 mod credit;
-mod link;
+mod handshake;
+mod host;
+mod incoming;
+pub(crate) mod link;
+mod outgoing_calls;
+mod pending_replies;
 mod pool;
-mod server;
-mod server_call;
+mod upkeep;
 mod view;
 
 pub use call::{AnswerBody, AnswerPiece, CallEvent, CallStream};
 pub use connection::PeerConnection;
 pub use credit::CreditWindow;
+pub use host::{LinkHost, LocalState};
 pub use link::{LinkClosed, Outbox, PULSE_INTERVAL};
 pub use pool::{PeerPool, PeerUnreachable};
-pub use server::serve;
 pub use view::PeerView;
 
-/// Bytes of a body that may be on the way before its receiver has asked for more.
+/// Bytes of a body that may be sent before its receiver gives credit. Chosen, not measured.
 pub const BODY_WINDOW: usize = 256 * 1024;
 
-/// Largest piece of a body in one message.
+/// Largest piece of a body in one message, in bytes. Chosen, not measured.
 pub const BODY_PIECE: usize = 32 * 1024;
--- a/crates/seamhatchd/src/peer/view.rs
+++ b/crates/seamhatchd/src/peer/view.rs
@@ -1,16 +1,14 @@
-//! What one daemon knows of another from its messages.
+//! What one daemon knows of a peer from its messages and from how calls to it ended.
+//!
+//! Each connection owns one view; the choice of a server reads a copy.
 
 use crate::base::clock;
 use seamhatch_core::Instant;
-use seamhatch_core::balance::{CallEnd, CandidateStanding, Ejection, SuccessRate};
-use seamhatch_core::clock::{MILLISECOND, Microseconds, PeerClock};
+use seamhatch_core::balance::{self, CallEnd, CandidateStanding, Ejection, SuccessRate};
+use seamhatch_core::clock::PeerClock;
 use seamhatch_core::generation::Generation;
 use seamhatch_wire::{CallIntake, ServerReport};
 
-/// A peer that was silent for this long gets no new calls.
-/// Three heartbeats of a busy peer, with room for one that is late.
-const SILENCE_TO_AVOID: Microseconds = 750 * MILLISECOND;
-
 /// What is known of the peer from its messages.
 #[derive(Debug, Clone)]
 pub struct PeerView {
@@ -22,7 +20,7 @@
     pub generation: Generation,
     /// State of its server; none before the first report.
     pub server: Option<ServerReport>,
-    /// When its process ends, where it is about to.
+    /// When its process ends, while it drains.
     leaves_at: Instant,
     clock: PeerClock,
     ejection: Ejection,
@@ -31,7 +29,7 @@
 }
 
 impl PeerView {
-    /// Of a peer that told its boot clock just now and nothing else.
+    /// A peer of which only the boot clock is known, as of now.
     #[must_use]
     pub fn new(peer_clock: Instant, now: Instant) -> Self {
         let mut clock = PeerClock::default();
@@ -52,11 +50,11 @@
     /// Translates a local instant into the peer's clock, erring early.
     #[must_use]
     pub fn to_peer_clock(&self, instant: Instant) -> Instant {
-        // The first message, which came before this view existed, gave an offset.
+        // The first message set an offset before this view existed.
         self.clock.to_peer(instant).unwrap_or(instant)
     }
 
-    /// Takes in how a call to it ended.
+    /// Records how a call to it ended.
     pub fn record(&mut self, end: CallEnd, now: Instant) {
         self.ejection.record(end, now);
         self.success.record(end, now);
@@ -66,7 +64,7 @@
     /// When it counts as silent, unless it is heard before.
     #[must_use]
     pub fn silent_at(&self) -> Instant {
-        self.last_heard.plus(SILENCE_TO_AVOID)
+        balance::silent_at(self.last_heard)
     }
 
     /// Whether nothing was heard of it for so long that it should get no new calls.
@@ -84,15 +82,10 @@
     /// Whether it is used while other servers are there.
     #[must_use]
     pub fn standing(&self, now: Instant) -> CandidateStanding {
-        match self.intake {
-            _ if self.should_avoid(now) => CandidateStanding::Ejected,
-            CallIntake::Open => CandidateStanding::Usual,
-            CallIntake::FallbackOnly { .. } => CandidateStanding::Leaving(self.leaves_at.since(now)),
-            CallIntake::Closed => CandidateStanding::Ejected,
-        }
+        balance::standing(self.intake, self.should_avoid(now), self.leaves_at, now)
     }
 
-    /// Share of its answers that arrived lately, 0 to 1.
+    /// Share of its answers that arrived recently, 0 to 1.
     #[must_use]
     pub fn success(&self, now: Instant) -> f64 {
         self.success.at(now)
@@ -104,8 +97,8 @@
         self.losses
     }
 
-    /// Takes in a heartbeat.
-    pub(super) fn take_pulse(&mut self, pulse: &seamhatch_wire::Pulse) {
+    /// Records a heartbeat.
+    pub(super) fn apply_pulse(&mut self, pulse: &seamhatch_wire::Pulse) {
         self.clock.observe(pulse.clock, clock::now());
         self.intake = pulse.intake;
         if let CallIntake::FallbackOnly { left } = pulse.intake {
--- /dev/null
+++ b/crates/seamhatchd/src/peer_server/call/refusal.rs
@@ -0,0 +1,71 @@
+//! Telling the daemon that sent a call why there is no answer of the back end.
+
+use super::ServerCall;
+use crate::base::clock;
+use crate::server::running::RunningCall;
+use log::info;
+use seamhatch_core::clock::{MILLISECOND, Microseconds};
+use seamhatch_core::outcome::{Outcome, Reason};
+use seamhatch_core::refusal::ReturnTime;
+use seamhatch_core::return_time::SERVER_RETURN;
+use seamhatch_wire::{PeerMessage, Refusal, ServerReport};
+
+impl ServerCall {
+    /// Refuses the call and gives back its retry tokens. `detail` is what the back end did, where it is the cause.
+    pub(super) fn refuse(&self, running: &RunningCall, outcome: Outcome, reason: Reason, detail: &str) {
+        self.shared.metrics.refusal(outcome, reason, running.priority.class);
+        let server = self.shared.server.gate.report();
+        self.log_refusal(running, outcome, reason, detail, server);
+        if matches!(reason, Reason::BackendCrashed | Reason::CrashesServers) {
+            // Ahead of the refusal, so that the sender's next attempt knows of the crash.
+            let reports = self.shared.suspects.reports(&[self.head.request]);
+            self.send(PeerMessage::Suspects(reports));
+        }
+        let refusal = Refusal {
+            outcome,
+            reason,
+            retry_after: self.retry_after(reason),
+            unspent_tokens: running.ledger().close(),
+            crashes: self.shared.suspects.standing(self.head.request).crashes(),
+            server,
+        };
+        self.send(PeerMessage::Refused { call: self.head.call, refusal });
+    }
+
+    /// When the caller should come back, before jitter.
+    fn retry_after(&self, reason: Reason) -> Microseconds {
+        match reason.rule().return_time {
+            ReturnTime::AfterQueue => self.shared.server.gate.retry_after(),
+            ReturnTime::UntilTrial => self.shared.suspects.time_until_trial(self.head.request),
+            ReturnTime::Never | ReturnTime::After(_) | ReturnTime::AfterOverload | ReturnTime::AtLimit => {
+                SERVER_RETURN
+            }
+        }
+    }
+
+    fn log_refusal(
+        &self,
+        running: &RunningCall,
+        outcome: Outcome,
+        reason: Reason,
+        detail: &str,
+        server: ServerReport,
+    ) {
+        info!(
+            request = self.log_name().as_str(),
+            root = self.head.context.root.to_string().as_str(),
+            digest = self.head.request.to_string().as_str(),
+            from = self.from.to_string().as_str(),
+            outcome = outcome.name(),
+            reason = reason.name(),
+            detail = detail,
+            priority = running.priority.level(),
+            load = server.load,
+            limit = server.limit,
+            floor = server.floor.level,
+            kept = server.floor.kept[running.priority.class.rank()],
+            left_ms = running.expiry.since(clock::now()) / MILLISECOND;
+            "call refused"
+        );
+    }
+}
--- /dev/null
+++ b/crates/seamhatchd/src/peer_server/mod.rs
@@ -0,0 +1,94 @@
+//! The receiving end of connections between daemons: accepts peers, does the handshake, and runs a session for each.
+//!
+//! `session` handles the messages of a peer and `call` follows one call of it to the back end and back. Started once at
+//! startup. Nothing of a peer is handled before it has shown that it belongs to this cluster.
+
+mod call;
+mod incoming_calls;
+mod session;
+
+use crate::base::metrics::BadInput;
+use crate::peer::{LinkHost, Outbox, link};
+use crate::peer_server::incoming_calls::IncomingCalls;
+use crate::peer_server::session::{SenderClock, Session};
+use crate::shared::Shared;
+use log::warn;
+use seamhatch_wire::{FrameReader, PeerMessage, WireError, read_preface, write_preface};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+
+/// Longest wait for the preface of a new connection, and again for its first message. Chosen, not measured.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
+/// Wait after a failed accept, so that a lack of file descriptors doesn't spin. Chosen, not measured.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+
+/// Accepts connections of other daemons forever.
+pub async fn serve(shared: Arc<Shared>, listener: TcpListener) {
+    loop {
+        match listener.accept().await {
+            Ok((stream, address)) => {
+                tokio::spawn(serve_connection(shared.clone(), stream, address.to_string()));
+            }
+            Err(error) => {
+                warn!(error = error.to_string().as_str(); "accepting a daemon's connection failed");
+                tokio::time::sleep(ACCEPT_PAUSE).await;
+            }
+        }
+    }
+}
+
+async fn serve_connection(shared: Arc<Shared>, stream: TcpStream, address: String) {
+    let result = run_connection(&shared, stream).await;
+    if let Err(WireError::NotSeamhatch | WireError::Version { .. } | WireError::FrameTooLarge { .. }) =
+        &result
+    {
+        shared.metrics.bad_input(BadInput::PeerConnection);
+    }
+    link::log_end(&address, &result);
+}
+
+async fn run_connection(shared: &Arc<Shared>, mut stream: TcpStream) -> Result<(), WireError> {
+    stream.set_nodelay(true)?;
+    let timed_out = |_| WireError::Io(std::io::ErrorKind::TimedOut.into());
+    tokio::time::timeout(HELLO_TIMEOUT, read_preface(&mut stream)).await.map_err(timed_out)??;
+    write_preface(&mut stream).await?;
+    let (reader, writer) = stream.into_split();
+    let mut frames = FrameReader::new(reader);
+    let first = tokio::time::timeout(HELLO_TIMEOUT, frames.next()).await.map_err(timed_out)??;
+    let hello = link::first_hello(first, &shared.settings.cluster)?;
+    shared.control.daemon_connected(hello.gossip);
+    let (outbox, messages) = Outbox::new();
+    // The outbox was made just now and can't be closed.
+    let _ = outbox.send(PeerMessage::Hello(shared.hello()));
+    let writing = AbortOnDrop(tokio::spawn(link::write_messages(writer, messages)));
+    let (calls, peer_clock) = (IncomingCalls::default(), SenderClock::new(hello.clock));
+    let pulses = spawn_pulses(shared, &outbox, &calls, &peer_clock);
+    let session = Session { shared: shared.clone(), outbox, hello, calls, peer_clock };
+    let result = session.run(frames).await;
+    drop((writing, pulses));
+    result
+}
+
+fn spawn_pulses(
+    shared: &Arc<Shared>,
+    outbox: &Outbox,
+    calls: &IncomingCalls,
+    peer_clock: &SenderClock,
+) -> AbortOnDrop<()> {
+    let (shared, outbox) = (shared.clone(), outbox.clone());
+    let (calls, peer_clock) = (calls.clone(), peer_clock.clone());
+    AbortOnDrop(tokio::spawn(async move {
+        let is_busy = || !calls.is_empty();
+        link::send_pulses(&*shared, outbox, is_busy, |instant| peer_clock.translate(instant)).await;
+    }))
+}
+
+/// A task that ends with its connection.
+struct AbortOnDrop<T>(tokio::task::JoinHandle<T>);
+
+impl<T> Drop for AbortOnDrop<T> {
+    fn drop(&mut self) {
+        self.0.abort();
+    }
+}
