--- a/crates/seamhatch-core/src/instance/registry.rs
+++ b/crates/seamhatch-core/src/instance/registry.rs
@@ -16,7 +16,7 @@
 const REMEMBERED_SUPERSEDED: usize = 4;
 
 /// Newer heartbeats of a superseded instance that refute a confirmed supersession, with none of the superseding instance in
-/// between. A single one may be late.
+/// between. Chosen, not measured: a single one may be late.
 const HEARTBEATS_TO_REFUTE: u32 = 2;
 
 /// What became of an instance as which the back end did not answer.
--- a/crates/seamhatch-core/src/return_time.rs
+++ b/crates/seamhatch-core/src/return_time.rs
@@ -35,8 +35,10 @@
 /// Told near the end of a planned stop. Chosen, not measured: a restarted daemon usually serves again by then.
 pub const RESTART_RETURN: Microseconds = 800 * MILLISECOND;
 
-/// Bounds of what the gate of a server tells. Chosen, not measured.
+/// Shortest span that the gate of a server tells. Chosen, not measured.
 const SHORTEST_QUEUE_RETURN: Microseconds = 100 * MILLISECOND;
+
+/// Longest span that the gate of a server tells. Chosen, not measured.
 const LONGEST_QUEUE_RETURN: Microseconds = 10 * SECOND;
 
 /// Part of the span that is added at random at most, so that callers refused together come back apart. Chosen, not
