--- a/crates/seamhatchd/src/filters/rejection.rs
+++ b/crates/seamhatchd/src/filters/rejection.rs
@@ -2,6 +2,7 @@
 //!
 //! What it says follows from the reason by the table of [`seamhatch_core::refusal`].
 
+use crate::limits::quota::QuotaRefusal;
 use http::StatusCode;
 use seamhatch_core::clock::Microseconds;
 use seamhatch_core::outcome::{Outcome, Reason};
@@ -84,3 +85,19 @@
         StatusCode::from_u16(status).expect("the table of refusals holds valid statuses")
     }
 }
+
+impl From<QuotaRefusal> for Rejection {
+    fn from(refusal: QuotaRefusal) -> Self {
+        match refusal {
+            QuotaRefusal::AtLimit { return_after } => {
+                let detail =
+                    "the tenant is at its limit; come back after Retry-After, or ask for a higher one";
+                Self::not_run(Reason::OverQuota, detail).retry_after(return_after)
+            }
+            QuotaRefusal::NoShard => {
+                let detail = "nobody can tell at present what is left of the tenant's limit; come back after Retry-After";
+                Self::not_run(Reason::NoQuotaShard, detail)
+            }
+        }
+    }
+}
--- a/crates/seamhatchd/src/limits/quota/admission.rs
+++ b/crates/seamhatchd/src/limits/quota/admission.rs
@@ -1,11 +1,15 @@
-//! Charging a request to its tenant's limit.
+//! Charges a request to its tenant's limit: with a token of this daemon's cache, else with one that a shard hands out.
+//!
+//! The rules are in [`seamhatch_core::quota`]. Called by the listeners before the body is read.
 
 use super::holder::grant;
 use super::{Quota, limit_of};
 use crate::base::clock;
-use crate::filters::{Rejection, RequestState};
-use crate::shared::Shared;
+use crate::peer::PeerPool;
+use crate::snapshot::Snapshot;
+use arc_swap::ArcSwap;
 use seamhatch_core::clock::Microseconds;
+use seamhatch_core::identity::Address;
 use seamhatch_core::outcome::Reason;
 use seamhatch_core::quota::{QuotaGrant, QuotaToken, ShardHolder, ShardNumber, refusal_without_token};
 use seamhatch_core::return_time;
@@ -14,10 +18,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest wait for a shard's answer: two hundred times the way between zones of one region.
+/// Longest wait for a shard's answer. Chosen, not measured: two hundred times the way between zones of one region.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A request that was charged. What didn't run is given back.
+/// A request that was charged. The token of one that didn't run is given back.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuotaPermit {
     tenant: String,
@@ -33,41 +37,70 @@
     }
 }
 
-/// Charges a request to the limit of its tenant, if that has one. A call of a chain has no tenant of its own.
-///
-/// # Errors
-/// [`Reason::OverQuota`] at the limit, [`Reason::NoQuotaShard`] where nobody can tell. Not run.
-pub async fn admit(shared: &Arc<Shared>, request: &RequestState) -> Result<Option<QuotaPermit>, Rejection> {
-    let limited = |tenant: &&Arc<Tenant>| shared.limits.quota.is_needed() && limit_of(tenant).is_some();
-    let Some(tenant) = request.tenant.as_ref().filter(limited) else { return Ok(None) };
-    let charge = Charge { shared, tenant: &tenant.name };
-    charge.note_request();
-    if let Some(permit) = charge.take() {
-        return Ok(Some(permit));
-    }
-    let mut answered = false;
-    for (shard, holder) in shared.limits.quota.directory.in_order(&shared.settings.zone) {
-        if !charge.may_ask(shard) {
-            answered = true;
-            continue;
-        }
-        answered |= charge.ask(shard, holder).await;
+/// Why a request was not charged; it was not run.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum QuotaRefusal {
+    /// The tenant is at its limit.
+    AtLimit {
+        /// When to return, in microseconds before jitter.
+        return_after: Microseconds,
+    },
+    /// No shard of the limit can be asked.
+    NoShard,
+}
+
+/// The parts of the daemon that charging a request uses.
+#[derive(Debug, Clone, Copy)]
+pub struct QuotaContext<'a> {
+    /// What this daemon knows of the limits.
+    pub quota: &'a Quota,
+    /// Connections to the holders of shards.
+    pub pool: &'a Arc<PeerPool>,
+    /// The configuration, for shards that are held here.
+    pub published: &'a ArcSwap<Snapshot>,
+    /// Zone of this daemon.
+    pub zone: &'a str,
+    /// Peer address of this daemon.
+    pub own_peer: Address,
+}
+
+impl QuotaContext<'_> {
+    /// Charges a request to the limit of its tenant, if that has one. A call of a chain has no tenant of its own.
+    ///
+    /// # Errors
+    /// [`QuotaRefusal`] at the limit, or where no shard can be asked.
+    pub async fn admit(&self, tenant: Option<&Arc<Tenant>>) -> Result<Option<QuotaPermit>, QuotaRefusal> {
+        let limited = |tenant: &&Arc<Tenant>| self.quota.is_needed() && limit_of(tenant).is_some();
+        let Some(tenant) = tenant.filter(limited) else { return Ok(None) };
+        let charge = Charge { context: self, tenant: &tenant.name };
+        charge.note_request();
         if let Some(permit) = charge.take() {
             return Ok(Some(permit));
         }
+        let mut any_known = false;
+        for (shard, holder) in self.quota.directory.in_order(self.zone) {
+            if !charge.may_ask(shard) {
+                any_known = true;
+                continue;
+            }
+            any_known |= charge.ask(shard, holder).await;
+            if let Some(permit) = charge.take() {
+                return Ok(Some(permit));
+            }
+        }
+        Err(charge.refusal(any_known))
     }
-    Err(charge.refusal(answered))
 }
 
 /// One request that is being charged.
 struct Charge<'a> {
-    shared: &'a Arc<Shared>,
+    context: &'a QuotaContext<'a>,
     tenant: &'a str,
 }
 
 impl Charge<'_> {
     fn note_request(&self) {
-        let mut caches = self.shared.limits.quota.caches();
+        let mut caches = self.context.quota.caches();
         if !caches.contains_key(self.tenant) {
             caches.insert(self.tenant.to_owned(), Default::default());
         }
@@ -77,18 +110,18 @@
     }
 
     fn take(&self) -> Option<QuotaPermit> {
-        let token = self.shared.limits.quota.caches().get_mut(self.tenant)?.take(clock::now())?;
+        let token = self.context.quota.caches().get_mut(self.tenant)?.take(clock::now())?;
         Some(QuotaPermit { tenant: self.tenant.to_owned(), token })
     }
 
     fn may_ask(&self, shard: ShardNumber) -> bool {
-        let caches = self.shared.limits.quota.caches();
+        let caches = self.context.quota.caches();
         caches.get(self.tenant).is_none_or(|cache| cache.may_ask(shard, clock::now()))
     }
 
     /// Asks a shard for tokens. False when its holder did not answer.
     async fn ask(&self, shard: ShardNumber, holder: ShardHolder) -> bool {
-        let quota = &self.shared.limits.quota;
+        let quota = &self.context.quota;
         let asked = clock::now();
         let lifetime = quota.policy.token_lifetime();
         let wanted = quota.caches().get(self.tenant).map_or(1, |cache| cache.wanted(lifetime));
@@ -103,12 +136,13 @@
     }
 
     async fn grant_of(&self, shard: ShardNumber, holder: ShardHolder, wanted: u32) -> Option<QuotaGrant> {
-        if holder.peer == self.shared.settings.advertise.peer {
-            return grant(self.shared, shard, self.tenant, wanted);
+        if holder.peer == self.context.own_peer {
+            let snapshot = self.context.published.load();
+            return grant(self.context.quota, &snapshot, shard, self.tenant, wanted);
         }
         let request = ControlRequest::GetTokens { shard, tenant: self.tenant.to_owned(), wanted };
         let asking = async {
-            let connection = self.shared.pool.get(holder.peer).await.ok()?;
+            let connection = self.context.pool.get(holder.peer).await.ok()?;
             connection.control(request).await
         };
         match tokio::time::timeout(ANSWER_TIMEOUT, asking).await {
@@ -118,21 +152,13 @@
     }
 
     /// The refusal of a request that got no token; `any_known` says that a shard answered, or had no token a moment ago.
-    fn refusal(&self, any_known: bool) -> Rejection {
-        let reason = refusal_without_token(any_known);
-        if reason == Reason::OverQuota {
-            let detail = "the tenant is at its limit; come back after Retry-After, or ask for a higher one";
-            return Rejection::not_run(reason, detail).retry_after(self.return_time());
+    fn refusal(&self, any_known: bool) -> QuotaRefusal {
+        if refusal_without_token(any_known) != Reason::OverQuota {
+            return QuotaRefusal::NoShard;
         }
-        let detail =
-            "nobody can tell at present what is left of the tenant's limit; come back after Retry-After";
-        Rejection::not_run(reason, detail)
-    }
-
-    fn return_time(&self) -> Microseconds {
         let now = clock::now();
-        let caches = self.shared.limits.quota.caches();
+        let caches = self.context.quota.caches();
         let room_at = caches.get(self.tenant).and_then(|cache| cache.room_at(now));
-        return_time::at_limit(room_at.map(|at| at.since(now)))
+        QuotaRefusal::AtLimit { return_after: return_time::at_limit(room_at.map(|at| at.since(now))) }
     }
 }
--- a/crates/seamhatchd/src/limits/quota/holder.rs
+++ b/crates/seamhatchd/src/limits/quota/holder.rs
@@ -1,9 +1,12 @@
-//! Handing out tokens for the shards that this daemon holds.
+//! Hands out tokens for the shards that this daemon holds.
+//!
+//! Owns the lease and the buckets of the tenants. The control thread takes and gives up shards; peers and requests here ask for
+//! tokens.
 
-use super::limit_of;
+use super::{Quota, limit_of};
 use crate::base::clock;
 use crate::base::lock::lock;
-use crate::shared::Shared;
+use crate::snapshot::Snapshot;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::Microseconds;
 use seamhatch_core::quota::{QuotaBucket, QuotaGrant, ShardLease, ShardNumber};
@@ -23,12 +26,12 @@
 }
 
 impl HeldShards {
-    /// Takes in that a call sent at `sent` made or renewed the lease.
+    /// Records that a call sent at `sent` made or renewed the lease.
     pub fn renewed(&self, sent: Instant, span: Microseconds) {
         self.lock().lease.renewed(sent, span);
     }
 
-    /// Takes in that a shard is held from now on, with empty buckets.
+    /// Records that a shard is held from now on, with empty buckets.
     pub fn take(&self, shard: ShardNumber) {
         self.lock().shards.entry(shard).or_insert_with(clock::now);
     }
@@ -55,19 +58,25 @@
     }
 }
 
-/// Hands out tokens of a shard; none where this daemon doesn't hold it, or knows no such tenant.
+/// Hands out tokens of a shard, by the tenant's limit in the published configuration; none where this daemon doesn't hold the
+/// shard, or knows no such tenant.
 #[must_use]
-pub fn grant(shared: &Shared, shard: ShardNumber, tenant: &str, wanted: u32) -> Option<QuotaGrant> {
-    let snapshot = shared.snapshot();
+pub fn grant(
+    quota: &Quota,
+    snapshot: &Snapshot,
+    shard: ShardNumber,
+    tenant: &str,
+    wanted: u32,
+) -> Option<QuotaGrant> {
     let tenant = snapshot.configuration()?.tenants().named(tenant)?;
     let now = clock::now();
-    let mut holding = shared.limits.quota.held.lock();
+    let mut holding = quota.held.lock();
     if !holding.lease.holds(now) {
         return None;
     }
     let held_since = *holding.shards.get(&shard)?;
     let Some(limit) = limit_of(tenant) else { return Some(QuotaGrant { tokens: wanted, pause: 0 }) };
-    let limit = shared.limits.quota.policy.shard_limit(limit);
+    let limit = quota.policy.shard_limit(limit);
     let buckets = holding.buckets.entry(shard).or_default();
     let empty = || QuotaBucket::empty(held_since);
     let bucket = buckets.entry(tenant.name.clone()).or_insert_with(empty);
--- a/crates/seamhatchd/src/limits/quota/mod.rs
+++ b/crates/seamhatchd/src/limits/quota/mod.rs
@@ -1,4 +1,4 @@
-//! Limits of tenants: the shards that this daemon holds, the tokens that it has, and where it asks for more.
+//! Limits of tenants: the shards that this daemon holds, the tokens that it holds, and where it asks for more.
 //!
 //! [`seamhatch_core::quota`] decides; shards are taken in `controllers::follow::quota_shards`.
 
@@ -6,7 +6,7 @@
 mod directory;
 mod holder;
 
-pub use admission::{QuotaPermit, admit};
+pub use admission::{QuotaContext, QuotaPermit, QuotaRefusal};
 pub use directory::SharedShardDirectory;
 pub use holder::{HeldShards, grant};
 
@@ -19,7 +19,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard};
 
-/// A tenant that was not heard for this long has nothing left here that counts.
+/// A tenant without a request for this long has no token left here that counts. Chosen, not measured.
 const FORGOTTEN_AFTER: Microseconds = 60 * SECOND;
 
 /// What this daemon knows of the tenants' limits.
@@ -60,7 +60,7 @@
         self.needed.load(Ordering::Relaxed)
     }
 
-    /// Forgets the tenants that were not heard for long.
+    /// Forgets the tenants without recent requests.
     pub fn forget_old(&self) {
         let now = clock::now();
         self.caches().retain(|_, cache| now.since(cache.seen()) < FORGOTTEN_AFTER);
--- a/crates/seamhatchd/src/listeners/proxy.rs
+++ b/crates/seamhatchd/src/listeners/proxy.rs
@@ -8,7 +8,6 @@
 use crate::conventions::headers;
 use crate::dispatch::{self, Answer, CallResult, ReplayBody};
 use crate::filters::{self, Entry, FilterChain, RequestState};
-use crate::limits::quota;
 use crate::listeners::body::{self, CallerBody, OpenRequest};
 use crate::shared::Shared;
 use bytes::Bytes;
@@ -116,9 +115,9 @@
 
     /// Charges a request to its tenant and answers it; gives back the charge of one that was not run.
     async fn answer(&self, request: RequestState, body: Incoming, open: OpenRequest) -> Response<CallerBody> {
-        let permit = match quota::admit(&self.shared, &request).await {
+        let permit = match self.shared.quota_context().admit(request.tenant.as_ref()).await {
             Ok(permit) => permit,
-            Err(rejection) => return self.reject(&request, &rejection),
+            Err(refusal) => return self.reject(&request, &refusal.into()),
         };
         let body = match ReplayBody::read_prefix(body).await {
             Ok(body) => body,
--- a/crates/seamhatchd/src/peer_server/session.rs
+++ b/crates/seamhatchd/src/peer_server/session.rs
@@ -147,7 +147,8 @@
     /// Answers a control request: tokens here, the rest on the control thread.
     fn answer_control(&self, exchange: u64, request: ControlRequest) {
         if let ControlRequest::GetTokens { shard, tenant, wanted } = request {
-            let grant = quota::grant(&self.shared, shard, &tenant, wanted);
+            let grant =
+                quota::grant(&self.shared.limits.quota, &self.shared.snapshot(), shard, &tenant, wanted);
             let reply = grant.map_or(ControlReply::Declined, |QuotaGrant { tokens, pause }| {
                 ControlReply::Tokens { tokens, pause }
             });
--- a/crates/seamhatchd/src/shared.rs
+++ b/crates/seamhatchd/src/shared.rs
@@ -12,6 +12,7 @@
 use crate::lifecycle::DaemonLifecycle;
 use crate::limits::SharedLimits;
 use crate::limits::entry_floors::EntryFloors;
+use crate::limits::quota::QuotaContext;
 use crate::peer::PeerPool;
 use crate::server::ServerSide;
 use crate::server::crashes::{CrashContext, SuspectBook};
@@ -67,6 +68,18 @@
         self.published.load()
     }
 
+    /// What charging a request to its tenant uses.
+    #[must_use]
+    pub fn quota_context(&self) -> QuotaContext<'_> {
+        QuotaContext {
+            quota: &self.limits.quota,
+            pool: &self.pool,
+            published: &self.published,
+            zone: &self.settings.zone,
+            own_peer: self.settings.advertise.peer,
+        }
+    }
+
     /// What the detection of crashes uses.
     #[must_use]
     pub fn crash_context(&self) -> CrashContext<'_> {
