--- a/crates/seamhatchd/src/startup.rs
+++ b/crates/seamhatchd/src/startup.rs
@@ -7,6 +7,7 @@
 use crate::claims::{ClaimState, Claimant};
 use crate::control::{ControlEvent, ControlHandle};
 use crate::controllers::ControlThread;
+use crate::conventions::HttpConventions;
 use crate::lifecycle::DaemonLifecycle;
 use crate::limits::SharedLimits;
 use crate::limits::entry_floors::EntryFloors;
@@ -151,20 +152,6 @@
     let metrics = Arc::new(Metrics::new());
     let incarnation = new_incarnation();
     let conventions = ports.conventions.clone();
-    let registers = settings.listen.registry.is_some();
-    let server = ServerSide {
-        gate: AdmissionGate::new(AdmissionPolicy::for_slots(settings.slots), metrics.clone()),
-        running: RunningCalls::new(incarnation),
-        backend: Backend::new(settings.backend, conventions.clone()),
-        instances: if registers { Instances::registered() } else { Instances::Fixed },
-        crashes: CrashWatch::new(incarnation),
-    };
-    let limits = SharedLimits {
-        retry_budget: RetryBudget::new(settings.retries),
-        service_floors: ServiceFloors::default(),
-        freshness: Freshness::new(settings.revocation),
-        quota: Quota::new(settings.quota),
-    };
     let pool = PeerPool::new(traffic.clone(), host.clone());
     let published = Arc::new(ArcSwap::from_pointee(Snapshot::default()));
     let claims = Arc::new(ClaimState::default());
@@ -178,13 +165,13 @@
     );
     Shared {
         incarnation,
-        server: Arc::new(server),
+        server: Arc::new(server_side(&settings, incarnation, &metrics, &conventions)),
         suspects: SuspectBook::default(),
         conventions,
         pool,
         claims,
         claimant,
-        limits: Arc::new(limits),
+        limits: Arc::new(shared_limits(&settings)),
         entry_floors: EntryFloors::default(),
         control,
         published,
@@ -196,6 +183,33 @@
     }
 }
 
+/// The back end beside the daemon, from its settings.
+fn server_side(
+    settings: &Settings,
+    incarnation: Incarnation,
+    metrics: &Arc<Metrics>,
+    conventions: &Arc<dyn HttpConventions>,
+) -> ServerSide {
+    let registers = settings.listen.registry.is_some();
+    ServerSide {
+        gate: AdmissionGate::new(AdmissionPolicy::for_slots(settings.slots), metrics.clone()),
+        running: RunningCalls::new(incarnation),
+        backend: Backend::new(settings.backend, conventions.clone()),
+        instances: if registers { Instances::registered() } else { Instances::Fixed },
+        crashes: CrashWatch::new(incarnation),
+    }
+}
+
+/// What all daemons bound together, from the settings.
+fn shared_limits(settings: &Settings) -> SharedLimits {
+    SharedLimits {
+        retry_budget: RetryBudget::new(settings.retries),
+        service_floors: ServiceFloors::default(),
+        freshness: Freshness::new(settings.revocation),
+        quota: Quota::new(settings.quota),
+    }
+}
+
 /// Larger than any earlier one at this address unless the wall clock was set back; membership then takes a larger one still.
 fn new_incarnation() -> Incarnation {
     // A clock before the epoch counts as one at it.
