--- a/crates/seamhatchd/src/conventions/headers.rs
+++ b/crates/seamhatchd/src/conventions/headers.rs
@@ -22,6 +22,7 @@
 /// Marks repeats of one request.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
+/// Fields of a single connection (RFC 2616, section 13.5.1).
 const HOP_BY_HOP: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -34,8 +35,7 @@
 ];
 
 /// Whether a field concerns one connection only.
-#[must_use]
-pub fn is_hop_by_hop(name: &str) -> bool {
+fn is_hop_by_hop(name: &str) -> bool {
     HOP_BY_HOP.contains(&name)
 }
 
--- a/crates/seamhatchd/src/dispatch/attempt.rs
+++ b/crates/seamhatchd/src/dispatch/attempt.rs
@@ -42,7 +42,7 @@
         if let Some(claimed) = &mut self.claimed {
             claimed.dispatched();
         }
-        self.tell_suspicion(connection);
+        self.report_suspicion(connection);
         let Ok(stream) = connection.start_call(head) else {
             // Closed between the choice and here: nothing was written.
             return Err(AttemptFailure::Refused(not_sent(self.ledger_entry.handed_over)));
--- a/crates/seamhatchd/src/dispatch/suspects.rs
+++ b/crates/seamhatchd/src/dispatch/suspects.rs
@@ -1,4 +1,6 @@
-//! Calls whose request was at work when servers crashed.
+//! Calls whose request ran when servers crashed: whether they are rejected, where they run, and when they are not sent again.
+//!
+//! The rules: [`seamhatch_core::crashes`].
 
 use super::Dispatcher;
 use crate::filters::Rejection;
@@ -10,7 +12,7 @@
 use seamhatch_wire::{PeerMessage, Refusal};
 
 impl Dispatcher<'_> {
-    /// Turns a condemned request away.
+    /// Rejects a condemned request.
     pub(super) fn check_suspect(&self) -> Result<(), Rejection> {
         let SuspectStanding::Condemned { crashes, .. } = self.shared.suspects.standing(self.digest) else {
             return Ok(());
@@ -23,15 +25,15 @@
         Err(Rejection::not_run(Reason::CrashesServers, detail).retry_after(pause))
     }
 
-    /// Tells the daemon beside the server what is known of the request, ahead of the call.
-    pub(super) fn tell_suspicion(&self, connection: &PeerConnection) {
+    /// Reports the evidence against the request to the daemon beside the server, ahead of the call.
+    pub(super) fn report_suspicion(&self, connection: &PeerConnection) {
         if self.shared.suspects.standing(self.digest).crashes() > 0 {
             let reports = self.shared.suspects.reports(&[self.digest]);
             connection.send(PeerMessage::Suspects(reports));
         }
     }
 
-    /// Whether a refusal tells that the request has crashed too many servers to be sent again in this try.
+    /// Whether a refusal shows that the request has crashed too many servers to be sent again in this try.
     pub(super) fn crashes_too_much(&self, refusal: &Refusal) -> bool {
         let known = self.shared.suspects.standing(self.digest).crashes();
         ends_try(refusal.reason, known.max(refusal.crashes))
--- a/crates/seamhatchd/src/peer/view.rs
+++ b/crates/seamhatchd/src/peer/view.rs
@@ -6,7 +6,6 @@
 use seamhatch_core::Instant;
 use seamhatch_core::balance::{self, CallEnd, CandidateStanding, Ejection, SuccessRate};
 use seamhatch_core::clock::PeerClock;
-use seamhatch_core::generation::Generation;
 use seamhatch_wire::{CallIntake, ServerReport};
 
 /// What is known of the peer from its messages.
@@ -16,8 +15,6 @@
     pub last_heard: Instant,
     /// Which calls its server gets.
     pub intake: CallIntake,
-    /// Its configuration.
-    pub generation: Generation,
     /// State of its server; none before the first report.
     pub server: Option<ServerReport>,
     /// When its process ends, while it drains.
@@ -37,7 +34,6 @@
         Self {
             last_heard: now,
             intake: CallIntake::Open,
-            generation: Generation::default(),
             server: None,
             leaves_at: now,
             clock,
@@ -104,7 +100,6 @@
         if let CallIntake::FallbackOnly { left } = pulse.intake {
             self.leaves_at = clock::now().plus(left);
         }
-        self.generation = pulse.generation;
         self.server = Some(pulse.server);
     }
 }
