--- a/crates/seamhatchd/src/startup.rs
+++ b/crates/seamhatchd/src/startup.rs
@@ -1,6 +1,6 @@
 //! Starting the daemon: reads the settings, makes the parts that its threads share, and starts threads and listeners.
 //!
-//! Nothing lives here longer than a start; [`crate::stop`] takes over until the process ends. The binaries call [`run`] or [`run_with`].
+//! Nothing lives here longer than a start; the module `stop` takes over until the process ends. The binaries call [`run`] or [`run_with`].
 
 use crate::base::logging;
 use crate::base::metrics::Metrics;
