--- a/crates/seamhatchd/src/controllers/control_thread/followed.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/followed.rs
@@ -8,7 +8,9 @@
 use crate::base::clock;
 use crate::control::ConfigurationEvent;
 use crate::controllers::ask::ask_generation;
-use crate::controllers::follow::{discover, follow_configuration, keep_fresh, keep_quota_shards};
+use crate::controllers::follow::{
+    ProofKeeper, ShardKeeper, ShardOwner, discover, follow_configuration, keep_fresh, keep_quota_shards,
+};
 use crate::ports::{Backing, FollowedStore};
 use log::info;
 use seamhatch_core::Instant;
@@ -70,11 +72,35 @@
             control.clone(),
             metrics.clone(),
         ));
-        tokio::spawn(keep_fresh(self.shared.clone(), followed.clone(), documents));
-        tokio::spawn(keep_quota_shards(self.shared.clone(), followed.clone()));
+        tokio::spawn(keep_fresh(ProofKeeper {
+            followed: followed.clone(),
+            documents,
+            limits: self.shared.limits.clone(),
+            control: control.clone(),
+            metrics: metrics.clone(),
+        }));
+        let keeper = ShardKeeper::new(
+            self.shard_owner(),
+            followed.clone(),
+            self.shared.limits.clone(),
+            control.clone(),
+            metrics.clone(),
+        );
+        tokio::spawn(keep_quota_shards(keeper));
         tokio::spawn(discover(followed, gossip, control, metrics));
     }
 
+    /// This daemon as the holder of shards.
+    fn shard_owner(&self) -> ShardOwner {
+        let settings = &self.shared.settings;
+        ShardOwner {
+            gossip: settings.advertise.gossip,
+            peer: settings.advertise.peer,
+            zone: settings.zone.clone(),
+            incarnation: self.shared.incarnation,
+        }
+    }
+
     pub(super) fn tick_followed(&mut self, now: Instant) {
         self.pull_missing(now);
         self.verify_followed(now);
