--- a/crates/seamhatch-lab/src/load.rs
+++ b/crates/seamhatch-lab/src/load.rs
@@ -60,8 +60,6 @@
     pub sent: u64,
     /// Complete and correct answers.
     pub good: u64,
-    /// Repeats by the callers.
-    pub repeats: u64,
     /// Failed requests by outcome and reason of the last try.
     pub failures: BTreeMap<String, u64>,
     /// Latency of good answers in microseconds, from the intended time.
@@ -79,7 +77,6 @@
         Self {
             sent: 0,
             good: 0,
-            repeats: 0,
             failures: BTreeMap::new(),
             latency: histogram(),
             refusal_latency: histogram(),
@@ -179,7 +176,6 @@
         let mut results = self.results.lock().expect("results lock");
         let result = &mut results[kind];
         result.sent += u64::from(last);
-        result.repeats += u64::from(!last);
         if answer.is_good() {
             result.good += 1;
             result.latency.saturating_record((now - intended).as_micros() as u64);
--- a/crates/seamhatch-lab/src/platform.rs
+++ b/crates/seamhatch-lab/src/platform.rs
@@ -54,7 +54,6 @@
     revision: u64,
     faults: PlatformFaults,
     machines: BTreeMap<Ipv4Addr, &'static str>,
-    requests: u64,
     window_start: Option<Instant>,
     window_requests: u32,
 }
@@ -106,23 +105,6 @@
         self.lock().machines.insert(ip, "leaving");
     }
 
-    /// Takes a machine off the list.
-    pub fn remove_machine(&self, ip: Ipv4Addr) {
-        self.lock().machines.remove(&ip);
-    }
-
-    /// Requests to the key-value service so far.
-    #[must_use]
-    pub fn requests(&self) -> u64 {
-        self.lock().requests
-    }
-
-    /// Whether writes are still waiting to have their answer lost.
-    #[must_use]
-    pub fn answers_still_to_lose(&self) -> u32 {
-        self.lock().faults.lose_write_answers
-    }
-
     /// Copies the content.
     #[must_use]
     pub fn copy(&self) -> StoreCopy {
@@ -226,7 +208,6 @@
     if path == "/machines" {
         return state.machine_list();
     }
-    state.requests += 1;
     if state.faults.store_out {
         return Answer::Status(StatusCode::SERVICE_UNAVAILABLE);
     }
