--- a/crates/seamhatch-lab/src/backends.rs
+++ b/crates/seamhatch-lab/src/backends.rs
@@ -2,6 +2,7 @@
 //! the daemon beside them, and a log of what they ran.
 
 use crate::bodies;
+use crate::http_stand_in::{HttpStandIn, StandInRequest, text_response};
 use crate::process::Machine;
 use crate::relays::BackendRelays;
 use crate::topology::{ChildCall, Endpoint, Topology};
@@ -10,19 +11,14 @@
 use http::{Method, Request, StatusCode};
 use http_body_util::{BodyExt, Full};
 use seamhatch_core::identity::Address;
-use seamhatchd::listeners::{self, Listener};
 use seamhatchd::server::backend::{HttpClient, http_client};
 use std::collections::HashMap;
-use std::convert::Infallible;
-use std::net::TcpListener;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::sync::Semaphore;
-use xitca_web::body::{BodyExt as _, RequestBody, ResponseBody, StreamDataBody};
+use xitca_web::body::{ResponseBody, StreamDataBody};
 use xitca_web::http::WebResponse;
-use xitca_web::service::fn_service;
-use xitca_web::{App, WebContext};
 
 /// Header in which a caller names its request; back ends pass it on.
 pub const REQUEST_HEADER: &str = "x-request";
@@ -108,7 +104,7 @@
 /// All back ends of a deployment.
 pub struct Backends {
     state: Arc<State>,
-    listener: Option<Listener>,
+    _server: HttpStandIn,
 }
 
 struct State {
@@ -152,8 +148,7 @@
             Some(_) => machine.behind_relay(),
             None => machine.backend(),
         };
-        let sockets: std::io::Result<Vec<TcpListener>> =
-            machines.iter().map(|machine| listeners::bind(listens(machine))).collect();
+        let addresses: Vec<Address> = machines.iter().map(listens).collect();
         let state = Arc::new(State {
             mode,
             relays,
@@ -163,12 +158,10 @@
             running: AtomicU64::new(0),
             client: http_client(),
         });
-        let application = App::new()
-            .with_state(state.clone())
-            .at("/", fn_service(handle))
-            .at("/{*rest}", fn_service(handle));
-        let listener = listeners::serve(application.finish(), sockets?, THREADS, "backends")?;
-        Ok(Self { state, listener: Some(listener) })
+        let serving = state.clone();
+        let answering = move |request| handle(serving.clone(), request);
+        let server = HttpStandIn::start("backends", addresses.into_iter(), THREADS, answering)?;
+        Ok(Self { state, _server: server })
     }
 
     /// The behaviour of the back end on a machine.
@@ -207,14 +200,6 @@
     }
 }
 
-impl Drop for Backends {
-    fn drop(&mut self) {
-        if let Some(listener) = self.listener.take() {
-            listener.stop(Duration::ZERO);
-        }
-    }
-}
-
 struct RunningGuard(Arc<State>);
 
 impl Drop for RunningGuard {
@@ -232,10 +217,8 @@
     context: Option<String>,
 }
 
-async fn handle(mut context: WebContext<'_, Arc<State>>) -> Result<WebResponse, Infallible> {
-    let state = context.state().clone();
-    let (parts, extension) = context.take_request().into_parts();
-    let (_, body) = extension.replace_body(());
+async fn handle(state: Arc<State>, request: StandInRequest) -> WebResponse {
+    let (parts, _) = request.into_parts();
     let header =
         |name: &str| parts.headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned);
     let incoming = Incoming {
@@ -247,28 +230,12 @@
         method: parts.method,
     };
     let host = header("host").unwrap_or_default();
-    if !read_whole(body).await {
-        return Ok(WebResponse::new(ResponseBody::none()));
-    }
-    let Some(backend) = state.by_host.get(&host) else {
-        return Ok(status(StatusCode::MISDIRECTED_REQUEST));
-    };
-    Ok(backend.run(&state, incoming).await)
-}
-
-async fn read_whole(mut body: RequestBody) -> bool {
-    while let Some(piece) = body.data().await {
-        if piece.is_err() {
-            return false;
-        }
-    }
-    true
+    let Some(backend) = state.by_host.get(&host) else { return status(StatusCode::MISDIRECTED_REQUEST) };
+    backend.run(&state, incoming).await
 }
 
 fn status(status: StatusCode) -> WebResponse {
-    let mut response = WebResponse::new(ResponseBody::bytes(status.as_str().to_owned()));
-    *response.status_mut() = status;
-    response
+    text_response(status, status.as_str().to_owned())
 }
 
 impl Backend {
--- a/crates/seamhatch-lab/src/lib.rs
+++ b/crates/seamhatch-lab/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod deployment;
 pub mod experiment;
 pub mod faults;
+mod http_stand_in;
 pub mod load;
 pub mod network;
 pub mod platform;
--- a/crates/seamhatch-lab/src/platform.rs
+++ b/crates/seamhatch-lab/src/platform.rs
@@ -2,22 +2,18 @@
 //! the etcd v3 protocol as far as the daemons use it, and a machine list.
 //! Both can fail in the ways the users describe.
 
+use crate::http_stand_in::{HttpStandIn, StandInRequest, text_response};
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use http::StatusCode;
 use seamhatch_core::identity::Address;
-use seamhatchd::listeners::{self, Listener};
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use std::convert::Infallible;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
-use xitca_web::body::{BodyExt, RequestBody, ResponseBody};
 use xitca_web::http::WebResponse;
-use xitca_web::service::fn_service;
-use xitca_web::{App, WebContext};
 
 const STORE_PORT: u16 = 2379;
 
@@ -62,7 +58,7 @@
 pub struct Platform {
     address: Address,
     state: Arc<Mutex<State>>,
-    listener: Option<Listener>,
+    _server: HttpStandIn,
 }
 
 type Shared = Arc<Mutex<State>>;
@@ -74,14 +70,11 @@
     /// The address can't be bound.
     pub fn start(ip: Ipv4Addr) -> std::io::Result<Self> {
         let state: Shared = Arc::default();
-        let application = App::new()
-            .with_state(state.clone())
-            .at("/", fn_service(handle))
-            .at("/{*rest}", fn_service(handle));
         let address = Address::from(SocketAddr::new(ip.into(), STORE_PORT));
-        let socket = listeners::bind(address)?;
-        let listener = listeners::serve(application.finish(), vec![socket], 1, "platform")?;
-        Ok(Self { address, state, listener: Some(listener) })
+        let serving = state.clone();
+        let answering = move |request| handle(serving.clone(), request);
+        let server = HttpStandIn::start("platform", std::iter::once(address), 1, answering)?;
+        Ok(Self { address, state, _server: server })
     }
 
     /// Address of the key-value service and of the machine list.
@@ -127,14 +120,6 @@
     }
 }
 
-impl Drop for Platform {
-    fn drop(&mut self) {
-        if let Some(listener) = self.listener.take() {
-            listener.stop(Duration::ZERO);
-        }
-    }
-}
-
 fn lock(state: &Shared) -> MutexGuard<'_, State> {
     state.lock().expect("platform lock")
 }
@@ -173,34 +158,15 @@
     Status(StatusCode),
 }
 
-async fn handle(mut context: WebContext<'_, Shared>) -> Result<WebResponse, Infallible> {
-    let state = context.state().clone();
-    let (parts, extension) = context.take_request().into_parts();
-    let (_, body) = extension.replace_body(());
-    let bytes = read(body).await;
-    let path = parts.uri.path().to_owned();
+async fn handle(state: Shared, request: StandInRequest) -> WebResponse {
     let delay = lock(&state).faults.delay;
     if !delay.is_zero() {
         tokio::time::sleep(delay).await;
     }
-    Ok(match answer(&state, &path, &bytes) {
-        Answer::Json(value) => response(StatusCode::OK, value.to_string()),
-        Answer::Status(status) => response(status, String::new()),
-    })
-}
-
-async fn read(mut body: RequestBody) -> Vec<u8> {
-    let mut bytes = Vec::new();
-    while let Some(Ok(piece)) = body.data().await {
-        bytes.extend_from_slice(&piece);
+    match answer(&state, request.uri().path(), request.body()) {
+        Answer::Json(value) => text_response(StatusCode::OK, value.to_string()),
+        Answer::Status(status) => text_response(status, String::new()),
     }
-    bytes
-}
-
-fn response(status: StatusCode, text: String) -> WebResponse {
-    let mut response = WebResponse::new(ResponseBody::bytes(text));
-    *response.status_mut() = status;
-    response
 }
 
 fn answer(state: &Shared, path: &str, body: &[u8]) -> Answer {
