--- a/crates/seamhatch-lab/src/load.rs
+++ b/crates/seamhatch-lab/src/load.rs
@@ -4,6 +4,7 @@
 use crate::client::{Caller, CallerAnswer, CallerRequest};
 use crate::topology::RequestKind;
 use hdrhistogram::Histogram;
+use rand::RngExt;
 use seamhatch_core::identity::Address;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -106,10 +107,10 @@
     let mut number = 0_u64;
     while intended < run.start + run.plan.duration {
         tokio::time::sleep_until(intended).await;
-        let kind = run.draw_kind();
+        let kind = draw_kind(&run.plan.kinds, &mut rand::rng());
         tasks.spawn(run.clone().request(kind, number, intended));
         number += 1;
-        intended += exponential(1.0 / run.plan.rate_at(intended - run.start));
+        intended += exponential(run.plan.rate_at(intended - run.start), &mut rand::rng());
         while tasks.try_join_next().is_some() {}
     }
     while tasks.join_next().await.is_some() {}
@@ -132,18 +133,6 @@
         targets.get(kind).unwrap_or(&targets[0])
     }
 
-    fn draw_kind(&self) -> usize {
-        let total: f64 = self.plan.kinds.iter().map(|kind| kind.share).sum();
-        let mut drawn = rand::random::<f64>() * total;
-        for (index, kind) in self.plan.kinds.iter().enumerate() {
-            drawn -= kind.share;
-            if drawn < 0.0 {
-                return index;
-            }
-        }
-        self.plan.kinds.len() - 1
-    }
-
     async fn request(self: Arc<Self>, kind: usize, number: u64, intended: Instant) {
         let shape = &self.plan.kinds[kind];
         let name = format!("{}-{number}", self.plan.name);
@@ -199,7 +188,21 @@
     }
 }
 
-fn exponential(mean_seconds: f64) -> Duration {
-    let uniform: f64 = rand::random::<f64>().max(1e-12);
-    Duration::from_secs_f64(-uniform.ln() * mean_seconds)
+/// Index of a request kind, drawn by the kinds' shares.
+pub(crate) fn draw_kind(kinds: &[RequestKind], rng: &mut impl RngExt) -> usize {
+    let total: f64 = kinds.iter().map(|kind| kind.share).sum();
+    let mut drawn = rng.random::<f64>() * total;
+    for (index, kind) in kinds.iter().enumerate() {
+        drawn -= kind.share;
+        if drawn < 0.0 {
+            return index;
+        }
+    }
+    kinds.len() - 1
+}
+
+/// Time to the next event of a Poisson process with this rate.
+pub(crate) fn exponential(per_second: f64, rng: &mut impl RngExt) -> Duration {
+    let uniform: f64 = rng.random::<f64>().max(f64::MIN_POSITIVE);
+    Duration::from_secs_f64(-uniform.ln() / per_second)
 }
--- a/crates/seamhatch-lab/src/soak/load.rs
+++ b/crates/seamhatch-lab/src/soak/load.rs
@@ -6,6 +6,7 @@
 use crate::backends::DEADLY;
 use crate::client::{Caller, CallerAnswer, CallerRequest};
 use crate::connection::CallerConnection;
+use crate::load::{draw_kind, exponential};
 use crate::topology::{RequestKind, Topology};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -59,11 +60,11 @@
         tokio::time::sleep_until(at.into()).await;
         at = at.max(Instant::now().checked_sub(MOST_BACKLOG).unwrap_or(at));
         let daemon = rng.random_range(0..ingresses.len());
-        let request =
-            SoakRequest::new(topology, draw_kind(&topology.kinds, &mut rng), format!("soak-{number}"));
+        let kind = &topology.kinds[draw_kind(&topology.kinds, &mut rng)];
+        let request = SoakRequest::new(topology, kind, format!("soak-{number}"));
         tasks.spawn(send(caller.clone(), ingresses[daemon], daemon, request, recorder.clone()));
         number += 1;
-        at += exponential(&mut rng, plan.rate);
+        at += exponential(plan.rate, &mut rng);
         while tasks.try_join_next().is_some() {}
     }
     tasks.join_all().await;
@@ -163,9 +164,9 @@
         let mut kept = None;
         let mut sent = 0_u64;
         while Instant::now() < end {
-            tokio::time::sleep(exponential(&mut self.rng, CLIENT_RATE)).await;
+            tokio::time::sleep(exponential(CLIENT_RATE, &mut self.rng)).await;
             let Some((daemon, mut connection)) = self.usable(kept.take(), end).await else { return };
-            let kind = draw_kind(&self.topology.kinds, &mut self.rng);
+            let kind = &self.topology.kinds[draw_kind(&self.topology.kinds, &mut self.rng)];
             let request = SoakRequest::new(&self.topology, kind, format!("kept-{}-{sent}", self.number));
             sent += 1;
             request.note_sent(daemon, &self.recorder);
@@ -198,20 +199,3 @@
         None
     }
 }
-
-fn exponential(rng: &mut SmallRng, per_second: f64) -> Duration {
-    let uniform: f64 = rng.random::<f64>().max(f64::MIN_POSITIVE);
-    Duration::from_secs_f64(-uniform.ln() / per_second)
-}
-
-fn draw_kind<'a>(kinds: &'a [RequestKind], rng: &mut SmallRng) -> &'a RequestKind {
-    let total: f64 = kinds.iter().map(|kind| kind.share).sum();
-    let mut drawn = rng.random::<f64>() * total;
-    for kind in kinds {
-        drawn -= kind.share;
-        if drawn < 0.0 {
-            return kind;
-        }
-    }
-    &kinds[kinds.len() - 1]
-}
