--- a/crates/seamhatch-lab/src/soak/checks.rs
+++ b/crates/seamhatch-lab/src/soak/checks.rs
@@ -1,10 +1,10 @@
 //! The promises of docs/GUARANTEES.md, checked over a recorded history. Each check is a pure function of
 //! what callers, back ends and operators saw.
 
+use super::fleet::DaemonIndex;
 use super::history::{HistoryEvent, RequestName, SeenAnswer};
 use super::load::DEADLY_PREFIX;
 use super::no_server::servers_are_found;
-use super::plan::DaemonIndex;
 use super::stops::stops_cut_nothing;
 use crate::backends::DEADLY;
 use seamhatch_core::outcome::Reason;
--- a/crates/seamhatch-lab/src/soak/draw.rs
+++ b/crates/seamhatch-lab/src/soak/draw.rs
@@ -1,6 +1,8 @@
 //! Drawing a plan from a seed: single faults, planned stops with nothing beside them, and series that overlap.
 
-use super::plan::{CutWay, DaemonIndex, PlannedFault, ReloadLevel, SoakFault, SoakFleet, SoakPlan};
+use super::fault::{CutWay, ReloadLevel, SoakFault};
+use super::fleet::{DaemonIndex, SoakFleet};
+use super::plan::{PlannedFault, SoakPlan};
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
--- a/crates/seamhatch-lab/src/soak/exchanges.rs
+++ b/crates/seamhatch-lab/src/soak/exchanges.rs
@@ -1,7 +1,7 @@
 //! Requests of a history with their answers.
 
+use super::fleet::DaemonIndex;
 use super::history::{HistoryEvent, RequestName, SeenAnswer, SoakMillis};
-use super::plan::DaemonIndex;
 use std::collections::HashMap;
 
 /// A request and its answer.
--- a/crates/seamhatch-lab/src/soak/faults.rs
+++ b/crates/seamhatch-lab/src/soak/faults.rs
@@ -1,6 +1,7 @@
 //! Bringing the faults of a plan about, and ending them.
 
-use super::plan::{CutWay, DaemonIndex, ReloadLevel, SoakFault};
+use super::fault::{CutWay, ReloadLevel, SoakFault};
+use super::fleet::DaemonIndex;
 use crate::backends::Behaviour;
 use crate::deployment::Deployment;
 use crate::faults::Rule;
--- /dev/null
+++ b/crates/seamhatch-lab/src/soak/fleet.rs
@@ -0,0 +1,33 @@
+//! The daemons of a soak.
+
+use std::ops::Range;
+
+/// Position of a daemon, in the order of the topology.
+pub type DaemonIndex = usize;
+
+/// Servers of each service, where a plan doesn't tell.
+pub const SERVERS: u8 = 2;
+
+/// The daemons of a soak: as many for each service, in the order of the services.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct SoakFleet {
+    /// Services.
+    pub services: usize,
+    /// Servers of each, with a daemon beside each.
+    pub servers: u8,
+}
+
+impl SoakFleet {
+    /// All daemons.
+    #[must_use]
+    pub fn daemons(self) -> usize {
+        self.services * usize::from(self.servers)
+    }
+
+    /// The daemons of a service.
+    #[must_use]
+    pub fn of_service(self, service: usize) -> Range<DaemonIndex> {
+        let servers = usize::from(self.servers);
+        service * servers..(service + 1) * servers
+    }
+}
--- a/crates/seamhatch-lab/src/soak/history.rs
+++ b/crates/seamhatch-lab/src/soak/history.rs
@@ -1,6 +1,7 @@
 //! What callers, back ends and operators saw of a soak, as lines of JSON.
 
-use super::plan::{DaemonIndex, SoakFault};
+use super::fault::SoakFault;
+use super::fleet::DaemonIndex;
 use crate::backends::Execution;
 use crate::client::CallerAnswer;
 use serde::{Deserialize, Serialize};
--- a/crates/seamhatch-lab/src/soak/load.rs
+++ b/crates/seamhatch-lab/src/soak/load.rs
@@ -1,7 +1,8 @@
 //! The load of a soak: requests at drawn times to drawn daemons, and clients that keep one connection each.
 
+use super::fleet::DaemonIndex;
 use super::history::{HistoryEvent, SeenAnswer};
-use super::plan::{DaemonIndex, SoakPlan};
+use super::plan::SoakPlan;
 use super::recorder::Recorder;
 use crate::backends::DEADLY;
 use crate::client::{Caller, CallerAnswer, CallerRequest};
--- a/crates/seamhatch-lab/src/soak/mod.rs
+++ b/crates/seamhatch-lab/src/soak/mod.rs
@@ -4,7 +4,9 @@
 pub mod checks;
 pub mod draw;
 pub mod exchanges;
+pub mod fault;
 pub mod faults;
+pub mod fleet;
 pub mod history;
 pub mod load;
 pub mod no_server;
@@ -18,9 +20,10 @@
 mod stops;
 
 use checks::{Promise, Violation, check};
+use fleet::{SERVERS, SoakFleet};
 use history::{HistoryEvent, to_lines};
 use pico_args::Arguments;
-use plan::{SERVERS, SoakFleet, SoakPlan};
+use plan::SoakPlan;
 use run::{SoakRecord, fleet};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ffi::OsString;
--- a/crates/seamhatch-lab/src/soak/no_server.rs
+++ b/crates/seamhatch-lab/src/soak/no_server.rs
@@ -2,8 +2,9 @@
 
 use super::checks::{Promise, Violation, violation};
 use super::exchanges::{Exchange, exchanges};
+use super::fault::SoakFault;
+use super::fleet::DaemonIndex;
 use super::history::{HistoryEvent, SoakMillis};
-use super::plan::{DaemonIndex, SoakFault};
 use super::spans::{FaultSpan, fault_spans};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/seamhatch-lab/src/soak/run.rs
+++ b/crates/seamhatch-lab/src/soak/run.rs
@@ -2,9 +2,10 @@
 
 use super::checks::PROBE_PREFIX;
 use super::faults::DaemonLives;
+use super::fleet::SoakFleet;
 use super::history::HistoryEvent;
 use super::load::{self, SoakRequest};
-use super::plan::{SoakFleet, SoakPlan};
+use super::plan::SoakPlan;
 use super::recorder::Recorder;
 use super::steps;
 use crate::backends::CallMode;
--- a/crates/seamhatch-lab/src/soak/spans.rs
+++ b/crates/seamhatch-lab/src/soak/spans.rs
@@ -1,7 +1,7 @@
 //! When the faults of a history were under way.
 
+use super::fault::SoakFault;
 use super::history::{HistoryEvent, SoakMillis};
-use super::plan::SoakFault;
 
 /// A fault and its time.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/seamhatch-lab/src/soak/steps.rs
+++ b/crates/seamhatch-lab/src/soak/steps.rs
@@ -1,9 +1,11 @@
 //! The steps of a plan, each at its time, whatever the earlier ones are still waiting for.
 
+use super::fault::SoakFault;
 use super::faults::{self, BegunFault, DaemonLives, FaultEnd};
+use super::fleet::DaemonIndex;
 use super::history::{HistoryEvent, SoakMillis};
 use super::load;
-use super::plan::{DaemonIndex, PlannedFault, SoakFault};
+use super::plan::PlannedFault;
 use super::recorder::Recorder;
 use crate::deployment::Deployment;
 use std::collections::BTreeMap;
--- a/crates/seamhatch-lab/src/soak/stops.rs
+++ b/crates/seamhatch-lab/src/soak/stops.rs
@@ -2,8 +2,9 @@
 
 use super::checks::{NOT_RUN, Promise, Violation, executed, violation};
 use super::exchanges::{Exchange, exchanges};
+use super::fault::SoakFault;
+use super::fleet::DaemonIndex;
 use super::history::{HistoryEvent, RequestName, SeenAnswer, SoakMillis};
-use super::plan::{DaemonIndex, SoakFault};
 use super::spans::{FaultSpan, fault_spans};
 use std::collections::HashSet;
 
--- a/crates/seamhatch-lab/tests/soak.rs
+++ b/crates/seamhatch-lab/tests/soak.rs
@@ -1,11 +1,11 @@
 //! The soak's plans and checks; no processes are started but in the last test.
 
 use seamhatch_lab::soak::checks::{PROBE_PREFIX, Promise, RETRY_TOKENS, check};
+use seamhatch_lab::soak::fault::{CutWay, ReloadLevel, SoakFault};
+use seamhatch_lab::soak::fleet::{SERVERS, SoakFleet};
 use seamhatch_lab::soak::history::{HistoryEvent, SeenAnswer, from_lines, to_lines};
 use seamhatch_lab::soak::no_server::NO_SERVER_BOUND_MS;
-use seamhatch_lab::soak::plan::{
-    CutWay, PlanError, PlannedFault, ReloadLevel, SERVERS, SoakFault, SoakFleet, SoakPlan,
-};
+use seamhatch_lab::soak::plan::{PlanError, PlannedFault, SoakPlan};
 use std::io::Write;
 use std::process::{Command, Stdio};
 
--- a/crates/seamhatch-lab/tests/soak_report.rs
+++ b/crates/seamhatch-lab/tests/soak_report.rs
@@ -1,7 +1,7 @@
 //! The page of a soak: what is counted, what it holds, and what the command says.
 
+use seamhatch_lab::soak::fault::SoakFault;
 use seamhatch_lab::soak::history::{HistoryEvent, SeenAnswer, to_lines};
-use seamhatch_lab::soak::plan::SoakFault;
 use seamhatch_lab::soak::report::{AnswerKind, SoakSeries, page};
 use std::process::{Command, Stdio};
 
--- a/crates/seamhatch-lab/tests/soak_shrink.rs
+++ b/crates/seamhatch-lab/tests/soak_shrink.rs
@@ -1,6 +1,8 @@
 //! Shrinking a plan, with a rule in place of a soak.
 
-use seamhatch_lab::soak::plan::{PlannedFault, SERVERS, SoakFault, SoakPlan};
+use seamhatch_lab::soak::fault::SoakFault;
+use seamhatch_lab::soak::fleet::SERVERS;
+use seamhatch_lab::soak::plan::{PlannedFault, SoakPlan};
 use seamhatch_lab::soak::shrink::shrink;
 
 const MOST_TRIES: usize = 100;
