--- a/crates/seamhatch-lab/src/deployment.rs
+++ b/crates/seamhatch-lab/src/deployment.rs
@@ -1,7 +1,7 @@
 //! A whole deployment: platform, back ends, and one daemon process a server.
 
 use crate::backends::{Backends, CallMode};
-use crate::faults::{self, FaultProxy};
+use crate::fault_proxy::{self, FaultProxy};
 use crate::network::Network;
 use crate::platform::Platform;
 use crate::process::{DaemonOptions, DaemonProcess, Machine};
@@ -97,7 +97,7 @@
         let backends = Backends::start(&topology, &machines, options.mode, relays.clone())?;
         let proxy = if options.proxied { Some(FaultProxy::start(&machines).await?) } else { None };
         let seed_of = |machine: &Machine| match &proxy {
-            Some(_) => faults::advertised(machine).gossip,
+            Some(_) => fault_proxy::advertised(machine).gossip,
             None => machine.gossip(),
         };
         let daemon_options = DaemonOptions {
@@ -108,7 +108,7 @@
             store: platform.address(),
             machines: platform.address(),
             seeds: machines.iter().step_by(2).take(SEEDS).map(seed_of).collect(),
-            advertise: options.proxied.then_some(faults::advertised),
+            advertise: options.proxied.then_some(fault_proxy::advertised),
             log_level: options.log_level.clone(),
         };
         let machines_with_daemon =
--- a/crates/seamhatch-lab/src/lib.rs
+++ b/crates/seamhatch-lab/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod demo;
 pub mod deployment;
 pub mod experiment;
-pub mod faults;
+pub mod fault_proxy;
 mod http_stand_in;
 pub mod load;
 pub mod network;
--- a/crates/seamhatch-lab/src/soak/faults.rs
+++ b/crates/seamhatch-lab/src/soak/injection.rs
@@ -4,7 +4,7 @@
 use super::fleet::DaemonIndex;
 use crate::backends::Behaviour;
 use crate::deployment::Deployment;
-use crate::faults::Rule;
+use crate::fault_proxy::Rule;
 use crate::process::write_settings;
 use rustix::process::Signal;
 use std::net::Ipv4Addr;
--- a/crates/seamhatch-lab/src/soak/run.rs
+++ b/crates/seamhatch-lab/src/soak/run.rs
@@ -1,9 +1,9 @@
 //! One soak: load, faults at their times, and everything that is seen, recorded.
 
 use super::checks::PROBE_PREFIX;
-use super::faults::DaemonLives;
 use super::fleet::SoakFleet;
 use super::history::HistoryEvent;
+use super::injection::DaemonLives;
 use super::load::{self, SoakRequest};
 use super::plan::SoakPlan;
 use super::recorder::Recorder;
--- a/crates/seamhatch-lab/src/soak/steps.rs
+++ b/crates/seamhatch-lab/src/soak/steps.rs
@@ -1,9 +1,9 @@
 //! The steps of a plan, each at its time, whatever the earlier ones are still waiting for.
 
 use super::fault::SoakFault;
-use super::faults::{self, BegunFault, DaemonLives, FaultEnd};
 use super::fleet::DaemonIndex;
 use super::history::{HistoryEvent, SoakMillis};
+use super::injection::{self, BegunFault, DaemonLives, FaultEnd};
 use super::load;
 use super::plan::PlannedFault;
 use super::recorder::Recorder;
@@ -64,16 +64,16 @@
             Step::Begin(fault) => {
                 submissions.extend(begin(deployment, lives, fault, &mut queue, recorder)?);
             }
-            Step::Again(daemon) => faults::ask_to_stop(deployment, daemon),
+            Step::Again(daemon) => injection::ask_to_stop(deployment, daemon),
             Step::End { begun, planned_ms } => {
                 let overdue = recorder.at_ms() > planned_ms + STOP_TIMEOUT_MS;
-                match faults::end(deployment, lives, &begun)? {
+                match injection::end(deployment, lives, &begun)? {
                     FaultEnd::StillStopping if !overdue => {
                         queue.add(recorder.at_ms() + STOP_POLL_MS, Step::End { begun, planned_ms });
                     }
                     FaultEnd::StillStopping => {
                         println!("killed after {STOP_TIMEOUT_MS} ms, not stopped yet: {:?}", begun.fault);
-                        faults::end_by_force(deployment, lives, &begun)?;
+                        injection::end_by_force(deployment, lives, &begun)?;
                         note_end(begun.fault, recorder);
                     }
                     FaultEnd::Ended => note_end(begun.fault, recorder),
@@ -109,7 +109,7 @@
         let span = Duration::from_millis(for_ms);
         load::insist(number, span, &deployment.topology, &deployment.ingresses(), recorder);
     }
-    let begun = faults::begin(deployment, lives, fault)?;
+    let begun = injection::begin(deployment, lives, fault)?;
     queue.add(planned_ms, Step::End { begun, planned_ms });
     Ok(submission)
 }
--- a/crates/seamhatch-lab/tests/answers.rs
+++ b/crates/seamhatch-lab/tests/answers.rs
@@ -4,7 +4,7 @@
 
 use common::{assert_ready, request, start};
 use seamhatch_lab::client::{Caller, CallerAnswer};
-use seamhatch_lab::faults::Rule;
+use seamhatch_lab::fault_proxy::Rule;
 use seamhatch_lab::topology::Topology;
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/seamhatch-lab/tests/at_most_once.rs
+++ b/crates/seamhatch-lab/tests/at_most_once.rs
@@ -7,7 +7,7 @@
 use rustix::process::Signal;
 use seamhatch_lab::client::Caller;
 use seamhatch_lab::deployment::Deployment;
-use seamhatch_lab::faults::Rule;
+use seamhatch_lab::fault_proxy::Rule;
 use seamhatch_lab::topology::{Topology, call, endpoint, service};
 use std::time::Duration;
 
--- a/crates/seamhatch-lab/tests/configuration.rs
+++ b/crates/seamhatch-lab/tests/configuration.rs
@@ -5,7 +5,7 @@
 use common::{LONG, assert_ready, eventually, start};
 use rustix::process::Signal;
 use seamhatch_lab::deployment::Deployment;
-use seamhatch_lab::faults::Rule;
+use seamhatch_lab::fault_proxy::Rule;
 use seamhatch_lab::topology::Topology;
 use std::net::Ipv4Addr;
 use std::time::{Duration, Instant};
--- a/crates/seamhatch-lab/tests/not_run.rs
+++ b/crates/seamhatch-lab/tests/not_run.rs
@@ -6,7 +6,7 @@
 use rustix::process::Signal;
 use seamhatch_lab::client::{Caller, CallerAnswer, CallerRequest};
 use seamhatch_lab::deployment::Deployment;
-use seamhatch_lab::faults::Rule;
+use seamhatch_lab::fault_proxy::Rule;
 use seamhatch_lab::topology::{Topology, endpoint, service};
 use std::collections::BTreeSet;
 use std::sync::atomic::Ordering;
