--- a/crates/seamhatch-lab/src/bound/plan.rs
+++ b/crates/seamhatch-lab/src/bound/plan.rs
@@ -9,7 +9,7 @@
 
 /// Why a plan can't be used.
 #[derive(Debug, Error)]
-pub enum PlanError {
+pub enum DayPlanError {
     /// The file can't be read.
     #[error("{path}: {source}; name a file that this user may read")]
     Unreadable {
@@ -169,13 +169,13 @@
     /// Reads a plan and checks its figures.
     ///
     /// # Errors
-    /// A [`PlanError`] that names the file or the figure.
-    pub fn read(path: &Path) -> Result<Self, PlanError> {
+    /// A [`DayPlanError`] that names the file or the figure.
+    pub fn read(path: &Path) -> Result<Self, DayPlanError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path)
-            .map_err(|source| PlanError::Unreadable { path: name.clone(), source })?;
+            .map_err(|source| DayPlanError::Unreadable { path: name.clone(), source })?;
         let plan: Self = toml::from_str(&text)
-            .map_err(|source| PlanError::Malformed { path: name, source: Box::new(source) })?;
+            .map_err(|source| DayPlanError::Malformed { path: name, source: Box::new(source) })?;
         plan.check()?;
         Ok(plan)
     }
@@ -184,7 +184,7 @@
     ///
     /// # Errors
     /// The first figure that has no meaning, or a service that is missing.
-    pub fn check(&self) -> Result<(), PlanError> {
+    pub fn check(&self) -> Result<(), DayPlanError> {
         require("seconds", f64::from(self.seconds), self.seconds > 0, "at least 1")?;
         for service in &self.services {
             for server in &service.servers {
@@ -203,7 +203,7 @@
         self.requests.iter().try_for_each(|request| self.check_request(request))
     }
 
-    fn check_request(&self, request: &RequestPlan) -> Result<(), PlanError> {
+    fn check_request(&self, request: &RequestPlan) -> Result<(), DayPlanError> {
         let of = |what: &str| format!("{what} of {}", request.name);
         require(&of("objective"), request.objective, request.objective >= 0.0, "0 or more")?;
         let ordered = request.deadline >= request.objective;
@@ -214,7 +214,7 @@
         for work in &request.work {
             require(&of("seconds of work"), work.seconds, work.seconds >= 0.0, "0 or more")?;
             if !self.services.iter().any(|service| service.name == work.service) {
-                return Err(PlanError::UnknownService {
+                return Err(DayPlanError::UnknownService {
                     request: request.name.clone(),
                     service: work.service.clone(),
                 });
@@ -224,8 +224,8 @@
     }
 }
 
-fn require(what: &str, value: f64, holds: bool, wanted: &'static str) -> Result<(), PlanError> {
-    if holds { Ok(()) } else { Err(PlanError::Figure { what: what.to_owned(), value, wanted }) }
+fn require(what: &str, value: f64, holds: bool, wanted: &'static str) -> Result<(), DayPlanError> {
+    if holds { Ok(()) } else { Err(DayPlanError::Figure { what: what.to_owned(), value, wanted }) }
 }
 
 impl ServicePlan {
--- a/crates/seamhatch-lab/src/soak/plan.rs
+++ b/crates/seamhatch-lab/src/soak/plan.rs
@@ -40,7 +40,7 @@
 
 /// Why a plan can't be used.
 #[derive(Debug, thiserror::Error)]
-pub enum PlanError {
+pub enum SoakPlanError {
     /// The file can't be read.
     #[error("the plan {path} can't be read: {source}")]
     Read {
@@ -84,12 +84,12 @@
     ///
     /// # Errors
     /// It can't be read or used.
-    pub fn read(path: &Path, services: usize) -> Result<Self, PlanError> {
+    pub fn read(path: &Path, services: usize) -> Result<Self, SoakPlanError> {
         let name = path.display().to_string();
-        let text =
-            std::fs::read_to_string(path).map_err(|source| PlanError::Read { path: name.clone(), source })?;
+        let text = std::fs::read_to_string(path)
+            .map_err(|source| SoakPlanError::Read { path: name.clone(), source })?;
         let plan: Self = toml::from_str(&text)
-            .map_err(|source| PlanError::Form { path: name, source: Box::new(source) })?;
+            .map_err(|source| SoakPlanError::Form { path: name, source: Box::new(source) })?;
         plan.check(SoakFleet { services, servers: plan.servers })?;
         Ok(plan)
     }
@@ -100,17 +100,17 @@
         toml::to_string(self).unwrap_or_default()
     }
 
-    fn check(&self, fleet: SoakFleet) -> Result<(), PlanError> {
+    fn check(&self, fleet: SoakFleet) -> Result<(), SoakPlanError> {
         let load_ms = self.seconds * 1_000;
         for (index, planned) in self.faults.iter().enumerate() {
             let number = index + 1;
             let last = fleet.daemons().saturating_sub(1);
             if let Some(daemon) = planned.fault.daemons().into_iter().find(|daemon| *daemon > last) {
-                return Err(PlanError::Daemon { number, daemon, last });
+                return Err(SoakPlanError::Daemon { number, daemon, last });
             }
             let end_ms = planned.end_ms();
             if end_ms > load_ms {
-                return Err(PlanError::Late { number, end_ms, load_ms });
+                return Err(SoakPlanError::Late { number, end_ms, load_ms });
             }
         }
         Ok(())
--- a/crates/seamhatch-lab/tests/bound.rs
+++ b/crates/seamhatch-lab/tests/bound.rs
@@ -1,6 +1,6 @@
 //! Bounds of days that can be worked out by hand.
 
-use seamhatch_lab::bound::plan::{DayPlan, PlanError};
+use seamhatch_lab::bound::plan::{DayPlan, DayPlanError};
 use seamhatch_lab::bound::program::solve;
 
 /// A kind of request that asks the one service for `calls` calls of `work` seconds in all.
@@ -186,7 +186,7 @@
     ];
     for case in cases {
         let plan: DayPlan = toml::from_str(&PLAN.replace(case.replaced, case.with)).expect("parses");
-        let error: PlanError = plan.check().expect_err(case.with);
+        let error: DayPlanError = plan.check().expect_err(case.with);
         assert!(error.to_string().contains(case.told), "{error}");
     }
 }
--- a/crates/seamhatch-lab/tests/soak.rs
+++ b/crates/seamhatch-lab/tests/soak.rs
@@ -5,7 +5,7 @@
 use seamhatch_lab::soak::fleet::{SERVERS, SoakFleet};
 use seamhatch_lab::soak::history::{HistoryEvent, SeenAnswer, from_lines, to_lines};
 use seamhatch_lab::soak::no_server::NO_SERVER_BOUND_MS;
-use seamhatch_lab::soak::plan::{PlanError, PlannedFault, SoakPlan};
+use seamhatch_lab::soak::plan::{PlannedFault, SoakPlan, SoakPlanError};
 use std::io::Write;
 use std::process::{Command, Stdio};
 
@@ -309,7 +309,7 @@
 /// A plan that can't be used, and what its error says.
 struct PlanCase {
     plan: SoakPlan,
-    is: fn(&PlanError) -> bool,
+    is: fn(&SoakPlanError) -> bool,
 }
 
 #[test]
@@ -325,11 +325,11 @@
     let cases = [
         PlanCase {
             plan: with(1_000, SoakFault::Kill { daemons: vec![0, DAEMONS] }),
-            is: |error| matches!(error, PlanError::Daemon { number: 1, daemon: DAEMONS, last: 7 }),
+            is: |error| matches!(error, SoakPlanError::Daemon { number: 1, daemon: DAEMONS, last: 7 }),
         },
         PlanCase {
             plan: with(9_500, SoakFault::StoreOut),
-            is: |error| matches!(error, PlanError::Late { number: 1, end_ms: 10_500, load_ms: 10_000 }),
+            is: |error| matches!(error, SoakPlanError::Late { number: 1, end_ms: 10_500, load_ms: 10_000 }),
         },
     ];
     for case in cases {
@@ -340,8 +340,11 @@
     }
     let mut file = tempfile::NamedTempFile::new().expect("a file");
     file.write_all(b"seed = 1\nfault = 3\n").expect("is written");
-    assert!(matches!(SoakPlan::read(file.path(), FLEET.services), Err(PlanError::Form { .. })));
-    assert!(matches!(SoakPlan::read("no/such/file".as_ref(), FLEET.services), Err(PlanError::Read { .. })));
+    assert!(matches!(SoakPlan::read(file.path(), FLEET.services), Err(SoakPlanError::Form { .. })));
+    assert!(matches!(
+        SoakPlan::read("no/such/file".as_ref(), FLEET.services),
+        Err(SoakPlanError::Read { .. })
+    ));
 }
 
 /// Arguments, the exit code, and how many plans are printed.
