--- a/crates/seamhatch-lab/src/soak/draw.rs
+++ b/crates/seamhatch-lab/src/soak/draw.rs
@@ -1,6 +1,6 @@
 //! Drawing a plan from a seed: single faults, planned stops with nothing beside them, and series that overlap.
 
-use super::fault::{CutWay, ReloadLevel, SoakFault};
+use super::fault::{CutWay, FaultGroup, ReloadLevel, SoakFault};
 use super::fleet::{DaemonIndex, SoakFleet};
 use super::plan::{PlannedFault, SoakPlan};
 use rand::rngs::SmallRng;
@@ -105,7 +105,7 @@
 /// Whether a crash comes so near to a planned stop that this could not be judged any more.
 fn disturbs_stop(crash: &PlannedFault, fault: &PlannedFault) -> bool {
     let apart_ms = millis(APART);
-    let is_stop = matches!(fault.fault, SoakFault::PlannedStop { .. } | SoakFault::HastyStop { .. });
+    let is_stop = fault.fault.group() == FaultGroup::Stop;
     is_stop && crash.at_ms < fault.end_ms() + apart_ms && fault.at_ms < crash.end_ms() + apart_ms
 }
 
--- a/crates/seamhatch-lab/src/soak/fault.rs
+++ b/crates/seamhatch-lab/src/soak/fault.rs
@@ -116,6 +116,23 @@
     },
 }
 
+/// What faults act on, as far as the checks tell them apart.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum FaultGroup {
+    /// Daemons: they end without notice.
+    Kill,
+    /// Daemons: they are asked to stop.
+    Stop,
+    /// Requests in progress: their daemon, its links or its back end.
+    RequestPath,
+    /// The key-value store.
+    Store,
+    /// Settings, configuration and machine list; requests are served as before.
+    Control,
+    /// What callers send.
+    Callers,
+}
+
 /// Log level that a daemon is told to change to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -179,4 +196,34 @@
             | Self::DeadlyRequest { .. } => Vec::new(),
         }
     }
+
+    /// What it acts on.
+    #[must_use]
+    pub fn group(&self) -> FaultGroup {
+        match self {
+            Self::Kill { .. } => FaultGroup::Kill,
+            Self::PlannedStop { .. } | Self::HastyStop { .. } => FaultGroup::Stop,
+            Self::Pause { .. }
+            | Self::Cut { .. }
+            | Self::Reset { .. }
+            | Self::Delay { .. }
+            | Self::ServerSlow { .. }
+            | Self::ServerFails { .. }
+            | Self::ServerCuts { .. }
+            | Self::ServerForges { .. }
+            | Self::ServerCrash { .. } => FaultGroup::RequestPath,
+            Self::StoreOut
+            | Self::StoreSlow { .. }
+            | Self::StoreThrottled { .. }
+            | Self::StoreLosesAnswers { .. } => FaultGroup::Store,
+            Self::Reload { .. } | Self::Configuration { .. } | Self::MachinesOut => FaultGroup::Control,
+            Self::DeadlyRequest { .. } => FaultGroup::Callers,
+        }
+    }
+
+    /// Whether a daemon's process ends by it.
+    #[must_use]
+    pub fn ends_process(&self) -> bool {
+        matches!(self.group(), FaultGroup::Kill | FaultGroup::Stop)
+    }
 }
--- a/crates/seamhatch-lab/src/soak/no_server.rs
+++ b/crates/seamhatch-lab/src/soak/no_server.rs
@@ -2,7 +2,7 @@
 
 use super::checks::{Promise, Violation, violation};
 use super::exchanges::{Exchange, exchanges};
-use super::fault::SoakFault;
+use super::fault::FaultGroup;
 use super::fleet::DaemonIndex;
 use super::history::{HistoryEvent, SoakMillis};
 use super::spans::{FaultSpan, fault_spans};
@@ -72,7 +72,7 @@
         let mut by_daemon: BTreeMap<DaemonIndex, Vec<Interval>> = BTreeMap::new();
         for span in &spans {
             let Some((from_ms, mut to_ms)) = daemon_outage(span, &spans) else { continue };
-            if ends_process(&span.fault) && witnesses_lost_ms.is_some_and(|lost_ms| lost_ms <= to_ms) {
+            if span.fault.ends_process() && witnesses_lost_ms.is_some_and(|lost_ms| lost_ms <= to_ms) {
                 to_ms = to_ms.saturating_add(WITNESS_WAIT_MS);
             }
             let outage = (from_ms, to_ms);
@@ -111,47 +111,16 @@
 
 /// The time for which a fault keeps its daemons from serving.
 fn daemon_outage(span: &FaultSpan, spans: &[FaultSpan]) -> Option<Interval> {
-    match &span.fault {
-        SoakFault::Kill { .. } | SoakFault::PlannedStop { .. } | SoakFault::HastyStop { .. } => {
-            Some((span.from_ms, after_store_trouble(span.to_ms, spans)))
-        }
-        SoakFault::Pause { .. }
-        | SoakFault::Cut { .. }
-        | SoakFault::Reset { .. }
-        | SoakFault::Delay { .. }
-        | SoakFault::ServerSlow { .. }
-        | SoakFault::ServerFails { .. }
-        | SoakFault::ServerCuts { .. }
-        | SoakFault::ServerForges { .. }
-        | SoakFault::ServerCrash { .. } => Some((span.from_ms, span.to_ms.saturating_add(CALM_AFTER_MS))),
-        SoakFault::Reload { .. }
-        | SoakFault::Configuration { .. }
-        | SoakFault::StoreOut
-        | SoakFault::StoreSlow { .. }
-        | SoakFault::StoreThrottled { .. }
-        | SoakFault::StoreLosesAnswers { .. }
-        | SoakFault::MachinesOut
-        | SoakFault::DeadlyRequest { .. } => None,
+    match span.fault.group() {
+        FaultGroup::Kill | FaultGroup::Stop => Some((span.from_ms, after_store_trouble(span.to_ms, spans))),
+        FaultGroup::RequestPath => Some((span.from_ms, span.to_ms.saturating_add(CALM_AFTER_MS))),
+        FaultGroup::Store | FaultGroup::Control | FaultGroup::Callers => None,
     }
 }
 
-fn ends_process(fault: &SoakFault) -> bool {
-    matches!(fault, SoakFault::Kill { .. } | SoakFault::PlannedStop { .. } | SoakFault::HastyStop { .. })
-}
-
-fn is_store_trouble(fault: &SoakFault) -> bool {
-    matches!(
-        fault,
-        SoakFault::StoreOut
-            | SoakFault::StoreSlow { .. }
-            | SoakFault::StoreThrottled { .. }
-            | SoakFault::StoreLosesAnswers { .. }
-    )
-}
-
 /// A daemon that starts may need the store: its time counts from the end of the store's trouble on.
 fn after_store_trouble(started_ms: SoakMillis, spans: &[FaultSpan]) -> SoakMillis {
-    let troubles = spans.iter().filter(|span| is_store_trouble(&span.fault));
+    let troubles = spans.iter().filter(|span| span.fault.group() == FaultGroup::Store);
     let during = troubles.filter(|span| (span.from_ms..span.to_ms).contains(&started_ms));
     during.map(|span| span.to_ms).max().unwrap_or(started_ms)
 }
@@ -175,10 +144,10 @@
 
 fn loses_witness(span: &FaultSpan, spans: &[FaultSpan]) -> bool {
     let is_beside = |other: &FaultSpan| other.from_ms <= span.to_ms && other.to_ms >= span.from_ms;
-    match span.fault {
-        SoakFault::Kill { .. } => true,
-        SoakFault::PlannedStop { .. } | SoakFault::HastyStop { .. } => {
-            spans.iter().any(|other| is_store_trouble(&other.fault) && is_beside(other))
+    match span.fault.group() {
+        FaultGroup::Kill => true,
+        FaultGroup::Stop => {
+            spans.iter().any(|other| other.fault.group() == FaultGroup::Store && is_beside(other))
         }
         _ => false,
     }
--- a/crates/seamhatch-lab/src/soak/stops.rs
+++ b/crates/seamhatch-lab/src/soak/stops.rs
@@ -2,7 +2,7 @@
 
 use super::checks::{NOT_RUN, Promise, Violation, executed, violation};
 use super::exchanges::{Exchange, exchanges};
-use super::fault::SoakFault;
+use super::fault::{FaultGroup, SoakFault};
 use super::fleet::DaemonIndex;
 use super::history::{HistoryEvent, RequestName, SeenAnswer, SoakMillis};
 use super::spans::{FaultSpan, fault_spans};
@@ -97,27 +97,7 @@
     beside.all(|other| is_gentle(&other.fault)).then_some(StopCompany::Gentle)
 }
 
+/// Whether requests in progress go on beside this fault.
 fn is_gentle(fault: &SoakFault) -> bool {
-    match fault {
-        SoakFault::PlannedStop { .. }
-        | SoakFault::HastyStop { .. }
-        | SoakFault::Reload { .. }
-        | SoakFault::Configuration { .. }
-        | SoakFault::StoreOut
-        | SoakFault::StoreSlow { .. }
-        | SoakFault::StoreThrottled { .. }
-        | SoakFault::StoreLosesAnswers { .. }
-        | SoakFault::MachinesOut => true,
-        SoakFault::Kill { .. }
-        | SoakFault::Pause { .. }
-        | SoakFault::Cut { .. }
-        | SoakFault::Reset { .. }
-        | SoakFault::Delay { .. }
-        | SoakFault::ServerSlow { .. }
-        | SoakFault::ServerFails { .. }
-        | SoakFault::ServerCuts { .. }
-        | SoakFault::ServerForges { .. }
-        | SoakFault::ServerCrash { .. }
-        | SoakFault::DeadlyRequest { .. } => false,
-    }
+    matches!(fault.group(), FaultGroup::Stop | FaultGroup::Store | FaultGroup::Control)
 }
