--- a/crates/seamhatch-lab/src/soak/injection.rs
+++ b/crates/seamhatch-lab/src/soak/injection.rs
@@ -5,6 +5,7 @@
 use crate::backends::Behaviour;
 use crate::deployment::Deployment;
 use crate::fault_proxy::Rule;
+use crate::platform::PlatformFaults;
 use crate::process::write_settings;
 use rustix::process::Signal;
 use std::net::Ipv4Addr;
@@ -64,7 +65,7 @@
     fault: SoakFault,
 ) -> std::io::Result<BegunFault> {
     let struck = fault.daemons().into_iter().map(|daemon| lives.of(daemon)).collect();
-    strike(deployment, &fault)?;
+    inject(deployment, &fault)?;
     Ok(BegunFault { fault, struck })
 }
 
@@ -73,7 +74,7 @@
     signal(deployment, daemon, Signal::TERM);
 }
 
-fn strike(deployment: &mut Deployment, fault: &SoakFault) -> std::io::Result<()> {
+fn inject(deployment: &mut Deployment, fault: &SoakFault) -> std::io::Result<()> {
     match fault {
         SoakFault::Kill { daemons } => {
             daemons.iter().for_each(|&daemon| deployment.daemons[daemon].kill());
@@ -90,29 +91,17 @@
         SoakFault::Delay { daemon, delay_ms } => {
             between(deployment, *daemon, Rule::Delay(Duration::from_millis(*delay_ms)));
         }
-        SoakFault::StoreOut => deployment.platform.set_faults(|faults| faults.store_out = true),
-        SoakFault::StoreSlow { delay_ms } => {
-            deployment.platform.set_faults(|faults| faults.delay = Duration::from_millis(*delay_ms));
-        }
-        SoakFault::StoreThrottled { per_second } => {
-            deployment.platform.set_faults(|faults| faults.rate_limit = Some(*per_second));
-        }
-        SoakFault::StoreLosesAnswers { writes } => {
-            deployment.platform.set_faults(|faults| faults.lose_write_answers = *writes);
-        }
-        SoakFault::MachinesOut => deployment.platform.set_faults(|faults| faults.machines_out = true),
-        SoakFault::ServerSlow { daemon, percent } => {
-            behaviour(deployment, *daemon).slowdown_percent.store(*percent, Ordering::Relaxed);
-        }
-        SoakFault::ServerFails { daemon } => {
-            behaviour(deployment, *daemon).failing.store(true, Ordering::Relaxed);
-        }
-        SoakFault::ServerCuts { daemon } => {
-            behaviour(deployment, *daemon).cuts_answers.store(true, Ordering::Relaxed);
-        }
-        SoakFault::ServerForges { daemon } => {
-            behaviour(deployment, *daemon).forges_outcome.store(true, Ordering::Relaxed);
+        SoakFault::StoreOut
+        | SoakFault::StoreSlow { .. }
+        | SoakFault::StoreThrottled { .. }
+        | SoakFault::StoreLosesAnswers { .. }
+        | SoakFault::MachinesOut => {
+            deployment.platform.set_faults(|faults| set_platform_fault(faults, fault, true));
         }
+        SoakFault::ServerSlow { daemon, .. }
+        | SoakFault::ServerFails { daemon }
+        | SoakFault::ServerCuts { daemon }
+        | SoakFault::ServerForges { daemon } => misbehave(&behaviour(deployment, *daemon), fault),
         SoakFault::ServerCrash { daemon } => deployment.relays().crash(deployment.machines[*daemon].ip),
         // Submitted or sent by the run itself, which records what became of it.
         SoakFault::Configuration { .. } | SoakFault::DeadlyRequest { .. } => {}
@@ -143,13 +132,13 @@
         SoakFault::Cut { daemon, .. } | SoakFault::Reset { daemon } | SoakFault::Delay { daemon, .. } => {
             between(deployment, *daemon, Rule::Pass);
         }
-        SoakFault::StoreOut => deployment.platform.set_faults(|faults| faults.store_out = false),
-        SoakFault::StoreSlow { .. } => deployment.platform.set_faults(|faults| faults.delay = Duration::ZERO),
-        SoakFault::StoreThrottled { .. } => deployment.platform.set_faults(|faults| faults.rate_limit = None),
-        SoakFault::StoreLosesAnswers { .. } => {
-            deployment.platform.set_faults(|faults| faults.lose_write_answers = 0);
+        SoakFault::StoreOut
+        | SoakFault::StoreSlow { .. }
+        | SoakFault::StoreThrottled { .. }
+        | SoakFault::StoreLosesAnswers { .. }
+        | SoakFault::MachinesOut => {
+            deployment.platform.set_faults(|faults| set_platform_fault(faults, &begun.fault, false));
         }
-        SoakFault::MachinesOut => deployment.platform.set_faults(|faults| faults.machines_out = false),
         SoakFault::ServerSlow { daemon, .. }
         | SoakFault::ServerFails { daemon }
         | SoakFault::ServerCuts { daemon }
@@ -213,6 +202,35 @@
     Ok(())
 }
 
+/// Makes a fault of the platform begin or end.
+fn set_platform_fault(faults: &mut PlatformFaults, fault: &SoakFault, active: bool) {
+    match fault {
+        SoakFault::StoreOut => faults.store_out = active,
+        SoakFault::StoreSlow { delay_ms } => {
+            faults.delay = if active { Duration::from_millis(*delay_ms) } else { Duration::ZERO };
+        }
+        SoakFault::StoreThrottled { per_second } => faults.rate_limit = active.then_some(*per_second),
+        SoakFault::StoreLosesAnswers { writes } => {
+            faults.lose_write_answers = if active { *writes } else { 0 }
+        }
+        SoakFault::MachinesOut => faults.machines_out = active,
+        other => unreachable!("{other:?} is no fault of the platform"),
+    }
+}
+
+/// Makes a fault of a back end begin.
+fn misbehave(behaviour: &Behaviour, fault: &SoakFault) {
+    match fault {
+        SoakFault::ServerSlow { percent, .. } => {
+            behaviour.slowdown_percent.store(*percent, Ordering::Relaxed);
+        }
+        SoakFault::ServerFails { .. } => behaviour.failing.store(true, Ordering::Relaxed),
+        SoakFault::ServerCuts { .. } => behaviour.cuts_answers.store(true, Ordering::Relaxed),
+        SoakFault::ServerForges { .. } => behaviour.forges_outcome.store(true, Ordering::Relaxed),
+        other => unreachable!("{other:?} is no fault of a back end"),
+    }
+}
+
 fn behaviour(deployment: &Deployment, daemon: DaemonIndex) -> Arc<Behaviour> {
     deployment.backends.behaviour(&deployment.machines[daemon])
 }
