--- /dev/null
+++ b/crates/seamhatch-lab/src/soak/command.rs
@@ -0,0 +1,248 @@
+//! The command `seamhatch-lab soak`: reads its arguments, runs one plan after the other, and decides the exit code.
+
+use super::checks::{Promise, Violation, check};
+use super::fleet::{SERVERS, SoakFleet};
+use super::history;
+use super::output::{
+    PLAN_FILE, SMALLEST_FILE, keep_plan, keep_record, print_answers, print_kept, print_violations,
+};
+use super::plan::SoakPlan;
+use super::runner::{self, SoakRecord, fleet};
+use super::shrink;
+use pico_args::Arguments;
+use std::collections::BTreeSet;
+use std::ffi::OsString;
+use std::fmt::Display;
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+use std::str::FromStr;
+
+const HELP: &str = "\
+seamhatch-lab soak [--seconds N] [--seed S] [--daemons N] [--seeds N] [--shrink] [--keep DIRECTORY] [--plan]
+seamhatch-lab soak --replay FILE [--shrink] [--keep DIRECTORY] [--plan]
+seamhatch-lab soak --check HISTORY
+
+Starts the claims platform in small, sends load, brings faults about that are drawn from the
+seed (or stand in FILE), and checks what callers, back ends and operators saw.
+
+  --seconds N        length of the load (60)
+  --seed S           what the plan is drawn from (drawn)
+  --daemons N        daemons, as many for each of the four services (8)
+  --seeds N          N plans one after the other, of the seeds from S on, or each of a drawn one
+  --replay FILE      a plan that was printed before
+  --shrink           drop faults of a plan that fails while it goes on failing; the smallest is kept
+  --keep DIRECTORY   where plan, history and logs of a soak that fails are kept (soak-SEED);
+                     with --seeds, a directory for each seed in it
+  --plan             print the plan and end
+  --check HISTORY    check a history that was kept
+
+Exit codes: 0 all promises kept, 1 a promise broken or the soak failed, 2 wrong arguments.
+Example: seamhatch-lab soak --seconds 120 --seed 7
+";
+
+/// Length of a soak's load, in seconds.
+const SECONDS: u64 = 60;
+/// Daemons of a soak.
+const DAEMONS: usize = 8;
+/// Most servers of a service. Each two daemons take up to four sockets of the proxy between them: 80 daemons 12,640
+/// of the 20,000 files that a process may usually have open.
+const MOST_SERVERS: u8 = 20;
+/// Plans that are tried to find that; each takes as long as the whole one.
+const MOST_TRIES: usize = 40;
+const EXIT_ARGUMENTS: u8 = 2;
+
+/// What to do.
+struct SoakOptions {
+    plans: Vec<SoakPlan>,
+    /// Where failures are kept; each in a directory named after its seed, unless it is the only one.
+    keep: Option<PathBuf>,
+    shrink: bool,
+    print_only: bool,
+}
+
+/// Runs a soak, or checks the history of one.
+pub fn run(arguments: Vec<OsString>) -> ExitCode {
+    let mut arguments = Arguments::from_vec(arguments);
+    if arguments.contains(["-h", "--help"]) {
+        print!("{HELP}");
+        return ExitCode::SUCCESS;
+    }
+    match arguments.opt_value_from_str::<_, PathBuf>("--check") {
+        Ok(Some(path)) => return check_file(&path),
+        Ok(None) => {}
+        Err(error) => return unusable(&error.to_string()),
+    }
+    match options(arguments) {
+        Ok(options) if options.print_only => {
+            options.plans.iter().for_each(|plan| print!("{}", plan.to_text()));
+            ExitCode::SUCCESS
+        }
+        Ok(options) => soak_all(&options),
+        Err(problem) => unusable(&problem),
+    }
+}
+
+fn unusable(problem: &str) -> ExitCode {
+    eprintln!("seamhatch-lab: {problem}; see seamhatch-lab soak --help");
+    ExitCode::from(EXIT_ARGUMENTS)
+}
+
+fn options(mut arguments: Arguments) -> Result<SoakOptions, String> {
+    let replay: Option<PathBuf> = option(&mut arguments, "--replay")?;
+    let plans = match replay {
+        Some(path) => {
+            let plan = SoakPlan::read(&path, fleet(SERVERS).services);
+            vec![plan.map_err(|error| error.to_string())?]
+        }
+        None => drawn_plans(&mut arguments)?,
+    };
+    let keep = option(&mut arguments, "--keep")?;
+    let shrink = arguments.contains("--shrink");
+    let print_only = arguments.contains("--plan");
+    if let Some(unknown) = arguments.finish().first() {
+        return Err(format!("unknown argument {unknown:?}"));
+    }
+    Ok(SoakOptions { plans, keep, shrink, print_only })
+}
+
+fn drawn_plans(arguments: &mut Arguments) -> Result<Vec<SoakPlan>, String> {
+    let seconds = option(arguments, "--seconds")?.unwrap_or(SECONDS);
+    let first: Option<u64> = option(arguments, "--seed")?;
+    let count: u64 = option(arguments, "--seeds")?.unwrap_or(1);
+    let daemons: usize = option(arguments, "--daemons")?.unwrap_or(DAEMONS);
+    let fleet = fleet_of(daemons)?;
+    // A seed that fits into a plan file, whose numbers have a sign.
+    let seed = |number: u64| first.map_or_else(|| rand::random::<u64>() >> 1, |first| first + number);
+    Ok((0..count).map(|number| SoakPlan::draw(seed(number), seconds, fleet)).collect())
+}
+
+fn fleet_of(daemons: usize) -> Result<SoakFleet, String> {
+    let services = fleet(SERVERS).services;
+    let servers =
+        u8::try_from(daemons / services).ok().filter(|servers| (1..=MOST_SERVERS).contains(servers));
+    let servers = servers.filter(|servers| usize::from(*servers) * services == daemons);
+    let most = services * usize::from(MOST_SERVERS);
+    servers.map(fleet).ok_or(format!("--daemons is {daemons}, not a multiple of {services} up to {most}"))
+}
+
+fn option<T: FromStr<Err: Display>>(
+    arguments: &mut Arguments,
+    name: &'static str,
+) -> Result<Option<T>, String> {
+    arguments.opt_value_from_str(name).map_err(|error| error.to_string())
+}
+
+fn soak_all(options: &SoakOptions) -> ExitCode {
+    let single = options.plans.len() == 1;
+    let mut failed = Vec::new();
+    for plan in &options.plans {
+        let name = format!("soak-{}", plan.seed);
+        let directory = match &options.keep {
+            Some(directory) if single => directory.clone(),
+            Some(directory) => directory.join(name),
+            None => PathBuf::from(name),
+        };
+        let end = soak(plan, &directory);
+        if let SoakEnd::Broken(promises) = &end
+            && options.shrink
+        {
+            print_kept(&directory, shrink_into(&directory, plan, promises));
+        }
+        if end != SoakEnd::Kept {
+            failed.push((plan.seed, directory));
+        }
+    }
+    if !single {
+        println!("{} soaks, {} failed", options.plans.len(), failed.len());
+        for (seed, directory) in &failed {
+            println!("  seed {seed}: its plan is {}", directory.join(PLAN_FILE).display());
+        }
+    }
+    if failed.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+}
+
+/// How a soak ended.
+#[derive(Debug, Clone, PartialEq, Eq)]
+enum SoakEnd {
+    /// All promises were kept.
+    Kept,
+    /// These were broken.
+    Broken(BTreeSet<Promise>),
+    /// It did not run to its end.
+    Unfinished,
+}
+
+/// Plays a plan and judges what was seen. What is to be kept of a failure goes into the directory.
+fn soak(plan: &SoakPlan, directory: &Path) -> SoakEnd {
+    println!("seed {}, {} s, {} faults:\n{}", plan.seed, plan.seconds, plan.faults.len(), plan.to_text());
+    let record = match played(plan) {
+        Ok(record) => record,
+        Err(problem) => {
+            eprintln!("seamhatch-lab: the soak of seed {} did not run to its end: {problem}", plan.seed);
+            print_kept(directory, keep_plan(directory, plan));
+            return SoakEnd::Unfinished;
+        }
+    };
+    print_answers(&record.history);
+    let violations = check(&record.history);
+    if violations.is_empty() {
+        println!("seed {}: all promises kept", plan.seed);
+        return SoakEnd::Kept;
+    }
+    println!("seed {}: {} violations", plan.seed, violations.len());
+    print_violations(&violations);
+    print_kept(directory, keep_plan(directory, plan).and_then(|()| keep_record(directory, &record)));
+    SoakEnd::Broken(promises_of(&violations))
+}
+
+fn promises_of(violations: &[Violation]) -> BTreeSet<Promise> {
+    violations.iter().map(|violation| violation.promise).collect()
+}
+
+/// Keeps the smallest part of the plan that breaks one of these promises.
+fn shrink_into(directory: &Path, plan: &SoakPlan, promises: &BTreeSet<Promise>) -> std::io::Result<()> {
+    let shrunk = shrink::shrink(plan, MOST_TRIES, |smaller| {
+        let broken = played(smaller).map(|record| promises_of(&check(&record.history))).unwrap_or_default();
+        let fails = !broken.is_disjoint(promises);
+        println!("with {} faults: {}", smaller.faults.len(), if fails { "fails" } else { "does not fail" });
+        fails
+    });
+    let known = if shrunk.complete { "no fault of it can be dropped" } else { "given up" };
+    println!(
+        "{} of {} faults left after {} tries, {known}",
+        shrunk.plan.faults.len(),
+        plan.faults.len(),
+        shrunk.tries
+    );
+    std::fs::write(directory.join(SMALLEST_FILE), shrunk.plan.to_text())
+}
+
+/// Plays a plan; the deployment's processes end with this, also when it is interrupted.
+fn played(plan: &SoakPlan) -> Result<SoakRecord, String> {
+    let program = std::env::current_exe().map_err(|error| error.to_string())?;
+    let runtime = tokio::runtime::Runtime::new().map_err(|error| error.to_string())?;
+    runtime.block_on(async {
+        let playing = tokio::spawn({
+            let plan = plan.clone();
+            async move { runner::run_plan(&plan, program).await }
+        });
+        tokio::select! {
+            record = playing => record.map_err(|error| error.to_string())?,
+            _ = tokio::signal::ctrl_c() => Err("interrupted".into()),
+        }
+    })
+}
+
+fn check_file(path: &Path) -> ExitCode {
+    let text = match std::fs::read_to_string(path) {
+        Ok(text) => text,
+        Err(error) => return unusable(&format!("{} can't be read: {error}", path.display())),
+    };
+    let history = match history::from_lines(&text) {
+        Ok(history) => history,
+        Err(error) => return unusable(&error.to_string()),
+    };
+    let violations = check(&history);
+    print_violations(&violations);
+    if violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+}
--- a/crates/seamhatch-lab/src/soak/run.rs
+++ b/crates/seamhatch-lab/src/soak/runner.rs
@@ -52,7 +52,7 @@
 ///
 /// # Errors
 /// The deployment can't be started, or a fault can't be brought about.
-pub async fn run(plan: &SoakPlan, program: PathBuf) -> Result<SoakRecord, String> {
+pub async fn run_plan(plan: &SoakPlan, program: PathBuf) -> Result<SoakRecord, String> {
     let options =
         DeploymentOptions { program, log_level: "info".into(), proxied: true, mode: CallMode::ThroughDaemon };
     let mut deployment = Deployment::start_ready(topology(plan.servers), &options).await?;
