--- a/crates/seamhatch-lab/src/soak/checks.rs
+++ b/crates/seamhatch-lab/src/soak/checks.rs
@@ -6,7 +6,7 @@
 use super::load::DEADLY_PREFIX;
 use super::no_server::servers_are_found;
 use super::stops::stops_cut_nothing;
-use crate::backends::DEADLY;
+use crate::backends::DEADLY_PATH;
 use seamhatch_core::outcome::Reason;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -184,7 +184,7 @@
     let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
     for event in history {
         if let HistoryEvent::Executed { call, .. } = event
-            && call.contains(DEADLY)
+            && call.contains(DEADLY_PATH)
         {
             *runs.entry(call).or_default() += 1;
         }
--- a/crates/seamhatch-lab/src/soak/load.rs
+++ b/crates/seamhatch-lab/src/soak/load.rs
@@ -4,7 +4,7 @@
 use super::history::{HistoryEvent, SeenAnswer};
 use super::plan::SoakPlan;
 use super::recorder::Recorder;
-use crate::backends::DEADLY;
+use crate::backends::DEADLY_PATH;
 use crate::client::{Caller, CallerAnswer, CallerRequest};
 use crate::connection::CallerConnection;
 use crate::load::{draw_kind, exponential};
@@ -94,7 +94,7 @@
     #[must_use]
     pub fn deadly(topology: &Topology, kind: &RequestKind, number: u64, copy: usize) -> Self {
         let request = Self::new(topology, kind, format!("{DEADLY_PREFIX}{number}-{copy}"));
-        let path = format!("{}{DEADLY}{number}", kind.path);
+        let path = format!("{}{DEADLY_PATH}{number}", kind.path);
         Self { request: CallerRequest { path, key: None, ..request.request }, ..request }
     }
 
