--- a/crates/seamhatch-lab/src/deployment/mod.rs
+++ b/crates/seamhatch-lab/src/deployment/mod.rs
@@ -188,9 +188,8 @@
     platform: Address,
     directory: &Path,
 ) -> DaemonOptions {
-    let seed = |machine: &Machine| match options.proxied {
-        true => fault_proxy::advertised(machine).gossip,
-        false => machine.gossip(),
+    let seed = |machine: &Machine| {
+        if options.proxied { fault_proxy::advertised(machine).gossip } else { machine.gossip() }
     };
     DaemonOptions {
         program: options.program.clone(),
--- a/crates/seamhatch-lab/src/platform.rs
+++ b/crates/seamhatch-lab/src/platform.rs
@@ -1,6 +1,8 @@
-//! Stand-in for the platform: a key-value service that speaks the JSON form of
-//! the etcd v3 protocol as far as the daemons use it, and a machine list.
-//! Both can fail in the ways the users describe.
+//! Stand-in for the platform: a key-value store that speaks the JSON form of the etcd v3 protocol as far as daemons use it,
+//! and a machine list.
+//!
+//! Owns the content of both, in memory, and the faults that are active. Daemons read and write it over HTTP; tests and the
+//! soak change the faults, the machines and, as after a restored backup, the content.
 
 use crate::http_stand_in::{HttpStandIn, StandInRequest, text_response};
 use base64::Engine as _;
@@ -15,20 +17,21 @@
 use std::time::{Duration, Instant};
 use xitca_web::http::WebResponse;
 
+/// Port of the key-value store, as etcd has it.
 const STORE_PORT: u16 = 2379;
 
-/// Ways in which the platform fails.
+/// Faults of the platform that are active.
 #[derive(Debug, Clone, Default)]
 pub struct PlatformFaults {
-    /// Every request to the key-value service fails.
+    /// Every request to the store is answered 503.
     pub store_out: bool,
-    /// So many writes are carried out without their answer being sent.
+    /// The next so many writes are carried out and answered 504.
     pub lose_write_answers: u32,
-    /// Each answer takes so much longer.
+    /// Each answer comes this much later.
     pub delay: Duration,
-    /// Requests a second, none for no limit.
+    /// Requests a second that the store answers, none for no limit; those beyond get 429.
     pub rate_limit: Option<u32>,
-    /// The machine list can't be read.
+    /// The machine list is answered 503.
     pub machines_out: bool,
 }
 
@@ -38,7 +41,7 @@
     revision: u64,
 }
 
-/// A copy of the store's content.
+/// A copy of the store's content, as a backup holds it.
 #[derive(Debug, Clone, Default)]
 pub struct StoreCopy {
     values: BTreeMap<Vec<u8>, StoredValue>,
@@ -64,7 +67,7 @@
 type Shared = Arc<Mutex<State>>;
 
 impl Platform {
-    /// Starts it at this machine address.
+    /// Starts it at this machine's address.
     ///
     /// # Errors
     /// The address can't be bound.
@@ -77,7 +80,7 @@
         Ok(Self { address, state, _server: server })
     }
 
-    /// Address of the key-value service and of the machine list.
+    /// Address of the store and of the machine list.
     #[must_use]
     pub fn address(&self) -> Address {
         self.address
@@ -88,23 +91,23 @@
         change(&mut self.lock().faults);
     }
 
-    /// Puts a machine on the list, as live.
+    /// Lists a machine as live.
     pub fn list_machine(&self, ip: Ipv4Addr) {
         self.lock().machines.insert(ip, "live");
     }
 
-    /// Marks a machine as leaving.
-    pub fn machine_leaves(&self, ip: Ipv4Addr) {
+    /// Lists a machine as leaving.
+    pub fn list_leaving_machine(&self, ip: Ipv4Addr) {
         self.lock().machines.insert(ip, "leaving");
     }
 
-    /// Copies the content.
+    /// A copy of the store's content.
     #[must_use]
     pub fn copy(&self) -> StoreCopy {
         StoreCopy { values: self.lock().values.clone() }
     }
 
-    /// Puts an earlier copy back, as after a restored backup.
+    /// Replaces the store's content by an earlier copy; revisions go on from the present one.
     pub fn restore(&self, copy: StoreCopy) {
         let mut state = self.lock();
         state.revision += 1;
@@ -198,6 +201,7 @@
         Answer::Json(list.collect())
     }
 
+    /// Counts a request against the rate limit, in windows of a second.
     fn within_rate(&mut self) -> bool {
         let Some(limit) = self.faults.rate_limit else { return true };
         let now = Instant::now();
@@ -210,6 +214,7 @@
         self.window_requests <= limit
     }
 
+    /// Reads one key; none when the request can't be read.
     fn range(&self, body: &[u8]) -> Option<Answer> {
         let request: RangeRequest = serde_json::from_slice(body).ok()?;
         let key = STANDARD.decode(&request.key).ok()?;
@@ -224,6 +229,7 @@
         Some(Answer::Json(json!({ "kvs": kvs, "count": kvs.len().to_string() })))
     }
 
+    /// Writes all keys if all comparisons hold; none when the request can't be read.
     fn transaction(&mut self, body: &[u8]) -> Option<Answer> {
         let request: TxnRequest = serde_json::from_slice(body).ok()?;
         for compare in &request.compare {
--- a/crates/seamhatch-lab/tests/leaving.rs
+++ b/crates/seamhatch-lab/tests/leaving.rs
@@ -75,7 +75,7 @@
     let (deployment, _turn) = start(pool(), false).await;
     let last = measure(&deployment, async |deployment| {
         deployment.platform.set_faults(|faults| faults.store_out = true);
-        deployment.platform.machine_leaves(deployment.daemons[LEAVING].machine.ip);
+        deployment.platform.list_leaving_machine(deployment.daemons[LEAVING].machine.ip);
     })
     .await;
     println!("machine list: last new work after {last:?}");
@@ -109,7 +109,7 @@
     let (deployment, _turn) = start(pool(), false).await;
     let last = measure(&deployment, async |deployment| {
         deployment.daemons[LEAVING].signal(Signal::STOP).expect("runs");
-        deployment.platform.machine_leaves(deployment.daemons[LEAVING].machine.ip);
+        deployment.platform.list_leaving_machine(deployment.daemons[LEAVING].machine.ip);
     })
     .await;
     println!("frozen daemon: last new work after {last:?}");
