--- a/crates/seamhatch-lab/src/topology.rs
+++ b/crates/seamhatch-lab/src/topology/mod.rs
@@ -1,8 +1,14 @@
-//! The users' deployments in numbers: services, servers, slots, zones and call graphs.
+//! What a deployment consists of: services with their servers and slots, zones, call graphs, and the requests from outside.
+//!
+//! [`Topology`] is plain data. The two users' deployments are in `harvest` and `senvang`; tests build others with
+//! [`service`], [`endpoint`] and [`call`].
+
+mod harvest;
+mod senvang;
 
 use std::time::Duration;
 
-/// A call that a back end makes while it answers.
+/// A call that a back end makes before it answers.
 #[derive(Debug, Clone)]
 pub struct ChildCall {
     /// HTTP method.
@@ -71,9 +77,6 @@
     pub document: String,
 }
 
-const HARVEST_DOCUMENT: &str = include_str!("../documents/harvest.toml");
-const SENVANG_DOCUMENT: &str = include_str!("../documents/senvang.toml");
-
 /// A call to a service.
 #[must_use]
 pub fn call(method: &str, service: &str, endpoint: &str) -> ChildCall {
@@ -103,113 +106,8 @@
 }
 
 impl Topology {
-    /// The Harvest Claims Platform: a status lookup passes claimstatus,
-    /// evidence and fieldbook; a payout passes settlement, evidence and fieldbook.
-    #[must_use]
-    pub fn harvest() -> Self {
-        Self {
-            cluster: "harvest",
-            region: "mellansverige",
-            zones: vec!["hall-a", "hall-b", "hall-c", "hall-d"],
-            services: vec![
-                service(
-                    "claimstatus",
-                    5,
-                    6,
-                    vec![endpoint("lookup", 4, 600, vec![call("GET", "evidence", "summary")])],
-                ),
-                service(
-                    "settlement",
-                    4,
-                    8,
-                    vec![endpoint(
-                        "payouts",
-                        6,
-                        300,
-                        vec![call("GET", "evidence", "summary"), call("POST", "fieldbook", "entries")],
-                    )],
-                ),
-                service(
-                    "evidence",
-                    4,
-                    9,
-                    vec![
-                        endpoint("summary", 4, 800, vec![call("GET", "fieldbook", "record")]),
-                        endpoint("packet", 20, 200_000, vec![call("GET", "fieldbook", "record")]),
-                    ],
-                ),
-                service(
-                    "fieldbook",
-                    4,
-                    10,
-                    vec![endpoint("record", 5, 500, vec![]), endpoint("entries", 5, 100, vec![])],
-                ),
-            ],
-            kinds: vec![
-                kind("status lookup", "GET", "/status/lookup", 0.62, false),
-                kind("field record", "GET", "/records/record", 0.18, false),
-                kind("payout decision", "POST", "/payouts/payouts", 0.08, true),
-                kind("packet download", "GET", "/packets/packet", 0.12, false),
-            ],
-            document: HARVEST_DOCUMENT.to_owned(),
-        }
-    }
-
-    /// The Sen Vàng photo agency: a purchase passes license-desk, hires-desk
-    /// and caption-desk.
-    #[must_use]
-    pub fn senvang() -> Self {
-        Self {
-            cluster: "senvang",
-            region: "hanoi",
-            zones: vec!["hn-a", "hn-b", "hn-c"],
-            services: vec![
-                service(
-                    "search-desk",
-                    6,
-                    13,
-                    vec![endpoint("find", 6, 2_000, vec![call("GET", "caption-desk", "captions")])],
-                ),
-                service(
-                    "license-desk",
-                    4,
-                    16,
-                    vec![endpoint(
-                        "purchase",
-                        8,
-                        300,
-                        vec![call("POST", "hires-desk", "grants"), call("GET", "caption-desk", "captions")],
-                    )],
-                ),
-                service(
-                    "hires-desk",
-                    3,
-                    20,
-                    vec![
-                        endpoint("grants", 6, 100, vec![call("POST", "caption-desk", "credits")]),
-                        endpoint("file", 25, 400_000, vec![]),
-                    ],
-                ),
-                service(
-                    "caption-desk",
-                    3,
-                    23,
-                    vec![endpoint("captions", 5, 700, vec![]), endpoint("credits", 5, 100, vec![])],
-                ),
-            ],
-            kinds: vec![
-                kind("search", "GET", "/search/find", 0.60, false),
-                kind("caption", "GET", "/captions/captions", 0.20, false),
-                kind("licence sale", "POST", "/licenses/purchase", 0.08, true),
-                kind("file download", "GET", "/files/file", 0.12, false),
-            ],
-            document: SENVANG_DOCUMENT.to_owned(),
-        }
-    }
-
-    /// Services `s1` to `sN`, each calling the next one `fan_out` times under
-    /// different paths: one request becomes `fan_out` to the power of `depth - 1`
-    /// calls at the end. Every method may be repeated but POST.
+    /// Services `s1` to `sN`, each calling the next one `fan_out` times under different paths: one request becomes `fan_out` to
+    /// the power of `depth - 1` calls at the end. All requests but POST may be repeated, with `retries` tokens each.
     #[must_use]
     pub fn chain(depth: usize, fan_out: usize, servers: u8, retries: u32) -> Self {
         let endpoints = |level: usize| {
@@ -237,7 +135,7 @@
         }
     }
 
-    /// The same with at most `servers` servers a service.
+    /// The same with at most this many servers for each service.
     #[must_use]
     pub fn in_small(mut self, servers: u8) -> Self {
         for service in &mut self.services {
@@ -246,7 +144,7 @@
         self
     }
 
-    /// The same with `servers` servers a service, no more and no fewer.
+    /// The same with exactly this many servers for each service.
     #[must_use]
     pub fn with_servers(mut self, servers: u8) -> Self {
         for service in &mut self.services {
@@ -263,8 +161,8 @@
         self.services.iter().find(serves).map(|service| service.name.as_str())
     }
 
-    /// The same with each back end's own work taking `factor` times as long, so
-    /// that slots and not this machine's processors are the limit.
+    /// The same with each back end's own work taking `factor` times as long, so that slots are the limit and not this
+    /// machine's processors.
     #[must_use]
     pub fn with_work_times(mut self, factor: u32) -> Self {
         let endpoints = self.services.iter_mut().flat_map(|service| &mut service.endpoints);
