--- a/crates/seamhatch-lab/src/backends/mod.rs
+++ b/crates/seamhatch-lab/src/backends/mod.rs
@@ -29,7 +29,7 @@
 pub const CALL_HEADER: &str = "x-call";
 /// A path with this part crashes each back end that runs the request and has a relay.
 pub const DEADLY_PATH: &str = "/deadly-";
-/// Threads that serve all back ends of a deployment. Chosen, not measured: back ends mostly sleep.
+/// Threads that serve all back ends of a deployment. Chosen, not measured.
 const THREADS: usize = 2;
 
 /// One run of a request in a back end.
--- a/crates/seamhatch-lab/src/backends/server.rs
+++ b/crates/seamhatch-lab/src/backends/server.rs
@@ -22,7 +22,7 @@
 const TRAIL_HEADER: &str = "x-trail";
 /// How long a request that crashes its back end runs. Chosen, not measured.
 const TIME_TO_CRASH: Duration = Duration::from_millis(10);
-/// How long a crashed back end is away. Chosen, not measured: longer than daemons need to notice.
+/// How long a crashed back end is away. Chosen, not measured.
 const AWAY: Duration = Duration::from_millis(600);
 /// Longest wait for a call of a back end without any overload control. Chosen, not measured.
 const DIRECT_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/seamhatch-lab/src/bodies.rs
+++ b/crates/seamhatch-lab/src/bodies.rs
@@ -1,9 +1,10 @@
-//! Answer bodies that prove whose they are: a line with the request, filler
-//! made from it, and a checksum at the end.
+//! Answer bodies that prove which request they answer: a line with the request, filler made from it, and a checksum at the end.
+//!
+//! Back ends make them; callers and back ends that call others check them.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bytes of the checksum in text.
+/// Bytes of the checksum, a 64-bit number in hexadecimal.
 const CHECKSUM: usize = 16;
 
 /// The body of about `size` bytes that answers `request` at `path`.
--- a/crates/seamhatch-lab/src/client.rs
+++ b/crates/seamhatch-lab/src/client.rs
@@ -1,4 +1,6 @@
-//! A caller: sends a request and judges the answer.
+//! A caller: sends a request over any connection, reads the whole answer, and checks that it answers this request.
+//!
+//! [`crate::connection`] does the same over one connection that is kept; both share how a request is written and an answer read.
 
 use crate::backends::{CALL_HEADER, REQUEST_HEADER};
 use crate::bodies;
@@ -11,7 +13,7 @@
 use seamhatchd::server::backend::{HttpClient, http_client};
 use std::time::Duration;
 
-/// Longest wait for an answer.
+/// Longest wait for an answer. Chosen, not measured.
 pub(crate) const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// What a caller sends.
@@ -21,20 +23,20 @@
     pub method: &'static str,
     /// Path.
     pub path: String,
-    /// The caller's name of the request.
+    /// The caller's name of the request, given back in a good answer.
     pub request: String,
-    /// Idempotency key.
+    /// Idempotency key, if the request may run once at most.
     pub key: Option<String>,
 }
 
 /// What a caller got.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerAnswer {
-    /// HTTP status, zero when none came.
+    /// HTTP status; 0 when no answer came.
     pub status: u16,
-    /// `Seamhatch-Outcome`.
+    /// `Seamhatch-Outcome`; empty when the field is missing.
     pub outcome: String,
-    /// `Seamhatch-Reason`.
+    /// `Seamhatch-Reason`, or why no answer came.
     pub reason: String,
     /// `Retry-After` in seconds.
     pub retry_after: Option<u64>,
@@ -43,7 +45,7 @@
 }
 
 impl CallerAnswer {
-    /// A complete, correct answer.
+    /// Whether this is a complete, correct answer.
     #[must_use]
     pub fn is_good(&self) -> bool {
         self.status == 200 && self.whole
@@ -86,7 +88,7 @@
     }
 }
 
-/// The request as HTTP, to this target; none when it can't be written so.
+/// The request as an HTTP message to this target; none when the target is no URI.
 pub(crate) fn request_message(target: &str, request: &CallerRequest) -> Option<Request<Full<Bytes>>> {
     let mut message = Request::builder()
         .method(request.method)
@@ -99,7 +101,7 @@
     message.body(Full::new(Bytes::new())).ok()
 }
 
-/// Reads an answer to its end and judges it.
+/// Reads an answer to its end and checks whose it is.
 pub(crate) async fn read_answer(response: Response<Incoming>, request: &CallerRequest) -> CallerAnswer {
     let (parts, body) = response.into_parts();
     let text = |name: &str| field(&parts.headers, name);
--- a/crates/seamhatch-lab/src/conventions.rs
+++ b/crates/seamhatch-lab/src/conventions.rs
@@ -1,4 +1,6 @@
-//! The product's conventions with the caller's names of requests, so that logs tell these.
+//! The product's HTTP conventions, with the emulator's names of requests and calls in the daemons' logs.
+//!
+//! The emulator's `daemon` command runs with these; everything but the names is [`OwnConventions`].
 
 use crate::backends::CALL_HEADER;
 use bytes::Bytes;
@@ -13,7 +15,7 @@
 use seamhatchd::settings::Settings;
 use std::sync::Arc;
 
-/// The product's own ports, but for these conventions.
+/// The product's own ports with these conventions.
 #[must_use]
 pub fn lab_ports(settings: &Settings) -> Ports {
     Ports { conventions: Arc::new(NamedConventions), ..Ports::own(settings) }
--- a/crates/seamhatch-lab/src/demo.rs
+++ b/crates/seamhatch-lab/src/demo.rs
@@ -1,4 +1,4 @@
-//! The main job in small: a deployment, a policy, load, and what became of it.
+//! `seamhatch-lab demo`: a small deployment, its configuration, some seconds of load, and a table of what became of it.
 
 use crate::backends::CallMode;
 use crate::deployment::{Deployment, DeploymentOptions};
@@ -11,11 +11,11 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Servers of each service.
+/// Most servers of a service.
 const SERVERS: u8 = 2;
-/// Requests a second.
+/// Requests a second, unless `--rate` says otherwise. Chosen, not measured: below what the deployment serves.
 const RATE: f64 = 150.0;
-/// Seconds of load.
+/// Seconds of load, unless `--seconds` says otherwise.
 const SECONDS: u64 = 5;
 
 const HELP: &str = "\
@@ -26,7 +26,7 @@
 and ends everything.
 ";
 
-/// Runs the demonstration.
+/// Runs the command.
 pub fn run(arguments: Vec<OsString>) -> ExitCode {
     let mut arguments = Arguments::from_vec(arguments);
     if arguments.contains(["-h", "--help"]) {
--- a/crates/seamhatch-lab/src/fault_proxy.rs
+++ b/crates/seamhatch-lab/src/fault_proxy.rs
@@ -1,6 +1,7 @@
-//! A proxy in front of every daemon's peer and gossip ports. It knows which
-//! machine each connection and datagram comes from, and can cut, freeze or
-//! delay any direction between two machines.
+//! A proxy in front of every daemon's peer and gossip ports that can cut, reset or delay any direction between two machines.
+//!
+//! It knows the machine that a connection or datagram comes from by its address, and keeps that address towards the daemon.
+//! Owns the rules; tests and the soak set them while traffic goes on.
 
 use crate::process::{AdvertisedAddresses, Machine};
 use std::collections::BTreeMap;
@@ -13,11 +14,12 @@
 use tokio::runtime::Handle;
 use tokio::task::JoinHandle;
 
-/// Ports under which daemons are reached through the proxy.
+/// Ports at which daemons are reached through the proxy.
 const PROXY_PEER: u16 = 7102;
 const PROXY_GOSSIP: u16 = 7103;
-/// Pause between two looks at a rule while traffic is held back.
+/// Pause between two checks of a rule while traffic is held back. Chosen, not measured.
 const POLL: Duration = Duration::from_millis(5);
+/// Bytes read at a time; no datagram is longer.
 const BUFFER: usize = 64 * 1024;
 
 /// What happens to traffic in one direction.
@@ -26,9 +28,9 @@
     /// It passes.
     #[default]
     Pass,
-    /// It is silently swallowed, as on a cut link; connections stay open.
+    /// It is lost without notice, as on a cut link; connections stay open.
     Drop,
-    /// Connections are reset, datagrams swallowed.
+    /// Connections are closed, datagrams lost.
     Reset,
     /// It arrives this much later.
     Delay(Duration),
@@ -47,7 +49,7 @@
     }
 }
 
-/// Where daemons are to say that they are reached.
+/// The addresses that a daemon behind the proxy advertises.
 #[must_use]
 pub fn advertised(machine: &Machine) -> AdvertisedAddresses {
     let at = |port| SocketAddr::new(machine.ip.into(), port).into();
@@ -114,7 +116,7 @@
 async fn accept(listener: TcpListener, machine: Machine, rules: Arc<Rules>) {
     loop {
         let Ok((incoming, from)) = listener.accept().await else {
-            // This process may be out of sockets for a moment; the daemon must be reachable after it.
+            // This process may be out of sockets for a moment; the daemon must be reachable afterwards.
             tokio::time::sleep(POLL).await;
             continue;
         };
@@ -129,7 +131,7 @@
     }
 }
 
-/// Keeps the dialler's address, so that the daemon sees the machine it talks to.
+/// Connects from the dialler's address, so that the daemon sees which machine it talks to.
 async fn connect(from: Ipv4Addr, target: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     socket.bind(SocketAddr::new(from.into(), 0))?;
@@ -137,7 +139,7 @@
 }
 
 async fn relay(left: TcpStream, right: TcpStream, from: Ipv4Addr, to: Ipv4Addr, rules: Arc<Rules>) {
-    // Small control messages must not wait for each other.
+    // Small control messages must not wait for each other; without the option they are only slower.
     let _ = (left.set_nodelay(true), right.set_nodelay(true));
     let (left_reader, left_writer) = left.into_split();
     let (right_reader, right_writer) = right.into_split();
@@ -163,8 +165,8 @@
         let Ok(length @ 1..) = read else { return };
         match rules.of(from, to) {
             Rule::Pass => {}
-            // Bytes that were swallowed can't be missing from a stream: nothing passes any more.
-            Rule::Drop => return swallow(reader, rules, from, to).await,
+            // A stream can't go on without the bytes that were lost.
+            Rule::Drop => return drop_until_changed(reader, rules, from, to).await,
             Rule::Reset => return,
             Rule::Delay(span) => tokio::time::sleep(span).await,
         }
@@ -180,8 +182,8 @@
     }
 }
 
-/// Swallows a direction until its rule changes, then ends the connection.
-async fn swallow(mut reader: OwnedReadHalf, rules: &Rules, from: Ipv4Addr, to: Ipv4Addr) {
+/// Reads and drops what comes until the rule changes, then ends the connection.
+async fn drop_until_changed(mut reader: OwnedReadHalf, rules: &Rules, from: Ipv4Addr, to: Ipv4Addr) {
     let mut buffer = vec![0; BUFFER];
     while rules.of(from, to) == Rule::Drop {
         let reading = tokio::time::timeout(POLL, reader.read(&mut buffer)).await;
@@ -197,7 +199,7 @@
     while let Ok((length, from)) = socket.recv_from(&mut buffer).await {
         match rules.of(v4(from), machine.ip) {
             Rule::Pass => {
-                // Loss is what datagrams are made for.
+                // Gossip expects that datagrams are lost.
                 let _ = socket.send_to(&buffer[..length], target).await;
             }
             Rule::Drop | Rule::Reset => {}
@@ -206,6 +208,7 @@
                 Handle::current().spawn(async move {
                     tokio::time::sleep(span).await;
                     if let Ok(socket) = UdpSocket::bind((ip, 0)).await {
+                        // Gossip expects that datagrams are lost.
                         let _ = socket.send_to(&bytes, target).await;
                     }
                 });
--- a/crates/seamhatch-lab/src/lib.rs
+++ b/crates/seamhatch-lab/src/lib.rs
@@ -1,5 +1,12 @@
-//! The project's emulator: stand-ins for the platform, the back ends and the
-//! callers, deployments of real daemon processes, load, and reports.
+//! The project's emulator: real daemon processes, with stand-ins for everything around them.
+//!
+//! - Stand-ins: [`platform`] (store and machine list), [`backends`] with [`relays`] in front, callers ([`client`], [`connection`]).
+//! - A deployment of them: [`topology`] says what it consists of, [`deployment`] starts it on loopback addresses from [`network`],
+//!   [`process`] runs the daemons, [`fault_proxy`] stands between them.
+//! - What is done with one: [`demo`], [`experiment`] (load, a trigger, goodput) and [`soak`] (drawn faults, promises checked).
+//! - [`bound`] computes what any admission could have earned on a day; it starts nothing.
+//!
+//! Tests of this crate and of the platform's adapter use the same parts.
 
 pub mod backends;
 pub mod bodies;
--- a/crates/seamhatch-lab/src/load.rs
+++ b/crates/seamhatch-lab/src/load.rs
@@ -1,5 +1,7 @@
-//! Open-loop load: requests are sent at their times whatever became of earlier
-//! ones, and latency counts from the intended time.
+//! Open-loop load: requests are sent at drawn times whatever became of earlier ones, and latency counts from the time at which
+//! a request was due.
+//!
+//! `demo` and the experiments send it; the soak draws its own load with the same functions.
 
 use crate::client::{Caller, CallerAnswer, CallerRequest};
 use crate::topology::RequestKind;
@@ -12,22 +14,24 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Longest latency that is told apart, in microseconds.
+/// Longest latency that a histogram holds, in microseconds; longer ones count as this. Chosen, not measured.
 const LONGEST_LATENCY: u64 = 60_000_000;
+/// Seconds after the load for which good answers are counted second by second. Chosen, not measured.
+const SECONDS_AFTER: usize = 30;
 
 /// How callers repeat what failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerRetries {
-    /// Repeats after the first try.
+    /// Most repeats after the first attempt.
     pub most: u32,
-    /// Wait for what `Retry-After` says; else repeat at once.
+    /// Waits as long as `Retry-After` says, a second without it; else repeats at once.
     pub honour_retry_after: bool,
 }
 
 /// A time of higher demand.
 #[derive(Debug, Clone, Copy)]
 pub struct Surge {
-    /// Its beginning, from that of the load.
+    /// Its beginning, from the beginning of the load.
     pub start: Duration,
     /// Its end.
     pub end: Duration,
@@ -40,15 +44,15 @@
 pub struct LoadPlan {
     /// Requests a second, of all kinds.
     pub rate: f64,
-    /// How long.
+    /// How long requests are sent.
     pub duration: Duration,
     /// Kinds and their shares.
     pub kinds: Vec<RequestKind>,
-    /// Where to send, in turn: one list for all kinds, or one for each.
+    /// Where to send, in turn: one list for all kinds, or one for each kind.
     pub targets: Vec<Vec<Address>>,
-    /// A time of higher demand.
+    /// Higher demand for a time.
     pub surge: Option<Surge>,
-    /// Repeats.
+    /// What callers do after a failure.
     pub retries: CallerRetries,
     /// Prefix of the requests' names, unique in a run.
     pub name: String,
@@ -61,9 +65,9 @@
     pub sent: u64,
     /// Complete and correct answers.
     pub good: u64,
-    /// Failed requests by outcome and reason of the last try.
+    /// Failed requests by outcome and reason of the last attempt.
     pub failures: BTreeMap<String, u64>,
-    /// Latency of good answers in microseconds, from the intended time.
+    /// Latency of good answers in microseconds, from the time at which the request was due.
     pub latency: Histogram<u64>,
     /// Latency of refusals (`not-run`) in microseconds.
     pub refusal_latency: Histogram<u64>,
@@ -98,7 +102,7 @@
 
 /// Sends the load and waits for all answers.
 pub async fn run(plan: LoadPlan) -> LoadResult {
-    let seconds = plan.duration.as_secs() as usize + 30;
+    let seconds = plan.duration.as_secs() as usize + SECONDS_AFTER;
     let names: Vec<&'static str> = plan.kinds.iter().map(|kind| kind.name).collect();
     let results = Mutex::new(plan.kinds.iter().map(|_| KindResult::new(seconds)).collect());
     let run = Arc::new(Run { plan, caller: Caller::default(), start: Instant::now(), results });
--- a/crates/seamhatch-lab/src/main.rs
+++ b/crates/seamhatch-lab/src/main.rs
@@ -1,4 +1,5 @@
-//! The emulator's program.
+//! The emulator's program: one command for each use, and the daemon and the operators' client as commands of their own, so that
+//! a deployment needs no other program.
 
 use std::ffi::OsString;
 use std::process::ExitCode;
@@ -9,8 +10,8 @@
 USAGE: seamhatch-lab COMMAND
 
   demo               start a small deployment, send load, print what happened
-  soak               bring faults about under load and check the promises
-  report HISTORY     draw what a soak saw, as a page of plots
+  soak               inject faults under load and check the promises
+  report HISTORY     plot the history of a soak as a page
   bound PLAN.toml    the most credit that any admission could earn on a day
   run SCENARIO.toml  run an experiment, with control and without, and report
   daemon FLAGS       run seamhatchd (ends when its standard input closes)
--- a/crates/seamhatch-lab/src/network.rs
+++ b/crates/seamhatch-lab/src/network.rs
@@ -1,18 +1,20 @@
-//! Loopback addresses of one emulated deployment: each machine has its own, so
-//! that fixed ports never collide.
+//! Loopback addresses for emulated deployments: each machine has its own, so that fixed ports never collide.
+//!
+//! Deployments of several processes run beside each other. A network is taken by binding its lock port, which the
+//! system allows once, and stays taken until shortly after its [`Network`] is dropped.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::Duration;
 
-/// Port whose listener marks a network as taken.
+/// Port whose listener marks a network as taken. Chosen: no daemon or stand-in listens there.
 const LOCK_PORT: u16 = 7999;
-/// Networks are 127.X.0.0/16 for X in this range.
+/// Networks are 127.X.0.0/16 for X in this range. Chosen: 127.0 to 127.15 are left to other programs.
 const FIRST: u8 = 16;
 const LAST: u8 = 250;
 
-/// A network stays taken for this long after its deployment: listeners of the deployment live on for a moment
-/// where a runtime ends after it.
+/// A network stays taken for this long after its deployment, whose listeners end with their runtime, a moment later. Chosen, not
+/// measured.
 const RELEASE_PAUSE: Duration = Duration::from_secs(2);
 
 static NEXT: AtomicU8 = AtomicU8::new(0);
@@ -35,7 +37,7 @@
 }
 
 impl Network {
-    /// Takes a free network.
+    /// Takes a free network, beginning at one that depends on this process, so that processes seldom try the same.
     ///
     /// # Errors
     /// All are taken.
@@ -53,7 +55,7 @@
         Err(std::io::Error::other("all loopback networks are taken; stop other deployments"))
     }
 
-    /// The address of a machine: `group` 0 is the platform, others are services.
+    /// Address of a machine: group 0 is the platform, the others are the services.
     #[must_use]
     pub fn machine(&self, group: u8, member: u8) -> Ipv4Addr {
         Ipv4Addr::new(127, self.number, group, member)
--- a/crates/seamhatch-lab/src/relays.rs
+++ b/crates/seamhatch-lab/src/relays.rs
@@ -1,5 +1,7 @@
-//! A relay in front of each back end, so that a single one can crash: its connections close, and nothing listens at its address
-//! until it is back.
+//! A relay in front of each back end, so that a single back end can crash although one server plays them all.
+//!
+//! While a back end is away its connections are closed and nothing listens at its address. The soak and requests that crash
+//! their back end call this; daemons see a crashed process.
 
 use crate::process::Machine;
 use seamhatch_core::identity::Address;
@@ -11,15 +13,15 @@
 use tokio::runtime::Handle;
 use tokio::task::AbortHandle;
 
-/// Connections that may wait to be accepted.
+/// Connections that may wait to be accepted. Chosen, not measured.
 const BACKLOG: u32 = 1024;
-/// Pause between two attempts to listen again.
+/// Pause between two attempts to listen again. Chosen, not measured.
 const BIND_PAUSE: Duration = Duration::from_millis(10);
 
-/// Tasks of one relay: its acceptor and its connections. None while its back end is away.
+/// Tasks of one relay: its acceptor and its connections; none while its back end is away.
 type RelayTasks = Arc<Mutex<Option<Vec<AbortHandle>>>>;
 
-/// The relays of a deployment; dropping them ends them.
+/// The relays of a deployment.
 #[derive(Debug, Clone)]
 pub struct BackendRelays {
     by_machine: Arc<HashMap<Ipv4Addr, Relay>>,
@@ -53,14 +55,14 @@
         Ok(Self { by_machine: Arc::new(by_machine), runtime })
     }
 
-    /// The back end on a machine crashes, unless it is away already.
+    /// Crashes the back end on a machine, unless it is away already.
     pub fn crash(&self, machine: Ipv4Addr) {
         let Some(relay) = self.by_machine.get(&machine) else { return };
         let tasks = relay.tasks.lock().expect("relay lock").take();
         tasks.into_iter().flatten().for_each(|task| task.abort());
     }
 
-    /// The back end on a machine is back, unless it was there all the time.
+    /// Brings the back end on a machine back, unless it never was away.
     pub fn revive(&self, machine: Ipv4Addr) {
         let Some(relay) = self.by_machine.get(&machine).cloned() else { return };
         let runtime = self.runtime.clone();
@@ -72,7 +74,7 @@
         });
     }
 
-    /// The back end on a machine crashes and is back after a while.
+    /// Crashes the back end on a machine and brings it back after a while.
     pub fn crash_for(&self, machine: Ipv4Addr, away: Duration) {
         self.crash(machine);
         let relays = self.clone();
@@ -112,8 +114,8 @@
 
 async fn relay(mut outer: TcpStream, inner: SocketAddr) {
     let Ok(mut inner) = TcpStream::connect(inner).await else { return };
-    // Small answers must not wait for more.
+    // Small answers must not wait for more; without the option they are only slower.
     let _ = (outer.set_nodelay(true), inner.set_nodelay(true));
-    // How a connection ends shows at both its ends.
+    // Either end sees how the connection ends.
     let _ = tokio::io::copy_bidirectional(&mut outer, &mut inner).await;
 }
--- a/crates/seamhatch-lab/src/report.rs
+++ b/crates/seamhatch-lab/src/report.rs
@@ -1,4 +1,4 @@
-//! Tables of results for the terminal.
+//! The table of results that `demo` prints.
 
 use crate::load::LoadResult;
 use std::time::Duration;
