--- a/crates/seamhatch-lab/src/experiment.rs
+++ b/crates/seamhatch-lab/src/experiment.rs
@@ -1,10 +1,13 @@
-//! Experiments: a deployment at its real size under load, a trigger, and how
-//! goodput fares before, during and after it, with control and without.
+//! `seamhatch-lab run`: plays a scenario file twice, without any overload control and with daemons, and compares goodput before,
+//! during and after its trigger (a slow service or a surge of demand).
+//!
+//! For operators who want to see what the product does for a call graph like theirs; the files are in `scenarios/`.
 
 use crate::backends::CallMode;
 use crate::deployment::{Deployment, DeploymentOptions};
-use crate::load::{self, CallerRetries, LoadPlan, LoadResult, Surge};
-use crate::topology::Topology;
+use crate::load::{self, CallerRetries, KindResult, LoadPlan, LoadResult, Surge};
+use crate::process::Machine;
+use crate::topology::{RequestKind, Topology};
 use seamhatch_core::identity::Address;
 use seamhatch_policy::Configuration;
 use serde::{Deserialize, Serialize};
@@ -22,7 +25,7 @@
 prints goodput before, during and after the trigger. See scenarios/.
 ";
 
-/// Goodput counts as recovered from this share of what it was before.
+/// Goodput has recovered when a second reaches this share of the mean before the trigger. Chosen, not measured.
 const RECOVERED_SHARE: f64 = 0.95;
 
 /// A scenario file.
@@ -66,17 +69,20 @@
     honour_retry_after: bool,
 }
 
-/// What one run came to.
+/// Seconds at the beginning that don't count for the goodput before: connections and cold servers warm up. Chosen, not measured.
+const WARM_UP_SECONDS: usize = 3;
+
+/// The figures of one run.
 #[derive(Debug, Serialize)]
 struct Outcome {
     control: &'static str,
     goodput_before: f64,
     goodput_during: f64,
     goodput_after: f64,
-    /// Seconds from the end of the trigger; none when it did not recover in time.
+    /// Seconds from the end of the trigger until goodput recovered; none when it did not before the run ended.
     recovery_seconds: Option<usize>,
     executions: usize,
-    /// Share of executions that belong to no good answer.
+    /// Share of the chains begun that led to no good answer, 0 to 1.
     wasted_share: f64,
     answered_by_kind: BTreeMap<&'static str, f64>,
     refusal_p99_ms: f64,
@@ -200,6 +206,7 @@
         })
     }
 
+    /// Slows the scenario's service down for its time; a surge is part of the load.
     async fn pull_trigger(&self, deployment: &Deployment) {
         let Trigger::Slow { service, factor } = &self.trigger else { return };
         let set = |percent| {
@@ -219,8 +226,7 @@
             .map(|second| result.iter().map(|(_, kind)| kind.good_by_second[second]).sum())
             .collect();
         let (before, during) = (self.before as usize, self.during as usize);
-        // The first seconds warm up connections and cold servers.
-        let warm = before.min(3);
+        let warm = before.min(WARM_UP_SECONDS);
         let goodput_before = mean(&by_second[warm..before]);
         let end = before + during;
         let recovered = |second: &u64| *second as f64 >= goodput_before * RECOVERED_SHARE;
@@ -234,23 +240,25 @@
             recovery_seconds: by_second[end..].iter().position(recovered),
             executions,
             wasted_share: wasted_share(deployment, good),
-            answered_by_kind: result
-                .iter()
-                .map(|(name, kind)| (*name, kind.good as f64 / kind.sent.max(1) as f64))
-                .collect(),
+            answered_by_kind: answered_by_kind(result),
             refusal_p99_ms: refusal_p99(result),
             goodput_by_second: by_second,
         }
     }
 }
 
-/// Without daemons, callers go straight to the servers of the kind's service.
+fn answered_by_kind(result: &LoadResult) -> BTreeMap<&'static str, f64> {
+    let share = |kind: &KindResult| kind.good as f64 / kind.sent.max(1) as f64;
+    result.iter().map(|(name, kind)| (*name, share(kind))).collect()
+}
+
+/// Without daemons, callers go straight to the back ends of the service that each kind's route names.
 fn direct_targets(deployment: &Deployment) -> Result<Vec<Vec<Address>>, String> {
     let configuration =
         Configuration::compile(&deployment.topology.document).map_err(|error| error.to_string())?;
-    let servers = |kind: &crate::topology::RequestKind| {
+    let servers = |kind: &RequestKind| {
         let service = configuration.route(kind.path).unwrap_or_default();
-        deployment.machines_of(service).iter().map(crate::process::Machine::backend).collect()
+        deployment.machines_of(service).iter().map(Machine::backend).collect()
     };
     Ok(deployment.topology.kinds.iter().map(servers).collect())
 }
@@ -259,19 +267,17 @@
     values.iter().sum::<u64>() as f64 / values.len().max(1) as f64
 }
 
-/// Executions beyond one for each service of each request that was answered.
+/// Share of the executions at the entry, each of which stands for its chain, beyond one for each good answer.
 fn wasted_share(deployment: &Deployment, good: u64) -> f64 {
     let executions = deployment.backends.executions();
     let entries = executions.iter().filter(|execution| execution.trail.is_empty()).count().max(1);
-    // Entry executions stand for their chains: those beyond the good answers are wasted with all below.
     1.0 - (good as f64 / entries as f64).min(1.0)
 }
 
 fn refusal_p99(result: &LoadResult) -> f64 {
     let mut all = result[0].1.refusal_latency.clone();
     for (_, kind) in &result[1..] {
-        // Same bounds, so they can be added.
-        let _ = all.add(&kind.refusal_latency);
+        all.add(&kind.refusal_latency).expect("histograms of one load have the same bounds");
     }
     all.value_at_quantile(0.99) as f64 / 1000.0
 }
--- a/crates/seamhatch-lab/src/process.rs
+++ b/crates/seamhatch-lab/src/process.rs
@@ -1,4 +1,7 @@
-//! Daemon processes: started, frozen, killed, and ended with the emulator.
+//! Daemon processes on machines of the emulator: writes their settings, starts, signals and kills them.
+//!
+//! A daemon is this program's `daemon` command. It ends when its [`DaemonProcess`] is dropped, and by itself when the emulator is gone,
+//! as its standard input closes then.
 
 use seamhatch_core::identity::Address;
 use std::fs::File;
@@ -8,7 +11,7 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-/// Ports of a daemon; each machine has its own address.
+/// Ports of a daemon and its back end, the same on every machine, as each has its own address. Chosen.
 const INGRESS: u16 = 7000;
 const EGRESS: u16 = 7001;
 const PEER: u16 = 7002;
@@ -16,8 +19,10 @@
 const ADMIN: u16 = 7004;
 const BACKEND: u16 = 8080;
 const BEHIND_RELAY: u16 = 8081;
+/// Exit code of a daemon whose emulator is gone; no other of the daemon's.
+const EXIT_ORPHANED: i32 = 3;
 
-/// One machine: a daemon and the back end beside it.
+/// One machine of the emulator: a daemon and the back end beside it.
 #[derive(Debug, Clone)]
 pub struct Machine {
     /// Its address.
@@ -65,13 +70,13 @@
         self.at(ADMIN)
     }
 
-    /// HTTP of the back end.
+    /// HTTP of the back end, or of its relay.
     #[must_use]
     pub fn backend(&self) -> Address {
         self.at(BACKEND)
     }
 
-    /// Where the back end listens, where a relay has its address.
+    /// HTTP of a back end that has a relay in front.
     #[must_use]
     pub fn behind_relay(&self) -> Address {
         self.at(BEHIND_RELAY)
@@ -95,13 +100,13 @@
     pub machines: Address,
     /// Gossip addresses to ask first.
     pub seeds: Vec<Address>,
-    /// Where daemons reach each other, when that is through a proxy.
+    /// The addresses that daemons advertise when they reach each other through a proxy.
     pub advertise: Option<fn(&Machine) -> AdvertisedAddresses>,
     /// Log level.
     pub log_level: String,
 }
 
-/// Addresses of a proxy in front of a daemon.
+/// Addresses at which a daemon is reached through the proxy in front of it.
 #[derive(Debug, Clone, Copy)]
 pub struct AdvertisedAddresses {
     /// TCP.
@@ -143,7 +148,7 @@
         self.child.id()
     }
 
-    /// Processor time that it has used, in user and kernel mode together.
+    /// Processor time that it has used in user and kernel mode together; zero when it has ended.
     #[must_use]
     pub fn processor_time(&self) -> Duration {
         /// Ticks of `/proc/PID/stat` in a second, fixed on Linux.
@@ -157,7 +162,7 @@
         Duration::from_millis((ticks(11) + ticks(12)) * 1000 / TICKS)
     }
 
-    /// Sends a signal by its number's name, as `kill` knows it.
+    /// Sends a signal.
     ///
     /// # Errors
     /// The process has ended.
@@ -168,18 +173,18 @@
 
     /// Whether it has ended.
     pub fn has_ended(&mut self) -> bool {
-        // Without an answer nothing is known of the process, so that it can't be signalled either.
+        // On an error nothing is known of the process, and it must not be signalled either.
         !matches!(self.child.try_wait(), Ok(None))
     }
 
     /// Kills it at once.
     pub fn kill(&mut self) {
-        // It may have ended by itself.
+        // Both fail only when it has ended by itself.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits for it to end by itself.
+    /// Waits for it to end by itself; none when that takes longer than `longest`.
     pub fn wait(&mut self, longest: Duration) -> Option<ExitStatus> {
         let end = Instant::now() + longest;
         while Instant::now() < end {
@@ -198,7 +203,7 @@
     }
 }
 
-/// Writes a daemon's settings in one step, as a daemon may read them at any time, and tells the file.
+/// Writes a daemon's settings file and returns its path. The file is replaced in one step, as the daemon may read it at any time.
 ///
 /// # Errors
 /// The directory can't be written to.
@@ -245,12 +250,11 @@
     )
 }
 
-/// Ends this process when its standard input closes, as it does when the
-/// emulator that started it is gone, however that ended.
+/// Ends this process when its standard input closes: the emulator that started it is gone, however it ended.
 pub fn end_with_standard_input() {
     std::thread::spawn(|| {
         let mut buffer = [0; 64];
         while std::io::stdin().read(&mut buffer).is_ok_and(|read| read > 0) {}
-        std::process::exit(3);
+        std::process::exit(EXIT_ORPHANED);
     });
 }
