--- a/crates/seamhatch-lab/src/soak/draw.rs
+++ b/crates/seamhatch-lab/src/soak/draw.rs
@@ -1,4 +1,7 @@
-//! Drawing a plan from a seed: single faults, planned stops with nothing beside them, and series that overlap.
+//! Draws a plan from a seed: single faults, planned stops with nothing else around, and series of faults that overlap.
+//!
+//! The same seed always gives the same plan; failing seeds are kept. The order in which numbers are drawn must therefore not
+//! change. Rates, lengths and pauses are chosen, not measured, unless a line says otherwise.
 
 use super::fault::{CutWay, FaultGroup, ReloadLevel, SoakFault};
 use super::fleet::{DaemonIndex, SoakFleet};
@@ -9,48 +12,48 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Requests a second that a drawn plan sends to any daemon.
+/// Requests a second of a drawn plan, all daemons together.
 const RATE: f64 = 60.0;
-/// Clients that keep their connections in a drawn plan, for each daemon.
+/// Clients that keep their connections, for each daemon.
 const CLIENTS_PER_DAEMON: usize = 3;
-/// Time without faults at both ends of a plan.
+/// Time without faults at the beginning and at the end of a plan.
 const QUIET: Duration = Duration::from_secs(2);
 /// Time between the beginnings of two drawn faults, in milliseconds.
 const GAP_MS: Range<u64> = 300..4_000;
-/// How long a drawn fault lasts, in milliseconds.
+/// Length of a drawn fault, in milliseconds.
 const LENGTH_MS: Range<u64> = 500..4_000;
-/// A planned stop is kept apart from other faults by this much on both sides.
+/// Time without other faults before and after a planned stop that is alone: more than the checks' calm of 4 s, so that all its
+/// answers are judged.
 const APART: Duration = Duration::from_secs(6);
-/// Time between two stops of a series, in milliseconds: they overlap, as a stop takes seconds.
+/// Time between two stops of a series, in milliseconds: the stops overlap, as each takes seconds.
 const STOP_GAP_MS: Range<u64> = 0..400;
-/// The same where daemons are replaced one after the other.
+/// Time between two stops where daemons are replaced one after the other, in milliseconds.
 const ROLLING_GAP_MS: Range<u64> = 200..1_500;
 /// Time between a stop request and the next one to the same daemon, in milliseconds.
 const AGAIN_MS: Range<u64> = 20..1_500;
 /// Time between two submissions of a series, in milliseconds.
 const SUBMISSION_GAP_MS: Range<u64> = 5..200;
-/// Most daemons that are stopped at random in one series.
+/// Most daemons that one series stops, unless it stops all daemons of a service.
 const MOST_STOPPED: usize = 4;
-
 /// Time between two crashes, or requests that cause them, in milliseconds.
 const CRASH_GAP_MS: Range<u64> = 3_000..12_000;
-/// How long callers come again with a request that crashes back ends, in milliseconds.
+/// How long callers repeat a request that crashes back ends, in milliseconds.
 const DEADLY_MS: u64 = 3_000;
-/// What a plan's seed is changed by to draw these.
+/// Combined with a plan's seed to draw the crashes: `crashes!` in ASCII.
 const CRASH_SEED: u64 = 0x6372_6173_6865_7321;
 
 /// What comes next in a plan.
 enum Drawn {
     /// One fault.
     Single(SoakFault),
-    /// A planned stop that has the deployment for itself.
+    /// A planned stop with no other fault around.
     StopAlone(DaemonIndex),
-    /// Stops in quick succession, and more beside them.
+    /// Stops in quick succession with other faults among them; times count from the series' beginning.
     Series(Vec<PlannedFault>),
 }
 
 impl SoakPlan {
-    /// The plan of a seed, for this fleet; the same each time.
+    /// The plan of a seed for this fleet, the same each time.
     #[must_use]
     pub fn draw(seed: u64, seconds: u64, fleet: SoakFleet) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -80,8 +83,8 @@
     }
 }
 
-/// Crashes of back ends and requests that cause them, drawn apart, so that the other faults of a seed stay as they are: what
-/// crashes has nothing to do with what else happens.
+/// Crashes of back ends and requests that cause them. They are drawn with a generator of their own, so that the other faults
+/// of a seed don't depend on them.
 fn draw_crashes(seed: u64, end_ms: u64, fleet: SoakFleet) -> Vec<PlannedFault> {
     let mut rng = SmallRng::seed_from_u64(seed ^ CRASH_SEED);
     let mut faults = Vec::new();
@@ -102,14 +105,14 @@
     faults
 }
 
-/// Whether a crash comes so near to a planned stop that this could not be judged any more.
+/// Whether a crash is so close to a planned stop that the answers of the stop can't be judged.
 fn disturbs_stop(crash: &PlannedFault, fault: &PlannedFault) -> bool {
     let apart_ms = millis(APART);
     let is_stop = fault.fault.group() == FaultGroup::Stop;
     is_stop && crash.at_ms < fault.end_ms() + apart_ms && fault.at_ms < crash.end_ms() + apart_ms
 }
 
-/// The faults in their places, and the time until the next ones may begin.
+/// The faults with their times, and the time in milliseconds until the next may begin.
 fn placed(drawn: Drawn, at_ms: u64, rng: &mut SmallRng) -> (Vec<PlannedFault>, u64) {
     match drawn {
         Drawn::Single(fault) => {
@@ -136,7 +139,6 @@
     }
 }
 
-/// Times count from the series' beginning.
 fn draw_series(rng: &mut SmallRng, fleet: SoakFleet) -> Vec<PlannedFault> {
     let (stopped, gap_ms) = draw_stopped(rng, fleet);
     let mut series = Vec::new();
@@ -166,7 +168,8 @@
     series
 }
 
-/// The daemons that a series stops, and the time between two stops.
+/// The daemons that a series stops, and the range of the time between two stops: all of one service, some at random, or one
+/// after the other.
 fn draw_stopped(rng: &mut SmallRng, fleet: SoakFleet) -> (Vec<DaemonIndex>, Range<u64>) {
     let mut all: Vec<DaemonIndex> = (0..fleet.daemons()).collect();
     match rng.random_range(0..3) {
--- a/crates/seamhatch-lab/src/soak/fault.rs
+++ b/crates/seamhatch-lab/src/soak/fault.rs
@@ -1,4 +1,6 @@
-//! The faults that a plan can hold, as its file names them.
+//! The faults that a plan can hold, as its file names them, and what each acts on.
+//!
+//! Plans are kept for years, so the names and fields of a file stay as they are.
 
 use super::fleet::DaemonIndex;
 use serde::{Deserialize, Serialize};
@@ -7,12 +9,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum SoakFault {
-    /// Daemons are killed, and started again at the end.
+    /// Daemons are killed, and started again at the end of the fault.
     Kill {
         /// Which.
         daemons: Vec<DaemonIndex>,
     },
-    /// A daemon stands still.
+    /// A daemon is frozen.
     Pause {
         /// Which.
         daemon: DaemonIndex,
@@ -22,28 +24,27 @@
         /// Which.
         daemon: DaemonIndex,
     },
-    /// A daemon is asked to stop, and asked again while it does, which changes nothing; started again when
-    /// it has ended.
+    /// A daemon is asked to stop, and asked again before it has, which must change nothing; it is started again when it has ended.
     HastyStop {
         /// Which.
         daemon: DaemonIndex,
-        /// Time between the two, in milliseconds.
+        /// Time between the two requests, in milliseconds.
         again_ms: u64,
     },
-    /// A daemon reads changed settings, and the usual ones at the end.
+    /// A daemon reloads changed settings, and the usual ones at the end.
     Reload {
         /// Which.
         daemon: DaemonIndex,
         /// Log level, which changes at once.
         log_level: ReloadLevel,
-        /// Slots that the file has more, which count from the next start on.
+        /// Slots that the changed file has more than usual; they apply from the next start on.
         more_slots: u32,
     },
-    /// A daemon and all others don't hear each other, or one side doesn't hear.
+    /// The links between a daemon and all others are cut, in one direction or both.
     Cut {
         /// Which.
         daemon: DaemonIndex,
-        /// What is lost.
+        /// Which direction.
         way: CutWay,
     },
     /// A daemon's connections with others are reset.
@@ -51,33 +52,33 @@
         /// Which.
         daemon: DaemonIndex,
     },
-    /// What a daemon and others send each other comes late.
+    /// What a daemon and the others send each other is delayed.
     Delay {
         /// Which.
         daemon: DaemonIndex,
         /// By how much, in milliseconds.
         delay_ms: u64,
     },
-    /// The store answers nothing but errors.
+    /// The store answers every request with an error.
     StoreOut,
     /// The store answers late.
     StoreSlow {
         /// By how much, in milliseconds.
         delay_ms: u64,
     },
-    /// The store takes only so many requests a second.
+    /// The store answers only so many requests a second.
     StoreThrottled {
         /// How many.
         per_second: u32,
     },
-    /// Writes are done, and their answers lost.
+    /// Writes to the store are carried out and their answers lost.
     StoreLosesAnswers {
         /// How many.
         writes: u32,
     },
     /// The machine list can't be read.
     MachinesOut,
-    /// A back end works slowly.
+    /// A back end is slow.
     ServerSlow {
         /// The daemon beside it.
         daemon: DaemonIndex,
@@ -89,64 +90,64 @@
         /// The daemon beside it.
         daemon: DaemonIndex,
     },
-    /// A back end breaks off its answers.
+    /// A back end breaks its answers off.
     ServerCuts {
         /// The daemon beside it.
         daemon: DaemonIndex,
     },
-    /// A back end claims in its answers that nothing has run.
+    /// A back end claims in its answers that the request was not run.
     ServerForges {
         /// The daemon beside it.
         daemon: DaemonIndex,
     },
-    /// A back end crashes, and is back at the end.
+    /// A back end crashes, and comes back at the end.
     ServerCrash {
         /// The daemon beside it.
         daemon: DaemonIndex,
     },
-    /// Callers come again and again, at all daemons, with a request that crashes each back end that runs it.
+    /// Callers repeat, at several daemons, a request that crashes each back end that runs it.
     DeadlyRequest {
-        /// Number of the request, the same for all its copies.
+        /// Number of the request, which all its copies share.
         number: u64,
     },
     /// A new configuration is submitted.
     Configuration {
-        /// The daemon that is asked.
+        /// The daemon that it is submitted to.
         daemon: DaemonIndex,
     },
 }
 
-/// What faults act on, as far as the checks tell them apart.
+/// What a fault acts on, as far as the checks distinguish it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultGroup {
-    /// Daemons: they end without notice.
+    /// Daemon processes, which end without notice.
     Kill,
-    /// Daemons: they are asked to stop.
+    /// Daemon processes, which are asked to stop.
     Stop,
-    /// Requests in progress: their daemon, its links or its back end.
+    /// What a request in progress depends on: a daemon that freezes, its links, its back end.
     RequestPath,
     /// The key-value store.
     Store,
-    /// Settings, configuration and machine list; requests are served as before.
+    /// Settings, configuration or machine list; requests go on as before.
     Control,
     /// What callers send.
     Callers,
 }
 
-/// Log level that a daemon is told to change to.
+/// Log level that a reload changes to; the usual one is `info`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReloadLevel {
-    /// Less than usual.
+    /// Fewer lines than usual.
     Warn,
-    /// More.
+    /// More lines.
     Debug,
-    /// All.
+    /// All lines.
     Trace,
 }
 
 impl ReloadLevel {
-    /// As the settings name it.
+    /// Its name in the settings.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -170,7 +171,7 @@
 }
 
 impl SoakFault {
-    /// The daemons that it strikes, or whose back ends it strikes.
+    /// The daemons that it affects, or whose back ends it affects.
     #[must_use]
     pub fn daemons(&self) -> Vec<DaemonIndex> {
         match self {
@@ -221,7 +222,7 @@
         }
     }
 
-    /// Whether a daemon's process ends by it.
+    /// Whether it ends a daemon's process.
     #[must_use]
     pub fn ends_process(&self) -> bool {
         matches!(self.group(), FaultGroup::Kill | FaultGroup::Stop)
--- a/crates/seamhatch-lab/src/soak/mod.rs
+++ b/crates/seamhatch-lab/src/soak/mod.rs
@@ -1,5 +1,12 @@
-//! A randomized soak: real daemons as processes, faults from outside at times drawn from a seed, and the
-//! promises of docs/GUARANTEES.md checked from what callers, back ends and operators saw.
+//! A randomized soak: real daemon processes under load, faults at times drawn from a seed, and the promises of docs/GUARANTEES.md
+//! checked over what callers, back ends and operators saw.
+//!
+//! - A plan: [`fleet`] and [`fault`] are its words, [`draw`] makes one from a seed, [`plan`] reads and writes files, [`shrink`] finds
+//!   the smallest part that still fails.
+//! - A run: [`runner`] starts the deployment, [`load`] sends requests, [`steps`] keeps the plan's times, [`injection`] begins and ends
+//!   faults, [`recorder`] collects the [`history`].
+//! - The verdict: [`checks`] with `no_server` and `stops`, pure functions over a history ([`exchanges`], [`spans`]).
+//! - `command` is `seamhatch-lab soak`, [`report`] plots a history.
 
 pub mod checks;
 mod command;
--- a/crates/seamhatch-lab/src/soak/plan.rs
+++ b/crates/seamhatch-lab/src/soak/plan.rs
@@ -1,40 +1,43 @@
-//! What a soak does to a deployment, and when: drawn from a seed, or read from a file.
+//! The plan of a soak: its load, and which fault begins and ends when. Drawn from a seed or read from a file.
+//!
+//! Everything that a soak decides is in its plan, so that a failing one can be played again, changed by hand, and kept. The form of
+//! the file stays as it is: kept plans must remain readable.
 
 use super::fault::SoakFault;
 use super::fleet::{DaemonIndex, SERVERS, SoakFleet};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// A soak from its beginning to its end.
+/// A soak's load and faults.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SoakPlan {
     /// What it was drawn from; names the run.
     pub seed: u64,
-    /// How long load is sent.
+    /// How long load is sent, in seconds.
     pub seconds: u64,
-    /// Requests a second that are sent to any daemon, over any connection.
+    /// Requests a second, each sent to a drawn daemon over any connection.
     pub rate: f64,
-    /// Clients besides that keep one connection each, until it is closed or the daemon says that it closes it.
+    /// Further clients, each of which keeps one connection until the daemon closes it or announces that it will.
     #[serde(default)]
     pub clients: usize,
     /// Servers of each service.
     #[serde(default = "usual_servers")]
     pub servers: u8,
-    /// In the order of their beginnings.
+    /// The faults, by the time at which they begin.
     #[serde(default)]
     pub faults: Vec<PlannedFault>,
 }
 
-/// A fault and its time.
+/// A fault with its beginning and its length.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlannedFault {
     /// Milliseconds from the beginning of the load.
     pub at_ms: u64,
-    /// How long it lasts, in milliseconds.
+    /// Length in milliseconds.
     pub for_ms: u64,
-    /// What happens.
+    /// The fault.
     pub fault: SoakFault,
 }
 
@@ -49,8 +52,8 @@
         /// What the system says.
         source: std::io::Error,
     },
-    /// The file is no plan.
-    #[error("{path} is no plan: {source}; `soak --seed S --plan` prints one")]
+    /// The file is not a plan.
+    #[error("{path} is not a plan: {source}; `soak --seed S --plan` prints one")]
     Form {
         /// The file.
         path: String,
@@ -60,30 +63,30 @@
     /// A fault names a daemon that isn't there.
     #[error("fault {number} names daemon {daemon}; the deployment has daemons 0 to {last}")]
     Daemon {
-        /// Place of the fault, from 1 on.
+        /// Position of the fault in the plan, from 1.
         number: usize,
         /// The daemon.
         daemon: DaemonIndex,
-        /// The last daemon.
+        /// The last daemon of the deployment.
         last: DaemonIndex,
     },
     /// A fault ends after the load.
     #[error("fault {number} ends at {end_ms} ms; the load ends at {load_ms} ms: raise `seconds`")]
     Late {
-        /// Place of the fault, from 1 on.
+        /// Position of the fault in the plan, from 1.
         number: usize,
-        /// Its end.
+        /// Its end, in milliseconds from the beginning of the load.
         end_ms: u64,
-        /// The end of the load.
+        /// The end of the load, in milliseconds.
         load_ms: u64,
     },
 }
 
 impl SoakPlan {
-    /// Reads a plan and checks it for a deployment of this many services.
+    /// Reads a plan and checks it against a deployment of this many services.
     ///
     /// # Errors
-    /// It can't be read or used.
+    /// The file can't be read or is not a plan; a fault names a missing daemon or ends after the load.
     pub fn read(path: &Path, services: usize) -> Result<Self, SoakPlanError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -97,7 +100,7 @@
     /// The plan as a file holds it.
     #[must_use]
     pub fn to_text(&self) -> String {
-        toml::to_string(self).unwrap_or_default()
+        toml::to_string(self).expect("numbers, names and lists can be written as TOML")
     }
 
     fn check(&self, fleet: SoakFleet) -> Result<(), SoakPlanError> {
@@ -118,7 +121,7 @@
 }
 
 impl PlannedFault {
-    /// When it ends, in milliseconds from the beginning of the load.
+    /// Its end, in milliseconds from the beginning of the load.
     #[must_use]
     pub fn end_ms(&self) -> u64 {
         self.at_ms + self.for_ms
