--- a/crates/seamhatch-lab/src/soak/command.rs
+++ b/crates/seamhatch-lab/src/soak/command.rs
@@ -47,6 +47,8 @@
 /// Most servers of a service. Each two daemons take up to four sockets of the proxy between them: 80 daemons 12,640
 /// of the 20,000 files that a process may usually have open.
 const MOST_SERVERS: u8 = 20;
+/// Largest seed: numbers of a plan file have a sign.
+const MOST_SEED: u64 = i64::MAX as u64;
 /// Plans that are tried to find that; each takes as long as the whole one.
 const MOST_TRIES: usize = 40;
 const EXIT_ARGUMENTS: u8 = 2;
@@ -111,8 +113,14 @@
     let count: u64 = option(arguments, "--seeds")?.unwrap_or(1);
     let daemons: usize = option(arguments, "--daemons")?.unwrap_or(DAEMONS);
     let fleet = fleet_of(daemons)?;
-    // A seed that fits into a plan file, whose numbers have a sign.
-    let seed = |number: u64| first.map_or_else(|| rand::random::<u64>() >> 1, |first| first + number);
+    if let Some(first) = first
+        && first.saturating_add(count.saturating_sub(1)) > MOST_SEED
+    {
+        return Err(format!(
+            "--seed is {first}, with --seeds {count} beyond {MOST_SEED}: give a smaller one"
+        ));
+    }
+    let seed = |number| first.map_or_else(|| rand::random_range(0..MOST_SEED), |first| first + number);
     Ok((0..count).map(|number| SoakPlan::draw(seed(number), seconds, fleet)).collect())
 }
 
--- a/crates/seamhatch-lab/tests/soak.rs
+++ b/crates/seamhatch-lab/tests/soak.rs
@@ -364,6 +364,7 @@
         ArgumentCase { arguments: &["--daemons", "84"], code: 2, plans: 0 },
         ArgumentCase { arguments: &["--daemons", "0"], code: 2, plans: 0 },
         ArgumentCase { arguments: &["--seeds", "many"], code: 2, plans: 0 },
+        ArgumentCase { arguments: &["--seed", "9223372036854775808"], code: 2, plans: 0 },
     ];
     for case in cases {
         let mut command = Command::new(env!("CARGO_BIN_EXE_seamhatch-lab"));
