--- a/crates/seamhatch-lab/src/soak/checks.rs
+++ b/crates/seamhatch-lab/src/soak/checks.rs
@@ -1,5 +1,7 @@
-//! The promises of docs/GUARANTEES.md, checked over a recorded history. Each check is a pure function of
-//! what callers, back ends and operators saw.
+//! Checks the promises of docs/GUARANTEES.md over a recorded history.
+//!
+//! Each check is a pure function of what callers, back ends and operators saw, so a kept history can be judged again. The two longer
+//! ones are in `no_server` and `stops`. The command prints what [`check`] finds; the report shows it.
 
 use super::fleet::DaemonIndex;
 use super::history::{HistoryEvent, RequestName, SeenAnswer};
@@ -10,49 +12,49 @@
 use seamhatch_core::outcome::Reason;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-/// Retry tokens of a request, as the soak's configuration gives them.
+/// Retry tokens of a request: what `retries` in documents/harvest.toml returns.
 pub const RETRY_TOKENS: usize = 3;
-/// Runs of a request that crashes servers: three for each of two servers whose daemons hear nothing of each other, as when
-/// one is cut off or starts, and as many as callers come with in the first moment.
+/// Most runs of a request that crashes servers: a request is condemned after its third crash, which two servers of a service may each
+/// see for themselves while one of their daemons is cut off or starts, and three more may be under way by then.
 const MOST_CRASHES: usize = 9;
 /// Outcome of a request that was not run.
 pub(crate) const NOT_RUN: &str = "not-run";
 /// Name prefix of the requests that are sent when everything is over.
 pub const PROBE_PREFIX: &str = "probe-";
 
-/// What a deployment promises.
+/// What a deployment promises its callers and operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Promise {
     /// Retries of a request stay within its total.
     RetriesBounded,
     /// Each caller gets the complete answer to its own request.
     AnswersWhole,
-    /// What is said not to have run has not run.
+    /// A request that is refused as not run was not run anywhere.
     RefusalsTrue,
-    /// A refusal says when to come back.
+    /// A refusal has a `Retry-After`.
     RefusalsAdvise,
-    /// What may not be repeated runs once at most.
+    /// A request that may not be repeated runs at most once.
     AtMostOnce,
-    /// A planned stop cuts off nothing.
+    /// A planned stop cuts off no request.
     StopsCutNothing,
-    /// A configuration never gives way to an older one.
+    /// A daemon never goes back to an older configuration.
     ConfigurationForward,
     /// An accepted configuration is in force everywhere.
     ConfigurationEverywhere,
-    /// A service that has a living server is found.
+    /// A service with a living server is found.
     ServersFound,
-    /// A request that crashes servers ends few of them.
+    /// A request that crashes servers crashes few of them.
     CrashesContained,
-    /// Nothing else is turned away for crashes.
+    /// No other request is refused for crashes.
     HarmlessServed,
-    /// After the faults everything is served again.
+    /// After the faults all requests are served again.
     Recovers,
 }
 
-/// A promise that was not kept.
+/// One case in which a promise was broken.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// The promise.
     pub promise: Promise,
     /// The request or daemon that shows it.
     pub subject: String,
@@ -62,7 +64,6 @@
 
 type Check = fn(&[HistoryEvent]) -> Vec<Violation>;
 
-/// All checks.
 const CHECKS: [Check; 12] = [
     retries_bounded,
     answers_whole,
@@ -95,7 +96,7 @@
     })
 }
 
-/// Requests of which a back end has run something.
+/// Requests of which a back end has run at least one call.
 pub(super) fn executed(history: &[HistoryEvent]) -> HashSet<&RequestName> {
     let runs = history.iter().filter_map(|event| match event {
         HistoryEvent::Executed { request, .. } => Some(request),
@@ -138,7 +139,7 @@
     answers(history)
         .filter(|(request, answer)| answer.outcome == NOT_RUN && ran.contains(request))
         .map(|(request, answer)| {
-            let detail = format!("said not to have run ({}), and ran", answer.reason);
+            let detail = format!("refused as not run ({}), but it ran", answer.reason);
             violation(Promise::RefusalsTrue, request, detail)
         })
         .collect()
@@ -148,7 +149,7 @@
     answers(history)
         .filter(|(_, answer)| answer.outcome == NOT_RUN && !answer.comes_back)
         .map(|(request, answer)| {
-            let detail = format!("refused ({}) without a time to come back", answer.reason);
+            let detail = format!("refused ({}) without Retry-After", answer.reason);
             violation(Promise::RefusalsAdvise, request, detail)
         })
         .collect()
@@ -179,7 +180,7 @@
         .collect()
 }
 
-/// Runs of one request that crashes servers, over all its copies.
+/// Counts the runs of one request over all its copies.
 fn crashes_contained(history: &[HistoryEvent]) -> Vec<Violation> {
     let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
     for event in history {
@@ -190,16 +191,16 @@
         }
     }
     let many = runs.into_iter().filter(|(_, count)| *count > MOST_CRASHES);
-    let told = |count| format!("ran {count} times, {MOST_CRASHES} are allowed");
-    many.map(|(call, count)| violation(Promise::CrashesContained, call, told(count))).collect()
+    let detail = |count| format!("ran {count} times, {MOST_CRASHES} are allowed");
+    many.map(|(call, count)| violation(Promise::CrashesContained, call, detail(count))).collect()
 }
 
 fn harmless_served(history: &[HistoryEvent]) -> Vec<Violation> {
-    let turned_away = answers(history).filter(|(request, answer)| {
+    let refused = answers(history).filter(|(request, answer)| {
         answer.reason == Reason::CrashesServers.name() && !request.starts_with(DEADLY_PREFIX)
     });
-    let detail = "turned away for crashes that are not its own".to_owned();
-    turned_away.map(|(request, _)| violation(Promise::HarmlessServed, request, detail.clone())).collect()
+    let detail = "refused for crashes that it did not cause".to_owned();
+    refused.map(|(request, _)| violation(Promise::HarmlessServed, request, detail.clone())).collect()
 }
 
 fn configuration_forward(history: &[HistoryEvent]) -> Vec<Violation> {
--- a/crates/seamhatch-lab/src/soak/command.rs
+++ b/crates/seamhatch-lab/src/soak/command.rs
@@ -22,15 +22,15 @@
 seamhatch-lab soak --replay FILE [--shrink] [--keep DIRECTORY] [--plan]
 seamhatch-lab soak --check HISTORY
 
-Starts the claims platform in small, sends load, brings faults about that are drawn from the
-seed (or stand in FILE), and checks what callers, back ends and operators saw.
+Starts a small claims platform, sends load, injects faults that are drawn from the
+seed (or read from FILE), and checks what callers, back ends and operators saw.
 
   --seconds N        length of the load (60)
-  --seed S           what the plan is drawn from (drawn)
-  --daemons N        daemons, as many for each of the four services (8)
-  --seeds N          N plans one after the other, of the seeds from S on, or each of a drawn one
+  --seed S           what the plan is drawn from (random)
+  --daemons N        daemons, the same number for each of the four services (8)
+  --seeds N          N plans one after the other, of the seeds from S on, or of random ones
   --replay FILE      a plan that was printed before
-  --shrink           drop faults of a plan that fails while it goes on failing; the smallest is kept
+  --shrink           drop faults of a plan that fails while it still fails; the smallest is kept
   --keep DIRECTORY   where plan, history and logs of a soak that fails are kept (soak-SEED);
                      with --seeds, a directory for each seed in it
   --plan             print the plan and end
@@ -40,29 +40,28 @@
 Example: seamhatch-lab soak --seconds 120 --seed 7
 ";
 
-/// Length of a soak's load, in seconds.
+/// Length of the load in seconds, unless `--seconds` says otherwise.
 const SECONDS: u64 = 60;
-/// Daemons of a soak.
+/// Daemons, unless `--daemons` says otherwise: two for each of four services.
 const DAEMONS: usize = 8;
-/// Most servers of a service. Each two daemons take up to four sockets of the proxy between them: 80 daemons 12,640
-/// of the 20,000 files that a process may usually have open.
+/// Most servers of a service. Each pair of daemons takes up to four sockets of the proxy: 80 daemons take 12,640 of the 20,000
+/// files that a process can usually have open.
 const MOST_SERVERS: u8 = 20;
 /// Largest seed: numbers of a plan file have a sign.
 const MOST_SEED: u64 = i64::MAX as u64;
-/// Plans that are tried to find that; each takes as long as the whole one.
+/// Most plans that are tried to shrink one; each takes as long as the whole plan. Chosen, not measured.
 const MOST_TRIES: usize = 40;
 const EXIT_ARGUMENTS: u8 = 2;
 
-/// What to do.
 struct SoakOptions {
     plans: Vec<SoakPlan>,
-    /// Where failures are kept; each in a directory named after its seed, unless it is the only one.
+    /// Where failures are kept; with several plans, each in a directory named after its seed.
     keep: Option<PathBuf>,
     shrink: bool,
     print_only: bool,
 }
 
-/// Runs a soak, or checks the history of one.
+/// Runs the command.
 pub fn run(arguments: Vec<OsString>) -> ExitCode {
     let mut arguments = Arguments::from_vec(arguments);
     if arguments.contains(["-h", "--help"]) {
@@ -174,16 +173,16 @@
 enum SoakEnd {
     /// All promises were kept.
     Kept,
-    /// These were broken.
+    /// These promises were broken.
     Broken(BTreeSet<Promise>),
     /// It did not run to its end.
     Unfinished,
 }
 
-/// Plays a plan and judges what was seen. What is to be kept of a failure goes into the directory.
+/// Runs a plan and checks its history. The files of a failure go into the directory.
 fn soak(plan: &SoakPlan, directory: &Path) -> SoakEnd {
     println!("seed {}, {} s, {} faults:\n{}", plan.seed, plan.seconds, plan.faults.len(), plan.to_text());
-    let record = match played(plan) {
+    let record = match run_to_end(plan) {
         Ok(record) => record,
         Err(problem) => {
             eprintln!("seamhatch-lab: the soak of seed {} did not run to its end: {problem}", plan.seed);
@@ -207,17 +206,23 @@
     violations.iter().map(|violation| violation.promise).collect()
 }
 
-/// Keeps the smallest part of the plan that breaks one of these promises.
+/// Writes the smallest part of the plan that breaks one of these promises. A part that does not run to its end counts as not failing.
 fn shrink_into(directory: &Path, plan: &SoakPlan, promises: &BTreeSet<Promise>) -> std::io::Result<()> {
     let shrunk = shrink::shrink(plan, MOST_TRIES, |smaller| {
-        let broken = played(smaller).map(|record| promises_of(&check(&record.history))).unwrap_or_default();
+        let broken = match run_to_end(smaller) {
+            Ok(record) => promises_of(&check(&record.history)),
+            Err(problem) => {
+                eprintln!("seamhatch-lab: a smaller plan did not run to its end: {problem}");
+                BTreeSet::new()
+            }
+        };
         let fails = !broken.is_disjoint(promises);
         println!("with {} faults: {}", smaller.faults.len(), if fails { "fails" } else { "does not fail" });
         fails
     });
-    let known = if shrunk.complete { "no fault of it can be dropped" } else { "given up" };
+    let end = if shrunk.complete { "no other fault can be dropped" } else { "given up" };
     println!(
-        "{} of {} faults left after {} tries, {known}",
+        "{} of {} faults left after {} tries, {end}",
         shrunk.plan.faults.len(),
         plan.faults.len(),
         shrunk.tries
@@ -225,17 +230,17 @@
     std::fs::write(directory.join(SMALLEST_FILE), shrunk.plan.to_text())
 }
 
-/// Plays a plan; the deployment's processes end with this, also when it is interrupted.
-fn played(plan: &SoakPlan) -> Result<SoakRecord, String> {
+/// Runs a plan. The deployment's processes end with it, also when it is interrupted.
+fn run_to_end(plan: &SoakPlan) -> Result<SoakRecord, String> {
     let program = std::env::current_exe().map_err(|error| error.to_string())?;
     let runtime = tokio::runtime::Runtime::new().map_err(|error| error.to_string())?;
     runtime.block_on(async {
-        let playing = tokio::spawn({
+        let running = tokio::spawn({
             let plan = plan.clone();
             async move { runner::run_plan(&plan, program).await }
         });
         tokio::select! {
-            record = playing => record.map_err(|error| error.to_string())?,
+            record = running => record.map_err(|error| error.to_string())?,
             _ = tokio::signal::ctrl_c() => Err("interrupted".into()),
         }
     })
--- a/crates/seamhatch-lab/src/soak/exchanges.rs
+++ b/crates/seamhatch-lab/src/soak/exchanges.rs
@@ -1,4 +1,4 @@
-//! Requests of a history with their answers.
+//! Pairs the requests of a history with their answers.
 
 use super::fleet::DaemonIndex;
 use super::history::{HistoryEvent, RequestName, SeenAnswer, SoakMillis};
@@ -7,7 +7,7 @@
 /// A request and its answer.
 #[derive(Debug, Clone, Copy)]
 pub struct Exchange<'a> {
-    /// Which.
+    /// The request.
     pub request: &'a RequestName,
     /// The service that it went to.
     pub service: &'a str,
@@ -15,7 +15,7 @@
     pub daemon: DaemonIndex,
     /// When it was sent.
     pub sent_ms: SoakMillis,
-    /// When the caller had its answer, or knew that none comes.
+    /// When the caller had its answer or gave up.
     pub answered_ms: SoakMillis,
     /// What the caller got.
     pub answer: &'a SeenAnswer,
--- a/crates/seamhatch-lab/src/soak/history.rs
+++ b/crates/seamhatch-lab/src/soak/history.rs
@@ -1,4 +1,7 @@
-//! What callers, back ends and operators saw of a soak, as lines of JSON.
+//! The history of a soak: what callers, back ends and operators saw, one JSON object a line.
+//!
+//! The checks and the report read nothing else, so a kept history can be judged again. Field and event names are the form of a kept
+//! file and stay as they are.
 
 use super::fault::SoakFault;
 use super::fleet::DaemonIndex;
@@ -8,10 +11,10 @@
 
 /// The caller's name of a request.
 pub type RequestName = String;
-/// Milliseconds from the beginning of the load.
+/// Milliseconds since the beginning of the load.
 pub type SoakMillis = u64;
 
-/// One line of a history. The lines of one observer are in the order of time; those of several are not.
+/// One line of a history. Lines of one observer are in the order of time; those of different observers need not be.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
 pub enum HistoryEvent {
@@ -30,41 +33,41 @@
         request: RequestName,
         /// The daemon that it is sent to.
         daemon: DaemonIndex,
-        /// The service that it goes to; empty where that isn't known.
+        /// The service that it goes to; empty in histories that were kept without it.
         #[serde(default)]
         service: String,
-        /// It carries an idempotency key: it may run once at most.
+        /// Whether it carries an idempotency key and so may run at most once.
         keyed: bool,
     },
-    /// The caller has its answer, or knows that none comes.
+    /// A caller has its answer, or has given up.
     Answered {
         /// When.
         at_ms: SoakMillis,
         /// Which.
         request: RequestName,
-        /// What it got.
+        /// What the caller got.
         answer: SeenAnswer,
     },
     /// A back end has run a call of a request.
     Executed {
-        /// The request that it belongs to.
+        /// The request that the call belongs to.
         request: RequestName,
         /// Service of the back end.
         service: String,
         /// Method and path.
         call: String,
-        /// Services and endpoints from the entry to here.
+        /// Services and endpoints that the request passed, from the entry to here.
         trail: String,
     },
-    /// A daemon tells operators its state.
+    /// A daemon reported its status.
     Status {
         /// When.
         at_ms: SoakMillis,
         /// Which.
         daemon: DaemonIndex,
-        /// Its lives before this one.
+        /// How often it had been started again.
         life: u32,
-        /// Configuration in force there.
+        /// Generation of the configuration in force there.
         generation: u64,
     },
     /// A fault begins.
@@ -81,18 +84,18 @@
         /// What.
         fault: SoakFault,
     },
-    /// The client said that a configuration was accepted.
+    /// The operators' client reported that a configuration was accepted.
     Accepted {
         /// When.
         at_ms: SoakMillis,
-        /// Its number.
+        /// Its generation.
         generation: u64,
     },
-    /// All faults are over and the deployment was given its time to recover.
+    /// All faults are over, and the deployment has recovered or its time for that is up.
     Healed {
         /// When.
         at_ms: SoakMillis,
-        /// All daemons were ready again.
+        /// Whether all daemons were ready.
         ready: bool,
     },
 }
@@ -100,15 +103,15 @@
 /// What a caller got.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeenAnswer {
-    /// HTTP status, zero when none came.
+    /// HTTP status; 0 when no answer came.
     pub status: u16,
     /// `Seamhatch-Outcome`.
     pub outcome: String,
     /// `Seamhatch-Reason`, or why no answer came.
     pub reason: String,
-    /// It said when to come back.
+    /// Whether it had a `Retry-After`.
     pub comes_back: bool,
-    /// The body is complete and answers this request.
+    /// Whether the body is complete and answers this request.
     pub whole: bool,
 }
 
@@ -137,9 +140,9 @@
 
 /// Why a history can't be read.
 #[derive(Debug, thiserror::Error)]
-#[error("line {line} of the history is no event: {source}")]
+#[error("line {line} of the history is not an event: {source}")]
 pub struct HistoryError {
-    /// Number of the line, from 1 on.
+    /// Number of the line, from 1.
     pub line: usize,
     /// What the parser says.
     pub source: serde_json::Error,
@@ -148,14 +151,15 @@
 /// A history as a file holds it.
 #[must_use]
 pub fn to_lines(history: &[HistoryEvent]) -> String {
-    let lines = history.iter().filter_map(|event| serde_json::to_string(event).ok());
-    lines.map(|line| line + "\n").collect()
+    let line =
+        |event| serde_json::to_string(event).expect("numbers, names and lists can be written as JSON") + "\n";
+    history.iter().map(line).collect()
 }
 
-/// A history from a file's text.
+/// Reads a history from a file's text.
 ///
 /// # Errors
-/// A line is no event.
+/// A line is not an event.
 pub fn from_lines(text: &str) -> Result<Vec<HistoryEvent>, HistoryError> {
     let lines = text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty());
     let event =
--- a/crates/seamhatch-lab/src/soak/injection.rs
+++ b/crates/seamhatch-lab/src/soak/injection.rs
@@ -1,4 +1,7 @@
-//! Bringing the faults of a plan about, and ending them.
+//! Begins and ends the faults of a plan in a running deployment.
+//!
+//! Owns nothing but the count of each daemon's lives: a fault that ends a process starts the daemon again only if no other
+//! fault has done so in the meantime. `steps` calls it at the plan's times.
 
 use super::fault::{CutWay, ReloadLevel, SoakFault};
 use super::fleet::DaemonIndex;
@@ -13,21 +16,21 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
-/// Service time of a back end that is as it should be, in percent.
+/// Service time of a back end without a fault, in percent.
 const USUAL_PERCENT: u32 = 100;
 
-/// How often each daemon has been started anew.
+/// How often each daemon has been started again; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct DaemonLives(Arc<Vec<AtomicU32>>);
 
 impl DaemonLives {
-    /// Daemons in their first lives.
+    /// All daemons in their first life.
     #[must_use]
     pub fn new(daemons: usize) -> Self {
         Self(Arc::new((0..daemons).map(|_| AtomicU32::new(0)).collect()))
     }
 
-    /// The present life of a daemon, from 0 on.
+    /// The present life of a daemon, from 0.
     #[must_use]
     pub fn of(&self, daemon: DaemonIndex) -> u32 {
         self.0[daemon].load(Ordering::Acquire)
@@ -38,24 +41,24 @@
     }
 }
 
-/// A fault that was brought about.
+/// A fault that has begun.
 pub struct BegunFault {
-    /// Which.
+    /// The fault.
     pub fault: SoakFault,
-    /// The lives that it struck, in the order of the fault's daemons.
-    struck: Vec<u32>,
+    /// The life of each of the fault's daemons at its beginning, in the order of [`SoakFault::daemons`].
+    lives: Vec<u32>,
 }
 
-/// What has come of ending a fault.
+/// Result of ending a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultEnd {
-    /// It is over.
+    /// The fault is over.
     Ended,
-    /// A daemon that was asked to stop hasn't ended yet.
+    /// The daemon was asked to stop and hasn't ended yet.
     StillStopping,
 }
 
-/// Makes a fault begin. A fault that strikes a process that has ended already does nothing.
+/// Begins a fault. It has no effect on a process that has already ended.
 ///
 /// # Errors
 /// Changed settings can't be written.
@@ -64,12 +67,12 @@
     lives: &DaemonLives,
     fault: SoakFault,
 ) -> std::io::Result<BegunFault> {
-    let struck = fault.daemons().into_iter().map(|daemon| lives.of(daemon)).collect();
+    let lives = fault.daemons().into_iter().map(|daemon| lives.of(daemon)).collect();
     inject(deployment, &fault)?;
-    Ok(BegunFault { fault, struck })
+    Ok(BegunFault { fault, lives })
 }
 
-/// Asks a daemon to stop, once or once more.
+/// Asks a daemon to stop, for the first time or again.
 pub fn ask_to_stop(deployment: &mut Deployment, daemon: DaemonIndex) {
     signal(deployment, daemon, Signal::TERM);
 }
@@ -103,16 +106,16 @@
         | SoakFault::ServerCuts { daemon }
         | SoakFault::ServerForges { daemon } => misbehave(&behaviour(deployment, *daemon), fault),
         SoakFault::ServerCrash { daemon } => deployment.relays().crash(deployment.machines[*daemon].ip),
-        // Submitted or sent by the run itself, which records what became of it.
+        // `steps` submits or sends these and records the outcome.
         SoakFault::Configuration { .. } | SoakFault::DeadlyRequest { .. } => {}
     }
     Ok(())
 }
 
-/// Ends a fault, unless a daemon that was asked to stop is still at it.
+/// Ends a fault, unless a daemon that was asked to stop still runs.
 ///
 /// # Errors
-/// A daemon can't be started again, or told its settings.
+/// A daemon can't be started again, or its settings can't be written.
 pub fn end(
     deployment: &mut Deployment,
     lives: &DaemonLives,
@@ -120,7 +123,7 @@
 ) -> std::io::Result<FaultEnd> {
     match &begun.fault {
         SoakFault::PlannedStop { daemon } | SoakFault::HastyStop { daemon, .. }
-            if begun.still_lives(*daemon, lives) && !deployment.daemons[*daemon].has_ended() =>
+            if begun.is_same_life(*daemon, lives) && !deployment.daemons[*daemon].has_ended() =>
         {
             return Ok(FaultEnd::StillStopping);
         }
@@ -149,8 +152,8 @@
     Ok(FaultEnd::Ended)
 }
 
-/// Starts the daemons of a fault anew, also those that haven't ended, but not those that another fault has
-/// started anew meanwhile.
+/// Starts the daemons of a fault again, and kills those that still run first; not those that another fault has started again
+/// in the meantime.
 ///
 /// # Errors
 /// A daemon can't be started again.
@@ -160,7 +163,7 @@
     begun: &BegunFault,
 ) -> std::io::Result<()> {
     for daemon in begun.fault.daemons() {
-        if begun.still_lives(daemon, lives) {
+        if begun.is_same_life(daemon, lives) {
             lives.next(daemon);
             deployment.restart(daemon)?;
         }
@@ -169,22 +172,22 @@
 }
 
 impl BegunFault {
-    /// Whether nobody has started the daemon anew since it was struck.
-    fn still_lives(&self, daemon: DaemonIndex, lives: &DaemonLives) -> bool {
-        let place = self.fault.daemons().iter().position(|own| *own == daemon);
-        place.is_some_and(|place| self.struck[place] == lives.of(daemon))
+    /// Whether the daemon has not been started again since the fault began.
+    fn is_same_life(&self, daemon: DaemonIndex, lives: &DaemonLives) -> bool {
+        let position = self.fault.daemons().iter().position(|own| *own == daemon);
+        position.is_some_and(|position| self.lives[position] == lives.of(daemon))
     }
 }
 
-/// Sends a signal to a daemon, unless it has ended: its number may be another process's by now.
+/// Sends a signal to a daemon, unless it has ended: its process id may belong to another process by now.
 fn signal(deployment: &mut Deployment, daemon: DaemonIndex, signal: Signal) {
     if !deployment.daemons[daemon].has_ended() {
-        // The only error is that there is no such process.
+        // The only error is that the process has just ended.
         let _ = deployment.daemons[daemon].signal(signal);
     }
 }
 
-/// Changes a daemon's settings file and has it read again.
+/// Rewrites a daemon's settings file and makes the daemon reload it.
 fn reload(
     deployment: &mut Deployment,
     daemon: DaemonIndex,
@@ -202,7 +205,7 @@
     Ok(())
 }
 
-/// Makes a fault of the platform begin or end.
+/// Begins or ends a fault of the platform.
 fn set_platform_fault(faults: &mut PlatformFaults, fault: &SoakFault, active: bool) {
     match fault {
         SoakFault::StoreOut => faults.store_out = active,
@@ -218,7 +221,7 @@
     }
 }
 
-/// Makes a fault of a back end begin.
+/// Begins a fault of a back end.
 fn misbehave(behaviour: &Behaviour, fault: &SoakFault) {
     match fault {
         SoakFault::ServerSlow { percent, .. } => {
@@ -235,6 +238,7 @@
     deployment.backends.behaviour(&deployment.machines[daemon])
 }
 
+/// Ends all faults of a back end, also those of another fault that overlaps.
 fn restore(behaviour: &Behaviour) {
     behaviour.slowdown_percent.store(USUAL_PERCENT, Ordering::Relaxed);
     behaviour.failing.store(false, Ordering::Relaxed);
@@ -242,12 +246,14 @@
     behaviour.forges_outcome.store(false, Ordering::Relaxed);
 }
 
+/// Address of a daemon's machine and those of all the others.
 fn others(deployment: &Deployment, daemon: DaemonIndex) -> (Ipv4Addr, Vec<Ipv4Addr>) {
     let own = deployment.machines[daemon].ip;
     let others = deployment.machines.iter().map(|machine| machine.ip).filter(|ip| *ip != own);
     (own, others.collect())
 }
 
+/// Sets the rule for both directions between a daemon and all the others.
 fn between(deployment: &Deployment, daemon: DaemonIndex, rule: Rule) {
     let (own, others) = others(deployment, daemon);
     deployment.proxy().set_between(&[own], &others, rule);
--- a/crates/seamhatch-lab/src/soak/load.rs
+++ b/crates/seamhatch-lab/src/soak/load.rs
@@ -1,4 +1,7 @@
-//! The load of a soak: requests at drawn times to drawn daemons, and clients that keep one connection each.
+//! The load of a soak: requests at drawn times to drawn daemons, clients that keep one connection each, and callers that repeat a
+//! request that crashes back ends.
+//!
+//! Times, daemons and kinds are drawn from the plan's seed. Each request and answer is recorded.
 
 use super::fleet::DaemonIndex;
 use super::history::{HistoryEvent, SeenAnswer};
@@ -15,20 +18,20 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// Load that could not be sent in time, as this machine was too busy, is left out beyond this.
+/// Requests that are due longer ago than this, as this machine was too busy, are left out. Chosen, not measured.
 const MOST_BACKLOG: Duration = Duration::from_secs(1);
-/// Requests a second of a client that keeps its connection, while it is answered at once.
+/// Requests a second of a client that keeps its connection, as long as it is answered at once. Chosen, not measured.
 const CLIENT_RATE: f64 = 3.0;
-/// Pause of a client whose new connection was refused.
+/// Pause of a client whose new connection was refused. Chosen, not measured.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Name prefix of the requests that crash back ends.
 pub const DEADLY_PREFIX: &str = "deadly-";
-/// Of so many daemons one has a caller who comes again with such a request.
-const INSISTING_EACH: usize = 3;
-/// Between two attempts of a caller, and between the first ones at two daemons.
-const INSISTING_APART: Duration = Duration::from_millis(50);
-/// More daemons than a soak has, to number the copies of a request by daemon and attempt.
+/// Every so many daemons, one has a caller that repeats such a request. Chosen, not measured.
+const DEADLY_CALLER_EACH: usize = 3;
+/// Pause between two attempts of such a caller, and between the first attempts at neighbouring daemons. Chosen, not measured.
+const DEADLY_PAUSE: Duration = Duration::from_millis(50);
+/// More daemons than a soak can have: the copies of a request are numbered by daemon plus this for each attempt.
 const MOST_DAEMONS: usize = 1000;
 
 /// Sends the load of a plan and waits for all answers.
@@ -78,7 +81,7 @@
 }
 
 impl SoakRequest {
-    /// A request of this kind and name.
+    /// A request of this kind with this name.
     #[must_use]
     pub fn new(topology: &Topology, kind: &RequestKind, name: String) -> Self {
         let request = CallerRequest {
@@ -118,27 +121,33 @@
     }
 }
 
-/// Callers that come again at once, each at a daemon of its own, with one request that crashes back ends.
-pub fn insist(deadly: u64, span: Duration, topology: &Topology, ingresses: &[Address], recorder: &Recorder) {
+/// Starts callers, each at a daemon of its own, that repeat one request that crashes back ends for this long.
+pub fn repeat_deadly(
+    deadly: u64,
+    span: Duration,
+    topology: &Topology,
+    ingresses: &[Address],
+    recorder: &Recorder,
+) {
     let Some(kind) = topology.kinds.iter().find(|kind| !kind.keyed).cloned() else { return };
-    for (daemon, ingress) in ingresses.iter().copied().enumerate().step_by(INSISTING_EACH) {
+    for (daemon, ingress) in ingresses.iter().copied().enumerate().step_by(DEADLY_CALLER_EACH) {
         let (kind, topology, recorder) = (kind.clone(), topology.clone(), recorder.clone());
         tokio::spawn(async move {
             let caller = Caller::default();
             let end = Instant::now() + span;
-            tokio::time::sleep(INSISTING_APART * daemon as u32).await;
+            tokio::time::sleep(DEADLY_PAUSE * daemon as u32).await;
             let mut copy = daemon;
             while Instant::now() < end {
                 let request = SoakRequest::deadly(&topology, &kind, deadly, copy);
                 send(caller.clone(), ingress, daemon, request, recorder.clone()).await;
                 copy += MOST_DAEMONS;
-                tokio::time::sleep(INSISTING_APART).await;
+                tokio::time::sleep(DEADLY_PAUSE).await;
             }
         });
     }
 }
 
-/// Sends a request over any connection and records what becomes of it.
+/// Sends a request over any connection and records both it and its answer.
 pub async fn send(
     caller: Caller,
     ingress: Address,
@@ -151,7 +160,7 @@
     request.note_answered(&answer, &recorder);
 }
 
-/// A client that goes on using its connection until the daemon closes it.
+/// A client that uses one connection until the daemon closes it.
 struct KeepingClient {
     number: usize,
     rng: SmallRng,
@@ -177,7 +186,7 @@
         }
     }
 
-    /// The connection kept so far, or a new one where that is closed; none when the load ends before.
+    /// The kept connection, or a new one to a drawn daemon if that is closed; none when the load ends first.
     async fn usable(
         &mut self,
         kept: Option<(DaemonIndex, CallerConnection)>,
--- a/crates/seamhatch-lab/src/soak/no_server.rs
+++ b/crates/seamhatch-lab/src/soak/no_server.rs
@@ -1,4 +1,6 @@
-//! No service is answered `no-server` for long while it has a living server with a living daemon beside it.
+//! Checks that callers of a service are not answered `no-server` for long while it has a living server with a living daemon.
+//!
+//! Time during which the daemon that was asked, or all daemons of the service, were disturbed by a fault is left out (`Outages`).
 
 use super::checks::{Promise, Violation, violation};
 use super::exchanges::{Exchange, exchanges};
@@ -8,31 +10,31 @@
 use super::spans::{FaultSpan, fault_spans};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Longest time for which a service that has a living server may be answered `no-server`, in milliseconds: what a
-/// started daemon waits for the store and other daemons (1.3 s) and for the silence of one that is gone (0.75 s),
-/// and as much again as a busy machine needs.
+/// Longest time for which a service with a living server may be answered `no-server`, in milliseconds: what a started daemon waits
+/// for the store and other daemons (1.3 s) and for the silence of one that is gone (0.75 s), twice, for a busy machine.
 pub const NO_SERVER_BOUND_MS: SoakMillis = 4_000;
-/// Time after a fault of links or servers in which its daemon is not counted upon, in milliseconds.
+/// Time after a fault of a daemon, its links or its server in which the daemon still counts as disturbed, in milliseconds. Chosen, not
+/// measured.
 const CALM_AFTER_MS: SoakMillis = 4_000;
-/// Time for which a daemon that starts waits for the configuration's witnesses, where two of the three may be lost,
-/// in milliseconds (docs/GUARANTEES.md, assumptions).
+/// Time for which a daemon that starts waits for the configuration's witnesses, in milliseconds, if two of the three may be lost
+/// (docs/GUARANTEES.md, assumptions).
 const WITNESS_WAIT_MS: SoakMillis = 10_000;
 /// Reason of a daemon that finds no server.
 const NO_SERVER: &str = "no-server";
 
-/// From and to, in milliseconds.
+/// Beginning and end, in milliseconds; the end is outside.
 type Interval = (SoakMillis, SoakMillis);
 
-/// Who is answered: a service's callers at one daemon, or at any.
+/// The callers of a service at one daemon, or at any.
 type Callers<'a> = (&'a str, Option<DaemonIndex>);
 
-/// Services that were not found for too long.
+/// Services that were answered `no-server` for too long.
 pub(super) fn servers_are_found(history: &[HistoryEvent]) -> Vec<Violation> {
     let outages = Outages::of(history);
     let mut answered = exchanges(history);
     answered.sort_by_key(|request| request.sent_ms);
     let mut since: BTreeMap<Callers, SoakMillis> = BTreeMap::new();
-    let mut told: BTreeSet<Callers> = BTreeSet::new();
+    let mut reported: BTreeSet<Callers> = BTreeSet::new();
     let mut violations = Vec::new();
     for request in answered {
         for callers in [(request.service, Some(request.daemon)), (request.service, None)] {
@@ -47,7 +49,7 @@
             let first_ms = since.entry(callers).or_insert(request.sent_ms);
             *first_ms = (*first_ms).max(calm_ms);
             let span_ms = request.sent_ms - *first_ms;
-            if span_ms > NO_SERVER_BOUND_MS && told.insert(callers) {
+            if span_ms > NO_SERVER_BOUND_MS && reported.insert(callers) {
                 let at =
                     callers.1.map_or_else(|| "every daemon".to_owned(), |daemon| format!("daemon {daemon}"));
                 let detail =
@@ -59,7 +61,7 @@
     violations
 }
 
-/// When daemons and services were not to be counted upon.
+/// When daemons, and whole services, were disturbed by faults.
 struct Outages<'a> {
     by_daemon: BTreeMap<DaemonIndex, Vec<Interval>>,
     by_service: BTreeMap<&'a str, Vec<Interval>>,
@@ -91,8 +93,8 @@
         Self { by_service: by_service.collect(), by_daemon }
     }
 
-    /// Since when both the daemon that a request was sent to and one of its service could be counted upon; none
-    /// when they couldn't at that time, or nothing is known of the service.
+    /// Since when neither the daemon that a request was sent to nor the whole service was disturbed; none when one of them was at
+    /// that time, or the service is not known.
     fn calm_since(&self, request: &Exchange) -> Option<SoakMillis> {
         let entry = self.by_daemon.get(&request.daemon).map_or(&[][..], Vec::as_slice);
         let service = self.by_service.get(request.service)?;
@@ -109,7 +111,7 @@
     }
 }
 
-/// The time for which a fault keeps its daemons from serving.
+/// The time for which a fault disturbs its daemons; none if it doesn't.
 fn daemon_outage(span: &FaultSpan, spans: &[FaultSpan]) -> Option<Interval> {
     match span.fault.group() {
         FaultGroup::Kill | FaultGroup::Stop => Some((span.from_ms, after_store_trouble(span.to_ms, spans))),
@@ -118,16 +120,16 @@
     }
 }
 
-/// A daemon that starts may need the store: its time counts from the end of the store's trouble on.
+/// When a daemon that started at this time could be expected to serve: if the store had a fault then, at the end of that.
 fn after_store_trouble(started_ms: SoakMillis, spans: &[FaultSpan]) -> SoakMillis {
     let troubles = spans.iter().filter(|span| span.fault.group() == FaultGroup::Store);
     let during = troubles.filter(|span| (span.from_ms..span.to_ms).contains(&started_ms));
     during.map(|span| span.to_ms).max().unwrap_or(started_ms)
 }
 
-/// From when on a shard may have lost two of its three witnesses: two daemons were gone at about the same time
-/// without having been replaced as witnesses, which takes a planned stop and the store. Such a shard waits for
-/// longer than a soak's load lasts.
+/// The first time at which a shard may have lost two of its three witnesses: two daemons were gone at about the same time
+/// and could not be replaced as witnesses before, which takes a planned stop and a working store. Such a shard waits for longer
+/// than a soak's load lasts.
 fn witnesses_lost_ms(spans: &[FaultSpan]) -> Option<SoakMillis> {
     let lost: Vec<&FaultSpan> = spans.iter().filter(|span| loses_witness(span, spans)).collect();
     let together = lost.iter().enumerate().flat_map(|(index, one)| {
@@ -153,7 +155,7 @@
     }
 }
 
-/// When none of these daemons could be counted upon.
+/// When all of these daemons were disturbed.
 fn common_outages(
     daemons: &[DaemonIndex],
     by_daemon: &BTreeMap<DaemonIndex, Vec<Interval>>,
--- a/crates/seamhatch-lab/src/soak/output.rs
+++ b/crates/seamhatch-lab/src/soak/output.rs
@@ -1,4 +1,4 @@
-//! What a soak prints, and the files that it keeps of a failure.
+//! What a soak prints, and the files that it keeps of a failure: the plan, its smallest failing part, the history and the daemons' logs.
 
 use super::checks::Violation;
 use super::history::{HistoryEvent, to_lines};
@@ -7,11 +7,11 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Violations of a promise that are printed.
+/// Violations of each promise that are printed; the history has them all.
 const MOST_SHOWN: usize = 5;
-/// File of a plan that is kept.
+/// File of a kept plan.
 pub(super) const PLAN_FILE: &str = "plan.toml";
-/// File of the smallest part of it that fails.
+/// File of the smallest part of the plan that fails.
 pub(super) const SMALLEST_FILE: &str = "smallest.toml";
 
 pub(super) fn print_answers(history: &[HistoryEvent]) {
@@ -54,7 +54,7 @@
 
 pub(super) fn print_kept(directory: &Path, kept: std::io::Result<()>) {
     match kept {
-        Ok(()) => println!("what there is of it is kept in {}", directory.display()),
+        Ok(()) => println!("kept in {}", directory.display()),
         Err(error) => eprintln!("seamhatch-lab: {} can't be written: {error}", directory.display()),
     }
 }
--- a/crates/seamhatch-lab/src/soak/recorder.rs
+++ b/crates/seamhatch-lab/src/soak/recorder.rs
@@ -1,10 +1,10 @@
-//! What the tasks of a soak write its history with.
+//! Collects the events of a soak from all its tasks, and gives them their time.
 
 use super::history::{HistoryEvent, SoakMillis};
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// Gathers events; cheap to clone.
+/// Collects events; cheap to clone.
 #[derive(Clone)]
 pub struct Recorder {
     start: Instant,
@@ -12,19 +12,19 @@
 }
 
 impl Recorder {
-    /// One whose time begins now.
+    /// A recorder whose time begins now.
     #[must_use]
     pub fn begin() -> Self {
         Self { start: Instant::now(), events: Arc::default() }
     }
 
-    /// The beginning.
+    /// The time at which it began.
     #[must_use]
     pub fn start(&self) -> Instant {
         self.start
     }
 
-    /// Time since the beginning.
+    /// Milliseconds since the beginning.
     #[must_use]
     pub fn at_ms(&self) -> SoakMillis {
         self.start.elapsed().as_millis() as SoakMillis
@@ -35,7 +35,7 @@
         self.events.lock().expect("history lock").push(event);
     }
 
-    /// The events so far, which it keeps no more.
+    /// Takes the events so far.
     #[must_use]
     pub fn take(&self) -> Vec<HistoryEvent> {
         std::mem::take(&mut self.events.lock().expect("history lock"))
--- a/crates/seamhatch-lab/src/soak/runner.rs
+++ b/crates/seamhatch-lab/src/soak/runner.rs
@@ -1,4 +1,7 @@
-//! One soak: load, faults at their times, and everything that is seen, recorded.
+//! Runs one plan: starts the deployment, sends the load, lets `steps` run the faults, watches the daemons, waits for the
+//! recovery, sends probes, and returns the history and the daemons' logs.
+//!
+//! The command calls it for each plan, and again for each smaller one while it shrinks.
 
 use super::checks::PROBE_PREFIX;
 use super::fleet::SoakFleet;
@@ -13,45 +16,46 @@
 use crate::deployment::{Deployment, DeploymentOptions, status_of};
 use crate::topology::Topology;
 use seamhatch_core::identity::Address;
+use seamhatch_core::roster::RESTART_WAIT;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Longest wait for all daemons to be ready when the faults are over. A shard of witnesses that has lost a
-/// majority waits 120 s by design.
-const RECOVERY: Duration = Duration::from_secs(180);
-/// Time between two looks at the daemons' state.
+/// Longest wait for all daemons to be ready when the faults are over: what a shard waits that has lost a majority of its
+/// witnesses, and half as much again for a busy machine. The half is chosen, not measured.
+const RECOVERY_TIMEOUT: Duration = Duration::from_micros(RESTART_WAIT * 3 / 2);
+/// Time between two rounds of status reports. Chosen, not measured.
 const STATUS_INTERVAL: Duration = Duration::from_millis(400);
-/// Requests that are sent when everything is over.
+/// Requests that must be served when everything is over: five for each of eight daemons. Chosen, not measured.
 const PROBES: usize = 40;
-/// Calls that were held up somewhere run within this time, or never.
+/// Wait for calls that may still be on their way, before the executions are read. Chosen, not measured.
 const SETTLING: Duration = Duration::from_millis(500);
-/// Pause between two looks at what is waited for.
+/// Pause between two checks whether back ends are idle. Chosen, not measured.
 const POLL: Duration = Duration::from_millis(20);
 
-/// The deployment that is soaked: the claims platform, with so many servers of each service.
+/// What a soak deploys: the claims platform with this many servers for each service.
 #[must_use]
 pub fn topology(servers: u8) -> Topology {
     Topology::harvest().with_servers(servers)
 }
 
-/// Its daemons.
+/// The daemons of that deployment.
 #[must_use]
 pub fn fleet(servers: u8) -> SoakFleet {
     SoakFleet { services: topology(servers).services.len(), servers }
 }
 
-/// What a soak has seen, and the daemons' logs.
+/// What a soak leaves.
 pub struct SoakRecord {
-    /// What was seen.
+    /// What callers, back ends and operators saw.
     pub history: Vec<HistoryEvent>,
     /// The log of each daemon, in the order of the topology.
     pub logs: Vec<String>,
 }
 
-/// Runs a plan with this program as the daemon's.
+/// Runs a plan; `program` is the emulator's, which contains the daemon.
 ///
 /// # Errors
-/// The deployment can't be started, or a fault can't be brought about.
+/// The deployment can't be started, or a fault can't be injected.
 pub async fn run_plan(plan: &SoakPlan, program: PathBuf) -> Result<SoakRecord, String> {
     let options =
         DeploymentOptions { program, log_level: "info".into(), proxied: true, mode: CallMode::ThroughDaemon };
@@ -65,15 +69,15 @@
         load::send_load(plan.clone(), deployment.topology.clone(), deployment.ingresses(), recorder.clone());
     let load = tokio::spawn(load);
     let watch = tokio::spawn(watch_daemons(admins(&deployment), lives.clone(), recorder.clone()));
-    let faults = steps::bring_about(&mut deployment, &lives, &plan.faults, &recorder).await;
+    let faults = steps::run_steps(&mut deployment, &lives, &plan.faults, &recorder).await;
     faults.map_err(|error| error.to_string())?;
     load.await.map_err(|error| error.to_string())?;
     steps::submit(&deployment, 0, &recorder).await.map_err(|error| error.to_string())?;
-    let ready = deployment.wait_ready(RECOVERY).await;
+    let ready = deployment.wait_ready(RECOVERY_TIMEOUT).await;
     watch.abort();
     recorder.note(HistoryEvent::Healed { at_ms: recorder.at_ms(), ready });
     probe(&deployment, &recorder).await;
-    look_at_all(&admins(&deployment), &lives, &recorder).await;
+    record_reports(&admins(&deployment), &lives, &recorder).await;
     while deployment.backends.running() > 0 {
         tokio::time::sleep(POLL).await;
     }
@@ -90,13 +94,13 @@
 
 async fn watch_daemons(admins: Vec<Address>, lives: DaemonLives, recorder: Recorder) {
     loop {
-        look_at_all(&admins, &lives, &recorder).await;
+        record_reports(&admins, &lives, &recorder).await;
         tokio::time::sleep(STATUS_INTERVAL).await;
     }
 }
 
-/// Asks each daemon for its state; one that is restarted meanwhile isn't noted.
-async fn look_at_all(admins: &[Address], lives: &DaemonLives, recorder: &Recorder) {
+/// Records each daemon's status report, except of one that is started again in the meantime.
+async fn record_reports(admins: &[Address], lives: &DaemonLives, recorder: &Recorder) {
     for (daemon, admin) in admins.iter().enumerate() {
         let life = lives.of(daemon);
         let asked = tokio::time::timeout(STATUS_INTERVAL, status_of(*admin)).await;
@@ -108,6 +112,7 @@
     }
 }
 
+/// Sends requests of all kinds to all daemons in turn.
 async fn probe(deployment: &Deployment, recorder: &Recorder) {
     let caller = Caller::default();
     let ingresses = deployment.ingresses();
--- a/crates/seamhatch-lab/src/soak/shrink.rs
+++ b/crates/seamhatch-lab/src/soak/shrink.rs
@@ -1,26 +1,28 @@
-//! The smallest part of a failing plan that still fails.
+//! Finds a small part of a failing plan that still fails.
+//!
+//! A failure that shows in some runs only can make a fault look needless that is needed, or the other way round.
 
 use super::plan::{PlannedFault, SoakPlan};
 
-/// What became of shrinking.
+/// Result of shrinking.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ShrunkPlan {
-    /// The smallest plan that was seen to fail; the given one, if no part of it did.
+    /// The smallest plan that failed; the given one if no part of it did.
     pub plan: SoakPlan,
-    /// Plans that were tried.
+    /// Number of plans that were tried.
     pub tries: usize,
-    /// Every part that lacks one fault more was tried and did not fail.
+    /// Whether each part with one fault less was tried and did not fail.
     pub complete: bool,
 }
 
-/// Drops faults of a failing plan, first many at a time, then one by one, while what is left still `fails`; tries
-/// `most_tries` plans at most.
+/// Drops faults of a failing plan, first many at a time, then one by one, while the rest still `fails`. Tries at most
+/// `most_tries` plans.
 pub fn shrink(plan: &SoakPlan, most_tries: usize, mut fails: impl FnMut(&SoakPlan) -> bool) -> ShrunkPlan {
     let mut faults = plan.faults.clone();
     let mut dropped = faults.len().div_ceil(2).max(1);
     let mut from = 0;
     let mut tries = 0;
-    // Faults tried in vain, one at a time, since the plan was last made smaller.
+    // Faults, dropped one at a time, without which the present plan did not fail.
     let mut needed = 0;
     while needed < faults.len() && tries < most_tries {
         let smaller = without(&faults, from, dropped);
--- a/crates/seamhatch-lab/src/soak/spans.rs
+++ b/crates/seamhatch-lab/src/soak/spans.rs
@@ -1,16 +1,16 @@
-//! When the faults of a history were under way.
+//! When each fault of a history began and ended.
 
 use super::fault::SoakFault;
 use super::history::{HistoryEvent, SoakMillis};
 
-/// A fault and its time.
+/// A fault with its real beginning and end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FaultSpan {
-    /// What happened.
+    /// The fault.
     pub fault: SoakFault,
     /// Its beginning.
     pub from_ms: SoakMillis,
-    /// Its end; [`SoakMillis::MAX`] when the history ends before.
+    /// Its end; [`SoakMillis::MAX`] when the history ends first.
     pub to_ms: SoakMillis,
 }
 
--- a/crates/seamhatch-lab/src/soak/steps.rs
+++ b/crates/seamhatch-lab/src/soak/steps.rs
@@ -1,4 +1,7 @@
-//! The steps of a plan, each at its time, whatever the earlier ones are still waiting for.
+//! Runs the steps of a plan, each at its time: a step that has to wait, as for a daemon that stops, is queued again and holds up no
+//! other.
+//!
+//! `runner` calls it beside the load. It records the real beginning and end of each fault, which the checks go by.
 
 use super::fault::SoakFault;
 use super::fleet::DaemonIndex;
@@ -12,21 +15,20 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// A step of a plan that comes later than this tells of a machine that is too busy, in milliseconds.
+/// A step that comes later than this, in milliseconds, is printed: this machine is too busy for the plan. Chosen, not measured.
 const MOST_LATE_MS: SoakMillis = 1_000;
-/// Pause between two looks at a daemon that hasn't ended yet, in milliseconds.
+/// Pause between two checks whether a daemon has ended, in milliseconds. Chosen, not measured.
 const STOP_POLL_MS: SoakMillis = 20;
-/// Longest wait for a daemon that was asked to stop, in milliseconds from the planned end of the stop on.
+/// Longest wait for a daemon that was asked to stop, in milliseconds from the planned end of the stop. Chosen, not measured.
 const STOP_TIMEOUT_MS: SoakMillis = 60_000;
 
-/// One step.
 enum Step {
     Begin(PlannedFault),
     Again(DaemonIndex),
     End { begun: BegunFault, planned_ms: SoakMillis },
 }
 
-/// The steps to come, in the order of their times.
+/// The steps to come, by their time and then in the order in which they were added.
 #[derive(Default)]
 struct StepQueue {
     steps: BTreeMap<(SoakMillis, usize), Step>,
@@ -44,11 +46,11 @@
     }
 }
 
-/// Brings the faults of a plan about and ends them.
+/// Begins and ends all faults of a plan, and waits for the configurations that were submitted.
 ///
 /// # Errors
-/// A daemon can't be started again, or told to read its settings.
-pub async fn bring_about(
+/// A daemon can't be started again, or its settings can't be written.
+pub async fn run_steps(
     deployment: &mut Deployment,
     lives: &DaemonLives,
     planned: &[PlannedFault],
@@ -59,7 +61,7 @@
     let mut submissions = Vec::new();
     while let Some((at_ms, step)) = queue.next() {
         tokio::time::sleep_until((recorder.start() + Duration::from_millis(at_ms)).into()).await;
-        tell_if_late(at_ms, recorder);
+        print_if_late(at_ms, recorder);
         match step {
             Step::Begin(fault) => {
                 submissions.extend(begin(deployment, lives, fault, &mut queue, recorder)?);
@@ -87,7 +89,7 @@
     Ok(())
 }
 
-/// Makes a fault begin and plans its further steps. Gives the submission to wait for, if it is one.
+/// Begins a fault and queues its further steps. Returns the submission to wait for, if the fault is one.
 fn begin(
     deployment: &mut Deployment,
     lives: &DaemonLives,
@@ -107,7 +109,7 @@
     };
     if let SoakFault::DeadlyRequest { number } = fault {
         let span = Duration::from_millis(for_ms);
-        load::insist(number, span, &deployment.topology, &deployment.ingresses(), recorder);
+        load::repeat_deadly(number, span, &deployment.topology, &deployment.ingresses(), recorder);
     }
     let begun = injection::begin(deployment, lives, fault)?;
     queue.add(planned_ms, Step::End { begun, planned_ms });
@@ -118,15 +120,15 @@
     recorder.note(HistoryEvent::FaultEnds { at_ms: recorder.at_ms(), fault });
 }
 
-fn tell_if_late(at_ms: SoakMillis, recorder: &Recorder) {
+fn print_if_late(at_ms: SoakMillis, recorder: &Recorder) {
     let late_ms = recorder.at_ms().saturating_sub(at_ms);
     if late_ms > MOST_LATE_MS {
         println!("this machine is too busy for the plan: the step of {at_ms} ms came {late_ms} ms late");
     }
 }
 
-/// Submits the configuration once more, under another number, beside whatever else happens. What the client
-/// can't tell isn't noted.
+/// Submits the last configuration once more, as a new generation, without waiting for it. Recorded only when the client says
+/// that it was accepted: otherwise nothing is promised.
 pub fn submit(deployment: &Deployment, daemon: DaemonIndex, recorder: &Recorder) -> JoinHandle<()> {
     let mut submission = deployment.submission(daemon, &["--json"]);
     let recorder = recorder.clone();
--- a/crates/seamhatch-lab/src/soak/stops.rs
+++ b/crates/seamhatch-lab/src/soak/stops.rs
@@ -1,4 +1,7 @@
-//! A planned stop cuts off nothing.
+//! Checks that a planned stop cuts off no request.
+//!
+//! What may be judged depends on the other faults around the stop: with none, each answer of the stopping daemon; with
+//! those that leave requests in progress alone, only answers that broke off; with any other, nothing.
 
 use super::checks::{NOT_RUN, Promise, Violation, executed, violation};
 use super::exchanges::{Exchange, exchanges};
@@ -8,23 +11,23 @@
 use super::spans::{FaultSpan, fault_spans};
 use std::collections::HashSet;
 
-/// Reason of a daemon that stops.
+/// Reason that a stopping daemon gives.
 const DRAINING: &str = "draining";
-/// Reasons of answers that never came to their end: the caller's or a daemon's connection was lost.
+/// Reasons of answers that broke off: the caller's connection or one between daemons was lost.
 const BROKEN_OFF: [&str; 3] = ["connection-lost", "answer-broken-off", "peer-lost"];
-/// No other fault may be going on this long before a stop, in milliseconds.
+/// A fault that ended this long before a stop, or longer, is not beside it, in milliseconds. Chosen, not measured.
 const CALM_BEFORE_MS: SoakMillis = 4_000;
 
-/// What else is under way around a planned stop.
+/// The other faults around a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StopCompany {
-    /// Nothing: every answer counts.
+    /// None: every answer is judged.
     Alone,
-    /// Only what breaks off no work in progress: requests may find no server, but none is broken off.
+    /// Only faults that leave requests in progress alone: requests may find no server, but none breaks off.
     Gentle,
 }
 
-/// A planned stop whose answers are judged.
+/// A planned stop whose answers can be judged.
 #[derive(Debug, Clone, Copy)]
 struct StopWindow {
     daemon: DaemonIndex,
@@ -33,7 +36,7 @@
     company: StopCompany,
 }
 
-/// Requests that a planned stop has cut off.
+/// Requests that a planned stop cut off.
 pub(super) fn stops_cut_nothing(history: &[HistoryEvent]) -> Vec<Violation> {
     let windows = stop_windows(history);
     let ran = executed(history);
@@ -41,7 +44,7 @@
         let mut during = windows.iter().filter(|stop| stop.meets(exchange));
         during.any(|stop| {
             let alone_there = stop.company == StopCompany::Alone && stop.daemon == exchange.daemon;
-            // Nothing beside the stop breaks off requests, whichever daemon they were sent to.
+            // No other fault breaks requests off, whichever daemon they were sent to.
             BROKEN_OFF.contains(&exchange.answer.reason.as_str())
                 || alone_there && is_cut_alone(exchange.request, exchange.answer, &ran)
         })
@@ -58,7 +61,7 @@
 }
 
 impl StopWindow {
-    /// Whether the request was under way during the stop: sent before its end, and not answered before it began.
+    /// Whether the request was in progress during the stop: sent before its end, and not answered before its beginning.
     fn meets(&self, exchange: &Exchange) -> bool {
         exchange.sent_ms <= self.to_ms && exchange.answered_ms >= self.from_ms
     }
@@ -66,16 +69,16 @@
 
 fn is_cut_alone(request: &RequestName, answer: &SeenAnswer, ran: &HashSet<&RequestName>) -> bool {
     let good = answer.status == 200 && answer.whole;
-    let turned_away = answer.outcome == NOT_RUN || answer.reason == "connection-refused";
-    // Of a request with a key, a daemon that holds no claim says `unknown`: an earlier attempt may have run.
+    let refused = answer.outcome == NOT_RUN || answer.reason == "connection-refused";
+    // For a request with a key, a daemon without a claim answers `unknown`, as an earlier attempt may have run.
     let unclaimed = answer.reason == DRAINING && answer.comes_back && !ran.contains(request);
-    !(good || turned_away || unclaimed)
+    !(good || refused || unclaimed)
 }
 
 fn stop_windows(history: &[HistoryEvent]) -> Vec<StopWindow> {
     let spans = fault_spans(history);
     let window = |stop: &FaultSpan| {
-        // A request to stop that is repeated is the same stop.
+        // A repeated request to stop is part of the same stop.
         let (SoakFault::PlannedStop { daemon } | SoakFault::HastyStop { daemon, .. }) = stop.fault else {
             return None;
         };
@@ -85,7 +88,7 @@
     spans.iter().filter_map(window).collect()
 }
 
-/// None where something beside the stop may break off requests by itself.
+/// None when another fault around the stop may break requests off by itself.
 fn company_of(stop: &FaultSpan, spans: &[FaultSpan]) -> Option<StopCompany> {
     let is_beside = |other: &&FaultSpan| {
         other.from_ms <= stop.to_ms && other.to_ms.saturating_add(CALM_BEFORE_MS) >= stop.from_ms
@@ -97,7 +100,7 @@
     beside.all(|other| is_gentle(&other.fault)).then_some(StopCompany::Gentle)
 }
 
-/// Whether requests in progress go on beside this fault.
+/// Whether this fault leaves requests in progress alone.
 fn is_gentle(fault: &SoakFault) -> bool {
     matches!(fault.group(), FaultGroup::Stop | FaultGroup::Store | FaultGroup::Control)
 }
