--- a/crates/seamhatch-lab/src/soak/report/mod.rs
+++ b/crates/seamhatch-lab/src/soak/report/mod.rs
@@ -1,4 +1,7 @@
-//! A soak to look at: one HTML page with plots over time, the faults as bands, and the promises that were broken.
+//! `seamhatch-lab report`: one HTML page for the history of a soak, with plots over time, the faults as bands, and the promises
+//! that were broken.
+//!
+//! It reads a kept history and nothing else; `series` counts, `plots` draws.
 
 mod plots;
 mod series;
@@ -7,7 +10,7 @@
 
 use super::checks::check;
 use super::history::{HistoryEvent, from_lines};
-use super::spans::fault_spans;
+use super::spans::{FaultSpan, fault_spans};
 use pico_args::Arguments;
 use plots::PlotError;
 use std::ffi::OsString;
@@ -18,11 +21,11 @@
 seamhatch-lab report HISTORY [--out FILE]
 
 Draws what callers saw of a soak, second by second: answers by outcome, the time until they came, and
-refusals by reason, with the faults as bands behind. HISTORY is a file that `soak --keep` has kept.
+refusals by reason, with the faults as bands behind. HISTORY is a file that `soak` has kept.
 
   --out FILE   the page (HISTORY with .html in place of its ending)
 
-Exit codes: 0 written, 1 it can't be, 2 wrong arguments.
+Exit codes: 0 written, 1 it can't be written, 2 wrong arguments.
 ";
 const EXIT_ARGUMENTS: u8 = 2;
 
@@ -37,12 +40,12 @@
         /// What the system says.
         source: std::io::Error,
     },
-    /// The file holds no history.
-    #[error("{path} is no history of a soak: {source}")]
+    /// The file is not a history.
+    #[error("{path} is not the history of a soak: {source}; name a history.jsonl that `soak` has kept")]
     History {
         /// The file.
         path: String,
-        /// Which line, and why.
+        /// The line, and why it can't be read.
         source: super::history::HistoryError,
     },
     /// A plot can't be drawn.
@@ -50,7 +53,7 @@
     Plot(#[from] PlotError),
 }
 
-/// Writes the page of a history.
+/// Runs the command.
 pub fn run(arguments: Vec<OsString>) -> ExitCode {
     let mut arguments = Arguments::from_vec(arguments);
     if arguments.contains(["-h", "--help"]) {
@@ -115,22 +118,33 @@
     for plot in plots::draw_all(&series, &bands)? {
         page.push_str(&plot);
     }
-    page.push_str("<h2>Faults</h2>\n<table><tr><th>from s<th>to s<th>what\n");
-    for band in &bands {
+    page.push_str(&fault_table(&bands));
+    page.push_str(&promise_list(history));
+    Ok(page)
+}
+
+fn fault_table(bands: &[FaultSpan]) -> String {
+    let mut table = String::from("<h2>Faults</h2>\n<table><tr><th>from s<th>to s<th>what\n");
+    for band in bands {
         let to = if band.to_ms == u64::MAX { "end".to_owned() } else { seconds(band.to_ms) };
         let what = escaped(&format!("{:?}", band.fault));
-        page.push_str(&format!("<tr><td>{}<td>{to}<td>{what}\n", seconds(band.from_ms)));
+        table.push_str(&format!("<tr><td>{}<td>{to}<td>{what}\n", seconds(band.from_ms)));
     }
-    page.push_str("</table>\n<h2>Promises</h2>\n");
+    table.push_str("</table>\n");
+    table
+}
+
+fn promise_list(history: &[HistoryEvent]) -> String {
+    let mut list = String::from("<h2>Promises</h2>\n");
     let violations = check(history);
     if violations.is_empty() {
-        page.push_str("<p>All were kept.</p>\n");
+        list.push_str("<p>All were kept.</p>\n");
     }
     for violation in violations {
-        let told = format!("{:?} at {}: {}", violation.promise, violation.subject, violation.detail);
-        page.push_str(&format!("<p>{}</p>\n", escaped(&told)));
+        let text = format!("{:?} at {}: {}", violation.promise, violation.subject, violation.detail);
+        list.push_str(&format!("<p>{}</p>\n", escaped(&text)));
     }
-    Ok(page)
+    list
 }
 
 fn seconds(milliseconds: u64) -> String {
--- a/crates/seamhatch-lab/src/soak/report/plots.rs
+++ b/crates/seamhatch-lab/src/soak/report/plots.rs
@@ -1,16 +1,16 @@
-//! The plots of a soak's page, as SVG.
+//! The plots of a soak's page, as SVG text. `report` calls [`draw_all`] with what `series` counted.
 
 use super::series::{AnswerKind, SecondCounts, SoakSeries};
 use crate::soak::spans::FaultSpan;
 use plotters::prelude::*;
 
-/// Size of a plot, in pixels.
+/// Width and height of a plot, in pixels.
 const SIZE: (u32, u32) = (1100, 300);
 /// Space for the numbers at the axes, in pixels.
 const LABELS: u32 = 45;
-/// Reasons that have a line of their own.
+/// Most reasons that have a line of their own.
 const MOST_REASONS: usize = 6;
-/// How much of what lies behind it a fault's band covers.
+/// Opacity of a fault's band, so that the lines behind stay visible.
 const BAND_OPACITY: f64 = 0.12;
 /// Space above the highest point, as a share of it.
 const HEADROOM: f64 = 1.1;
@@ -28,13 +28,13 @@
     }
 }
 
-/// A line of a plot: a name and a value for each second, where there is one.
+/// A line of a plot: its name, and a value for each second that has one.
 struct PlotLine {
     name: String,
     values: Vec<Option<f64>>,
 }
 
-/// Answers, latencies and refusals.
+/// The three plots: answers, latencies, and reasons of refusals and failures.
 pub fn draw_all(series: &SoakSeries, bands: &[FaultSpan]) -> Result<Vec<String>, PlotError> {
     let plots = [
         ("Requests a second, by what became of them", answer_lines(series)),
--- a/crates/seamhatch-lab/src/soak/report/series.rs
+++ b/crates/seamhatch-lab/src/soak/report/series.rs
@@ -1,14 +1,14 @@
-//! What callers saw in each second of a soak.
+//! Counts, for each second of a soak, what became of the requests that were sent in it.
 
 use crate::soak::checks::NOT_RUN;
 use crate::soak::exchanges::exchanges;
 use crate::soak::history::{HistoryEvent, SeenAnswer};
 use std::collections::BTreeMap;
 
-/// What became of a request, as its caller sees it.
+/// What became of a request, as its caller saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AnswerKind {
-    /// A whole answer of a back end, or the recorded one of an earlier attempt.
+    /// A whole answer, of a back end or recorded from an earlier attempt.
     Good,
     /// It was refused and has not run.
     NotRun,
@@ -17,7 +17,7 @@
 }
 
 impl AnswerKind {
-    /// All, in the order of plots.
+    /// All, in the order of the plots.
     pub const ALL: [Self; 3] = [Self::Good, Self::NotRun, Self::Unknown];
 
     /// Name in a legend.
@@ -39,19 +39,19 @@
     }
 }
 
-/// One second, by the moments at which requests were sent.
+/// The requests that were sent in one second.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SecondCounts {
     /// Requests by what became of them.
     pub answers: BTreeMap<AnswerKind, usize>,
     /// Refused or failed ones by their reason.
     pub reasons: BTreeMap<String, usize>,
-    /// Times until a good answer in milliseconds, in order.
+    /// Times until good answers in milliseconds, sorted.
     pub latencies_ms: Vec<u64>,
 }
 
 impl SecondCounts {
-    /// The time until a good answer came to this share of them, in milliseconds; none where none came.
+    /// The quantile `share` of the times until good answers, in milliseconds; none without a good answer.
     #[must_use]
     pub fn latency_ms(&self, share: f64) -> Option<u64> {
         let last = self.latencies_ms.len().checked_sub(1)?;
@@ -62,7 +62,7 @@
 /// All seconds of a soak.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SoakSeries {
-    /// From the beginning of the load on, each second.
+    /// One element a second, from the beginning of the load.
     pub seconds: Vec<SecondCounts>,
 }
 
@@ -89,7 +89,7 @@
         Self { seconds }
     }
 
-    /// All requests.
+    /// Number of all requests.
     #[must_use]
     pub fn total(&self) -> usize {
         self.seconds.iter().flat_map(|counts| counts.answers.values()).sum()
