--- a/crates/seamhatch-lab/src/bound/mod.rs
+++ b/crates/seamhatch-lab/src/bound/mod.rs
@@ -1,4 +1,7 @@
-//! The most that any admission and placement could earn on a day: what a measured day is to be held against.
+//! `seamhatch-lab bound`: the most credit that any admission and placement could earn on a day, as a linear program.
+//!
+//! A measured day is judged against it: what lies between is what better decisions could gain, the rest is missing capacity.
+//! It starts nothing. `plan` reads the day, `program` solves it.
 
 pub mod plan;
 pub mod program;
@@ -6,7 +9,7 @@
 use plan::DayPlan;
 use program::DayBound;
 use std::ffi::OsString;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 const HELP: &str = "\
@@ -17,7 +20,7 @@
 A plan names services with their servers, and the requests that come; see docs/OPERATIONS.md.
 ";
 
-/// Prints the bound of each plan.
+/// Runs the command: prints the bound of each plan.
 pub fn run(arguments: Vec<OsString>) -> ExitCode {
     if arguments.iter().any(|argument| argument == "--help" || argument == "-h") {
         print!("{HELP}");
@@ -39,11 +42,11 @@
     ExitCode::SUCCESS
 }
 
-fn bound_of(path: &std::path::Path) -> Result<DayBound, Box<dyn std::error::Error>> {
+fn bound_of(path: &Path) -> Result<DayBound, Box<dyn std::error::Error>> {
     Ok(program::solve(&DayPlan::read(path)?)?)
 }
 
-/// A line for the day, one for its requests and one for the services that are full at times.
+/// One line for the day, one for its kinds of requests, and one for the services that are full at times.
 fn table(name: &str, bound: &DayBound) -> String {
     let requests: Vec<String> =
         bound.requests.iter().map(|request| format!("{} {:.3}", request.name, request.credit)).collect();
--- a/crates/seamhatch-lab/src/bound/plan.rs
+++ b/crates/seamhatch-lab/src/bound/plan.rs
@@ -1,10 +1,11 @@
-//! What a day brings: services with their servers, and requests with what they ask of them.
+//! A day as the bound sees it: services with their servers and troubles, and kinds of requests with their arrivals, deadlines and
+//! work. Read from a file, whose form is in docs/OPERATIONS.md, and checked.
 
 use serde::Deserialize;
 use std::path::Path;
 use thiserror::Error;
 
-/// Seconds since the day began.
+/// Seconds since the beginning of the day.
 pub type DaySecond = u32;
 
 /// Why a plan can't be used.
@@ -23,20 +24,20 @@
     Malformed {
         /// The file.
         path: String,
-        /// Where it departs from the form.
+        /// Where it is wrong.
         source: Box<toml::de::Error>,
     },
-    /// A figure that has no meaning.
+    /// A figure out of its range.
     #[error("{what} is {value}: give {wanted}")]
     Figure {
-        /// Whose figure, and which.
+        /// Which figure, and of what.
         what: String,
         /// The figure.
         value: f64,
-        /// What would do.
+        /// What is allowed.
         wanted: &'static str,
     },
-    /// Work at a service that the plan doesn't have.
+    /// Work at a service that is not in the plan.
     #[error(
         "request {request:?} asks for service {service:?}, which the plan lacks: add it or correct the name"
     )]
@@ -68,7 +69,7 @@
     pub name: String,
     /// Its servers.
     pub servers: Vec<ServerPlan>,
-    /// When its servers refuse part of the calls that they get.
+    /// When its servers refuse a share of the calls that they get.
     #[serde(default)]
     pub refusals: Vec<RefusalSpan>,
 }
@@ -77,11 +78,11 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerPlan {
-    /// Calls that it works on at once.
+    /// Calls that it works on at the same time.
     pub slots: u32,
-    /// Work it does in a second and slot, in seconds of work.
+    /// Seconds of work that each slot does in a second.
     pub speed: f64,
-    /// When it serves nothing.
+    /// When it is away.
     #[serde(default)]
     pub away: Vec<DaySpan>,
     /// When it is slower.
@@ -183,23 +184,10 @@
     /// Checks the figures.
     ///
     /// # Errors
-    /// The first figure that has no meaning, or a service that is missing.
+    /// The first figure that is out of its range, or a service that is missing.
     pub fn check(&self) -> Result<(), DayPlanError> {
         require("seconds", f64::from(self.seconds), self.seconds > 0, "at least 1")?;
-        for service in &self.services {
-            for server in &service.servers {
-                let what = format!("speed of a server of {}", service.name);
-                require(&what, server.speed, server.speed > 0.0, "more than 0")?;
-                for span in &server.slow {
-                    let what = format!("by of a slow server of {}", service.name);
-                    require(&what, span.by, span.by >= 1.0, "1 or more")?;
-                }
-            }
-            for span in &service.refusals {
-                let what = format!("share of refusals of {}", service.name);
-                require(&what, span.share, (0.0..=1.0).contains(&span.share), "0 to 1")?;
-            }
-        }
+        self.services.iter().try_for_each(ServicePlan::check)?;
         self.requests.iter().try_for_each(|request| self.check_request(request))
     }
 
@@ -229,13 +217,29 @@
 }
 
 impl ServicePlan {
-    /// Seconds of work that its servers can do in `second`.
+    fn check(&self) -> Result<(), DayPlanError> {
+        for server in &self.servers {
+            let what = format!("speed of a server of {}", self.name);
+            require(&what, server.speed, server.speed > 0.0, "more than 0")?;
+            for span in &server.slow {
+                let what = format!("by of a slow server of {}", self.name);
+                require(&what, span.by, span.by >= 1.0, "1 or more")?;
+            }
+        }
+        for span in &self.refusals {
+            let what = format!("share of refusals of {}", self.name);
+            require(&what, span.share, (0.0..=1.0).contains(&span.share), "0 to 1")?;
+        }
+        Ok(())
+    }
+
+    /// Seconds of work that its servers can do in this second.
     #[must_use]
     pub fn capacity(&self, second: DaySecond) -> f64 {
         self.servers.iter().map(|server| server.capacity(second)).sum()
     }
 
-    /// Share of the calls that a server refuses in `second`.
+    /// Share of the calls that a server refuses in this second, 0 to 1.
     #[must_use]
     pub fn refusal_share(&self, second: DaySecond) -> f64 {
         self.refusals
@@ -256,7 +260,7 @@
 }
 
 impl RequestPlan {
-    /// Requests that come in `second`.
+    /// Requests that arrive in this second.
     #[must_use]
     pub fn arriving(&self, second: DaySecond) -> f64 {
         let ends = self.arrivals.iter().skip(1).map(|rate| rate.from).chain([f64::INFINITY]);
@@ -268,7 +272,7 @@
     }
 }
 
-/// The part of `second` that lies between `from` and `to`, 0 to 1.
+/// The share of a second that lies between `from` and `to`, 0 to 1.
 fn overlap(from: f64, to: f64, second: DaySecond) -> f64 {
     let start = f64::from(second);
     (to.min(start + 1.0) - from.max(start)).max(0.0)
--- a/crates/seamhatch-lab/src/bound/program.rs
+++ b/crates/seamhatch-lab/src/bound/program.rs
@@ -1,21 +1,21 @@
 //! The bound as a linear program over steps of a second.
 //!
-//! For each kind of request, each second in which some come and each second in which they may be served, a
-//! variable says how many are served then. A service's work in a second is at most what its servers can
-//! do. The bound is loose on purpose where a figure isn't known: requests wait for nothing but capacity, a
-//! request that fails costs no work, and a call that is refused may be sent to other servers without a budget.
+//! For each kind of request, each second in which some arrive and each second in which they may be served, a variable says how many
+//! are served then. A service's work in a second is at most what its servers can do. Where a figure isn't known the bound is
+//! loose on purpose: requests wait only for capacity, a request that fails costs no work, and a refused call may be sent to other
+//! servers without a retry budget.
 
-use super::plan::{DayPlan, DaySecond, RequestPlan};
+use super::plan::{DayPlan, DaySecond, RequestPlan, ServicePlan};
 use microlp::{ComparisonOp, OptimizationDirection, Problem, SolveOutcome, Variable};
 use thiserror::Error;
 
-/// Servers that a call is sent to at most, as the daemon does: the first one and two more.
+/// Most servers that a call is sent to, as by the daemon: the first and two more.
 const MOST_SERVERS: i32 = 3;
 
-/// The program could not be solved.
+/// Why the program could not be solved.
 #[derive(Debug, Error)]
 pub enum BoundError {
-    /// The solver found no solution, though serving nothing is always one.
+    /// The solver found no solution, although serving nothing always is one.
     #[error("the solver failed: {0}; check the plan for figures that differ by many orders of magnitude")]
     Failed(#[from] microlp::Error),
     /// The solver ended without a solution.
@@ -48,14 +48,14 @@
 pub struct ServiceBound {
     /// Its name.
     pub name: String,
-    /// Seconds of the day in which nearly all that its servers can do is used.
+    /// Seconds of the day in which nearly all of its capacity is used.
     pub full_seconds: u32,
 }
 
-/// Use of a service's capacity from which it counts as full.
+/// Share of a service's capacity from which it counts as full. Chosen: the solver's rounding lies below.
 const FULL: f64 = 0.999;
 
-/// Requests of one kind and second that are served in one second.
+/// The requests of one kind that arrived in one second and are served in one second.
 struct Served {
     request: usize,
     second: DaySecond,
@@ -75,48 +75,56 @@
         return Err(BoundError::Interrupted);
     };
     let amount = |served: &Served| solution[served.variable];
-    let earned = |request: usize| -> f64 {
-        served
-            .iter()
-            .filter(|served| served.request == request)
-            .map(|served| served.credit * amount(served))
-            .sum()
-    };
-    let owed = |request: &RequestPlan| {
-        (0..plan.seconds).map(|second| request.arriving(second)).sum::<f64>() * request.credit
-    };
+    let earned: Vec<f64> = (0..plan.requests.len()).map(|request| earned(&served, request, amount)).collect();
+    let owed: Vec<f64> = plan.requests.iter().map(|request| owed(plan, request)).collect();
     let requests = plan.requests.iter().enumerate().map(|(index, request)| RequestBound {
         name: request.name.clone(),
-        credit: share(earned(index), owed(request)),
+        credit: share(earned[index], owed[index]),
     });
-    let services = plan.services.iter().map(|service| {
-        let is_full = |second: &DaySecond| {
-            let used: f64 = served
-                .iter()
-                .filter(|served| served.second == *second)
-                .map(|served| amount(served) * work_at(&plan.requests[served.request], &service.name))
-                .sum();
-            used > 0.0 && used >= FULL * service.capacity(*second)
-        };
-        let full_seconds = (0..plan.seconds).filter(is_full).count() as u32;
-        ServiceBound { name: service.name.clone(), full_seconds }
+    let services = plan.services.iter().map(|service| ServiceBound {
+        name: service.name.clone(),
+        full_seconds: full_seconds(plan, service, &served, amount),
     });
-    let all_owed: f64 = plan.requests.iter().map(owed).sum();
-    let all_earned: f64 = (0..plan.requests.len()).map(earned).sum();
     Ok(DayBound {
-        credit: share(all_earned, all_owed),
+        credit: share(earned.iter().sum(), owed.iter().sum()),
         requests: requests.collect(),
         services: services.collect(),
     })
 }
 
-/// One variable for each kind, second of arrival and second of service; no more are served than come.
+/// Credit that the requests of one kind earn in the solution.
+fn earned(served: &[Served], request: usize, amount: impl Fn(&Served) -> f64) -> f64 {
+    let of_kind = served.iter().filter(|served| served.request == request);
+    of_kind.map(|served| served.credit * amount(served)).sum()
+}
+
+/// Credit that the requests of one kind would earn if all were served in time.
+fn owed(plan: &DayPlan, request: &RequestPlan) -> f64 {
+    (0..plan.seconds).map(|second| request.arriving(second)).sum::<f64>() * request.credit
+}
+
+/// Seconds of the day in which the solution uses nearly all of a service's capacity.
+fn full_seconds(
+    plan: &DayPlan,
+    service: &ServicePlan,
+    served: &[Served],
+    amount: impl Fn(&Served) -> f64,
+) -> u32 {
+    let work = |served: &Served| amount(served) * work_at(&plan.requests[served.request], &service.name);
+    let is_full = |second: &DaySecond| {
+        let used: f64 = served.iter().filter(|served| served.second == *second).map(&work).sum();
+        used > 0.0 && used >= FULL * service.capacity(*second)
+    };
+    (0..plan.seconds).filter(is_full).count() as u32
+}
+
+/// Adds a variable for each kind, second of arrival and second of service; no more are served than arrive.
 fn add_served(plan: &DayPlan, problem: &mut Problem) -> Vec<Served> {
     let mut all = Vec::new();
     for (index, request) in plan.requests.iter().enumerate() {
         for arrival in 0..plan.seconds {
-            let coming = request.arriving(arrival);
-            if coming == 0.0 {
+            let arriving = request.arriving(arrival);
+            if arriving == 0.0 {
                 continue;
             }
             let last = arrival + request.deadline.ceil() as DaySecond;
@@ -125,18 +133,19 @@
                 let early = f64::from(second - arrival) <= request.objective.ceil();
                 let earns = if early { request.credit } else { request.late_credit };
                 let credit = earns * success(plan, request, second);
-                let variable = problem.add_var(credit, (0.0, coming));
+                let variable = problem.add_var(credit, (0.0, arriving));
                 row.push((variable, 1.0));
                 all.push(Served { request: index, second, credit, variable });
             }
-            problem.add_constraint(row.as_slice(), ComparisonOp::Le, coming);
+            problem.add_constraint(row.as_slice(), ComparisonOp::Le, arriving);
         }
     }
     all
 }
 
+/// Limits the work at each service in each second to its capacity.
 fn add_capacities(plan: &DayPlan, served: &[Served], problem: &mut Problem) {
-    // What comes at the end of the day may be served after it.
+    // Requests that arrive at the end of the day may be served after it.
     let end = served.iter().map(|served| served.second + 1).max().unwrap_or_default();
     for service in &plan.services {
         for second in 0..end {
@@ -157,7 +166,7 @@
     request.work.iter().filter(|work| work.service == service).map(|work| work.seconds).sum()
 }
 
-/// The chance that all calls of a request find a server that takes them.
+/// Probability that each call of a request finds a server that doesn't refuse it.
 fn success(plan: &DayPlan, request: &RequestPlan, second: DaySecond) -> f64 {
     let of_work = request.work.iter().filter_map(|work| {
         let service = plan.services.iter().find(|service| service.name == work.service)?;
