--- a/crates/seamhatch-lab/src/backends/mod.rs
+++ b/crates/seamhatch-lab/src/backends/mod.rs
@@ -18,7 +18,7 @@
 use http_body_util::Full;
 use seamhatch_core::identity::Address;
 use seamhatchd::server::backend::{HttpClient, http_client};
-use server::Backend;
+use server::StandInBackend;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -64,7 +64,7 @@
 
 /// What the back ends of a deployment share.
 struct State {
-    by_host: HashMap<String, Backend>,
+    by_host: HashMap<String, StandInBackend>,
     by_service: HashMap<String, Vec<Address>>,
     mode: CallMode,
     relays: Option<BackendRelays>,
@@ -136,11 +136,11 @@
     }
 }
 
-fn by_host(topology: &Topology, machines: &[Machine]) -> HashMap<String, Backend> {
+fn by_host(topology: &Topology, machines: &[Machine]) -> HashMap<String, StandInBackend> {
     let backend = |machine: &Machine| {
         let service = topology.service(&machine.service);
         let endpoints = service.map(|service| service.endpoints.clone()).unwrap_or_default();
-        (machine.backend().to_string(), Backend::new(machine.clone(), endpoints))
+        (machine.backend().to_string(), StandInBackend::new(machine.clone(), endpoints))
     };
     machines.iter().map(backend).collect()
 }
--- a/crates/seamhatch-lab/src/backends/server.rs
+++ b/crates/seamhatch-lab/src/backends/server.rs
@@ -29,7 +29,7 @@
 
 /// One back end.
 #[derive(Debug)]
-pub(super) struct Backend {
+pub(super) struct StandInBackend {
     pub machine: Machine,
     pub behaviour: Arc<Behaviour>,
     endpoints: Vec<Endpoint>,
@@ -77,7 +77,7 @@
     text_response(status, status.as_str().to_owned())
 }
 
-impl Backend {
+impl StandInBackend {
     pub fn new(machine: Machine, endpoints: Vec<Endpoint>) -> Self {
         let slots = Semaphore::new(machine.slots as usize);
         Self { machine, behaviour: Arc::default(), endpoints, slots }
