--- a/crates/seamhatch-lab/src/soak/steps.rs
+++ b/crates/seamhatch-lab/src/soak/steps.rs
@@ -56,68 +56,80 @@
     planned: &[PlannedFault],
     recorder: &Recorder,
 ) -> std::io::Result<()> {
-    let mut queue = StepQueue::default();
-    planned.iter().for_each(|fault| queue.add(fault.at_ms, Step::Begin(fault.clone())));
-    let mut submissions = Vec::new();
-    while let Some((at_ms, step)) = queue.next() {
+    let mut runner =
+        StepRunner { deployment, lives, recorder, queue: StepQueue::default(), submissions: Vec::new() };
+    planned.iter().for_each(|fault| runner.queue.add(fault.at_ms, Step::Begin(fault.clone())));
+    while let Some((at_ms, step)) = runner.queue.next() {
         tokio::time::sleep_until((recorder.start() + Duration::from_millis(at_ms)).into()).await;
         print_if_late(at_ms, recorder);
-        match step {
-            Step::Begin(fault) => {
-                submissions.extend(begin(deployment, lives, fault, &mut queue, recorder)?);
-            }
-            Step::Again(daemon) => injection::ask_to_stop(deployment, daemon),
-            Step::End { begun, planned_ms } => {
-                let overdue = recorder.at_ms() > planned_ms + STOP_TIMEOUT_MS;
-                match injection::end(deployment, lives, &begun)? {
-                    FaultEnd::StillStopping if !overdue => {
-                        queue.add(recorder.at_ms() + STOP_POLL_MS, Step::End { begun, planned_ms });
-                    }
-                    FaultEnd::StillStopping => {
-                        println!("killed after {STOP_TIMEOUT_MS} ms, not stopped yet: {:?}", begun.fault);
-                        injection::end_by_force(deployment, lives, &begun)?;
-                        note_end(begun.fault, recorder);
-                    }
-                    FaultEnd::Ended => note_end(begun.fault, recorder),
-                }
-            }
-        }
+        runner.run(step)?;
     }
-    for submission in submissions {
+    for submission in runner.submissions {
         submission.await.map_err(std::io::Error::other)?;
     }
     Ok(())
 }
 
-/// Begins a fault and queues its further steps. Returns the submission to wait for, if the fault is one.
-fn begin(
-    deployment: &mut Deployment,
-    lives: &DaemonLives,
-    planned: PlannedFault,
-    queue: &mut StepQueue,
-    recorder: &Recorder,
-) -> std::io::Result<Option<JoinHandle<()>>> {
-    let planned_ms = planned.end_ms();
-    let PlannedFault { at_ms, for_ms, fault } = planned;
-    recorder.note(HistoryEvent::FaultBegins { at_ms: recorder.at_ms(), fault: fault.clone() });
-    if let SoakFault::HastyStop { daemon, again_ms } = fault {
-        queue.add(at_ms + again_ms, Step::Again(daemon));
+/// What the steps of a plan act on.
+struct StepRunner<'a> {
+    deployment: &'a mut Deployment,
+    lives: &'a DaemonLives,
+    recorder: &'a Recorder,
+    queue: StepQueue,
+    /// Configurations that are being submitted.
+    submissions: Vec<JoinHandle<()>>,
+}
+
+impl StepRunner<'_> {
+    fn run(&mut self, step: Step) -> std::io::Result<()> {
+        match step {
+            Step::Begin(planned) => self.begin(planned),
+            Step::Again(daemon) => {
+                injection::ask_to_stop(self.deployment, daemon);
+                Ok(())
+            }
+            Step::End { begun, planned_ms } => self.end(begun, planned_ms),
+        }
     }
-    let submission = match fault {
-        SoakFault::Configuration { daemon } => Some(submit(deployment, daemon, recorder)),
-        _ => None,
-    };
-    if let SoakFault::DeadlyRequest { number } = fault {
-        let span = Duration::from_millis(for_ms);
-        load::repeat_deadly(number, span, &deployment.topology, &deployment.ingresses(), recorder);
+
+    /// Begins a fault and queues its further steps.
+    fn begin(&mut self, planned: PlannedFault) -> std::io::Result<()> {
+        let planned_ms = planned.end_ms();
+        let PlannedFault { at_ms, for_ms, fault } = planned;
+        let begins = HistoryEvent::FaultBegins { at_ms: self.recorder.at_ms(), fault: fault.clone() };
+        self.recorder.note(begins);
+        match fault {
+            SoakFault::HastyStop { daemon, again_ms } => {
+                self.queue.add(at_ms + again_ms, Step::Again(daemon));
+            }
+            SoakFault::Configuration { daemon } => {
+                self.submissions.push(submit(self.deployment, daemon, self.recorder));
+            }
+            SoakFault::DeadlyRequest { number } => {
+                let (topology, ingresses) = (&self.deployment.topology, self.deployment.ingresses());
+                let span = Duration::from_millis(for_ms);
+                load::repeat_deadly(number, span, topology, &ingresses, self.recorder);
+            }
+            _ => {}
+        }
+        let begun = injection::begin(self.deployment, self.lives, fault)?;
+        self.queue.add(planned_ms, Step::End { begun, planned_ms });
+        Ok(())
     }
-    let begun = injection::begin(deployment, lives, fault)?;
-    queue.add(planned_ms, Step::End { begun, planned_ms });
-    Ok(submission)
-}
 
-fn note_end(fault: SoakFault, recorder: &Recorder) {
-    recorder.note(HistoryEvent::FaultEnds { at_ms: recorder.at_ms(), fault });
+    /// Ends a fault, or looks again later while its daemon still stops; one that takes too long is killed.
+    fn end(&mut self, begun: BegunFault, planned_ms: SoakMillis) -> std::io::Result<()> {
+        if injection::end(self.deployment, self.lives, &begun)? == FaultEnd::StillStopping {
+            if self.recorder.at_ms() <= planned_ms + STOP_TIMEOUT_MS {
+                self.queue.add(self.recorder.at_ms() + STOP_POLL_MS, Step::End { begun, planned_ms });
+                return Ok(());
+            }
+            println!("killed after {STOP_TIMEOUT_MS} ms, not stopped yet: {:?}", begun.fault);
+            injection::end_by_force(self.deployment, self.lives, &begun)?;
+        }
+        self.recorder.note(HistoryEvent::FaultEnds { at_ms: self.recorder.at_ms(), fault: begun.fault });
+        Ok(())
+    }
 }
 
 fn print_if_late(at_ms: SoakMillis, recorder: &Recorder) {
