--- a/crates/seamhatch-lab/tests/answers.rs
+++ b/crates/seamhatch-lab/tests/answers.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Good answers that every caller must have had, so that something is shown.
+/// Good answers that every caller must have had for the test to show anything.
 const FEWEST_GOOD: usize = 10;
 
 /// Callers that each send one request after the other until they are stopped.
@@ -56,7 +56,7 @@
     let callers = start_callers(&deployment.ingresses(), &stop);
     let ips: Vec<_> = deployment.daemons.iter().map(|daemon| daemon.machine.ip).collect();
     let evidence = deployment.machines_of("evidence");
-    // Some answers arrive late, others overtake them.
+    // Some answers are slow and others overtake them.
     deployment.proxy().set(ips[4], ips[0], Rule::Delay(Duration::from_millis(40)));
     deployment.proxy().set(ips[6], ips[4], Rule::Delay(Duration::from_millis(15)));
     tokio::time::sleep(Duration::from_secs(1)).await;
@@ -80,7 +80,7 @@
     let fewest = by_caller.iter().map(|answers| good_of(answers)).min().unwrap_or_default();
     let answers: Vec<(String, CallerAnswer)> = by_caller.into_iter().flatten().collect();
     let good = good_of(&answers);
-    // Callers ask again at once: how often they are refused by a daemon that starts depends on this machine.
+    // Callers repeat at once: how often a starting daemon refuses them depends on this machine.
     let starting = ["connection-refused", "not-ready"];
     let served_or_not =
         answers.iter().filter(|(_, answer)| !starting.contains(&answer.reason.as_str())).count();
@@ -91,7 +91,7 @@
     );
     assert!(good * 2 > served_or_not);
     assert!(fewest >= FEWEST_GOOD, "a caller had {fewest} good answers");
-    // A complete 200 whose body is not this request's, or not whole, is what must never be.
+    // A 200 whose body is not whole or answers another request must never be seen.
     let wrong: Vec<_> = answers.iter().filter(|(_, answer)| answer.status == 200 && !answer.whole).collect();
     assert!(wrong.is_empty(), "{wrong:?}");
 }
--- a/crates/seamhatch-lab/tests/at_most_once.rs
+++ b/crates/seamhatch-lab/tests/at_most_once.rs
@@ -75,8 +75,8 @@
         } else {
             deployment.daemons[0].signal(Signal::STOP).expect("runs");
         }
-        // What the killed or frozen daemon claimed stays claimed: it may come back with it. Others
-        // are told so, or run it.
+        // What the killed or frozen daemon claimed stays claimed, as it may come back: other daemons answer `duplicate` or
+        // `unknown`, or run the request if it was not claimed.
         for payout in &requests {
             let answer = caller.send(deployment.daemons[4].machine.ingress(), payout).await;
             assert!(
@@ -90,7 +90,7 @@
             deployment.daemons[0].signal(Signal::CONT).expect("runs");
         }
         for task in tasks {
-            // Only that it ends; the outcome is checked in the back ends.
+            // Only its end matters here; what ran is checked at the back ends.
             let _ = task.await;
         }
         assert_ready(&deployment).await;
@@ -125,13 +125,13 @@
             .collect();
         for payout in &requests[..5] {
             let ingress = deployment.daemons[(restarted + 1) % daemons].machine.ingress();
-            // Whatever the answer is, it is asked again below.
+            // Whatever the answer is, the request is repeated below.
             let _ = caller.send(ingress, payout).await;
         }
         deployment.restart(restarted).expect("starts");
         let others: Vec<usize> = (0..daemons).filter(|daemon| *daemon != restarted).collect();
         for payout in &requests {
-            // May stay undecided where its holder was restarted; never runs twice.
+            // It may stay undecided if its holder was restarted; it must not run twice.
             let ingress = deployment.daemons[others[payout.request.len() % others.len()]].machine.ingress();
             let _ = caller.send(ingress, payout).await;
         }
@@ -163,7 +163,7 @@
         if number == 30 {
             deployment.proxy().heal();
         }
-        // At both sides at once.
+        // On both sides at the same time.
         let inside = deployment.daemons.iter().find(|daemon| daemon.machine.zone == "hall-b").expect("one");
         let outside = deployment.daemons.iter().find(|daemon| daemon.machine.zone == "hall-c").expect("one");
         let (_, _) = tokio::join!(
--- a/crates/seamhatch-lab/tests/bound.rs
+++ b/crates/seamhatch-lab/tests/bound.rs
@@ -1,4 +1,4 @@
-//! Bounds of days that can be worked out by hand.
+//! Bounds of days that can be computed by hand.
 
 use seamhatch_lab::bound::plan::{DayPlan, DayPlanError};
 use seamhatch_lab::bound::program::solve;
@@ -12,7 +12,7 @@
     arrivals: &'static str,
     calls: u32,
     work: f64,
-    /// The share of the credit that is worked out.
+    /// The share of the credit, computed by hand.
     bound: f64,
 }
 
--- a/crates/seamhatch-lab/tests/configuration.rs
+++ b/crates/seamhatch-lab/tests/configuration.rs
@@ -41,7 +41,7 @@
         assert!(accepted.contains(&format!("generation {number} ")), "{accepted}");
         eventually("in force everywhere", async || all_at(&deployment, number).await).await;
         println!("in force everywhere after {:?}, store out", since.elapsed());
-        // A daemon that restarts during the outage comes back with it.
+        // A daemon that restarts during the outage gets it from its peers.
         let restarted = number as usize;
         deployment.restart(restarted).expect("starts");
         eventually("restarted daemon has it", async || {
@@ -62,7 +62,7 @@
     for number in 2..6_u64 {
         deployment.platform.set_faults(|faults| faults.lose_write_answers = 1);
         let accepted = deployment.submit(0, &numbered(&deployment, number as usize), &[]).expect("accepted");
-        // Found by its own id, not written a second time.
+        // The submission is found by its id and not written a second time.
         assert!(accepted.contains(&format!("generation {number} ")), "{accepted}");
         eventually("in force everywhere", async || all_at(&deployment, number).await).await;
     }
@@ -110,7 +110,7 @@
     assert!(all_at(&deployment, 4).await);
 }
 
-/// The trap: a daemon restarts during an outage beside a stale peer that is cut off.
+/// A daemon that restarts during an outage must not take the configuration of a stale peer that was cut off.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_restart_beside_a_cut_off_stale_peer() {
     let (mut deployment, _turn) = start(chain(), true).await;
--- a/crates/seamhatch-lab/tests/leaving.rs
+++ b/crates/seamhatch-lab/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! A leaving back end gets no new work after a few seconds, however that is told.
+//! A leaving back end gets no new work after a few seconds, however its leaving is announced.
 
 mod common;
 
@@ -14,7 +14,7 @@
 
 /// A few seconds, on a busy machine.
 const BOUND: Duration = Duration::from_secs(8);
-/// Time without work that is taken for the end of it.
+/// Time without new work after which it counts as over.
 const QUIET: Duration = Duration::from_secs(2);
 
 fn pool() -> Topology {
@@ -32,7 +32,7 @@
 const LEAVING: usize = 0;
 const ENTRY: usize = 3;
 
-/// Keeps load on, tells of the leaving, and measures until the last new execution there.
+/// Sends load, announces the leaving, and measures the time until the last new execution there.
 async fn measure(deployment: &Deployment, tell: impl AsyncFnOnce(&Deployment)) -> Duration {
     let stop = Arc::new(AtomicBool::new(false));
     let mut callers = JoinSet::new();
@@ -44,7 +44,7 @@
             let mut sent = 0;
             while !stop.load(Ordering::Relaxed) {
                 let get = request("GET", "/in/way0", &format!("leave-{number}-{sent}"), false);
-                // What matters is where it runs.
+                // Only the place where it runs matters.
                 let _ = caller.send(ingress, &get).await;
                 sent += 1;
             }
--- a/crates/seamhatch-lab/tests/not_run.rs
+++ b/crates/seamhatch-lab/tests/not_run.rs
@@ -1,4 +1,4 @@
-//! `not-run` is never said of a request that ran or will run.
+//! A request that ran, or will run, is never answered `not-run`.
 
 mod common;
 
@@ -43,10 +43,10 @@
     (0..count).map(|number| format!("{prefix}-{number}")).collect()
 }
 
-/// Every request that was said not to have run is missing from the back ends' log, for good.
+/// Asserts that no request that was answered `not-run` is in the back ends' log, now or later.
 async fn assert_truthful(deployment: &Deployment, answers: &[(String, CallerAnswer)]) {
     eventually("back ends idle", async || deployment.backends.running() == 0).await;
-    // Calls that were held up somewhere would run now.
+    // Calls that are still on their way would run now.
     tokio::time::sleep(Duration::from_millis(500)).await;
     let ran: BTreeSet<String> =
         deployment.backends.executions().into_iter().map(|execution| execution.request).collect();
@@ -68,8 +68,8 @@
     assert_truthful(&deployment, &answers).await;
 }
 
-/// The trap: a relative time-out would start anew when the frozen daemon wakes.
-/// The link is cut behind the calls, so that the sender's cancellations don't help.
+/// A relative time-out would start again when the frozen daemon wakes. The link is cut after the calls were sent, so that the
+/// sender's cancellations don't arrive.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_daemon_frozen_after_it_was_sent_calls() {
     let (deployment, _turn) = start(one_server(5, 1_000), true).await;
@@ -84,12 +84,12 @@
     };
     let (answers, ()) = tokio::join!(send_all(&deployment, &caller, &names), cutting);
     assert_eq!(count(&answers, "answered"), 0);
-    // A silent daemon is given up before the deadline; whether it runs a call until then is unknown.
+    // A silent daemon is given up before the deadline; until then it may still run a call.
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     let before = deployment.backends.execution_count();
     deployment.daemons[0].signal(Signal::CONT).expect("runs");
     assert_truthful(&deployment, &answers).await;
-    // All deadlines had passed, so nothing that was given up is run when the daemon wakes.
+    // All deadlines have passed, so the daemon runs nothing when it wakes.
     assert_eq!(deployment.backends.execution_count(), before);
 }
 
--- a/crates/seamhatch-lab/tests/path.rs
+++ b/crates/seamhatch-lab/tests/path.rs
@@ -86,7 +86,7 @@
 /// Sends raw bytes and reads until the other side closes or is silent for a while.
 async fn exchange(address: Address, bytes: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(SocketAddr::from(address)).await.expect("connects");
-    // The other side may refuse, and close, before it has read all.
+    // The other side may refuse and close before it has read everything.
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let reading = stream.read_to_end(&mut answer);
--- a/crates/seamhatch-lab/tests/planned_stop.rs
+++ b/crates/seamhatch-lab/tests/planned_stop.rs
@@ -61,7 +61,7 @@
     stop.store(true, Ordering::Relaxed);
     let answers: Vec<CallerAnswer> = callers.join_all().await.into_iter().flatten().collect();
     let good = answers.iter().filter(|answer| answer.is_good()).count();
-    // Refused connections and `not-run` are told before anything is in flight.
+    // Refused connections and `not-run` come before anything is in flight.
     let cut: Vec<_> = answers
         .iter()
         .filter(|answer| {
--- a/crates/seamhatch-lab/tests/retries.rs
+++ b/crates/seamhatch-lab/tests/retries.rs
@@ -27,7 +27,7 @@
     let ingress = deployment.daemons[0].machine.ingress();
     for number in 0..requests {
         let get = request("GET", "/in/way0", &format!("retry-{number}"), false);
-        // Fails or not; what counts is what ran.
+        // The answer doesn't matter; what ran is checked.
         let _ = caller.send(ingress, &get).await;
     }
     check_bounded(deployment, requests, may_repeat).await;
@@ -77,7 +77,7 @@
     assert_bounded(&deployment, 10, false).await;
 }
 
-/// Each call makes two further ones: 31 calls a request when nothing fails.
+/// Each call makes two others: 31 calls a request when nothing fails.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_chain_with_fan_out() {
     let (deployment, _turn) = start(Topology::chain(5, 2, 1, TOKENS), false).await;
--- a/crates/seamhatch-lab/tests/soak.rs
+++ b/crates/seamhatch-lab/tests/soak.rs
@@ -1,4 +1,4 @@
-//! The soak's plans and checks; no processes are started but in the last test.
+//! The soak's plans and checks, and four tests that run soaks with real processes.
 
 use seamhatch_lab::soak::checks::{PROBE_PREFIX, Promise, RETRY_TOKENS, check};
 use seamhatch_lab::soak::fault::{CutWay, ReloadLevel, SoakFault};
@@ -112,7 +112,7 @@
     ]
 }
 
-/// A request that is sent into a stop while this goes on beside.
+/// A request that is sent during a stop, with another fault beside it.
 fn stop_beside(fault: SoakFault, answer: SeenAnswer) -> Vec<HistoryEvent> {
     at_stop(11_000, answer, vec![begins(10_500, fault.clone()), ends(10_900, fault)])
 }
@@ -270,7 +270,7 @@
 }
 
 fn deadly_runs(count: usize) -> Vec<HistoryEvent> {
-    // Each copy is a request of its own.
+    // Each copy has a name of its own.
     (0..count).map(|copy| executed(&format!("deadly-1-{copy}"), "GET /claims/deadly-1", "")).collect()
 }
 
@@ -306,7 +306,7 @@
     assert_ne!(SoakPlan::draw(1, 60, FLEET), SoakPlan::draw(2, 60, FLEET));
 }
 
-/// A plan that can't be used, and what its error says.
+/// A plan that can't be used, and the error that names the reason.
 struct PlanCase {
     plan: SoakPlan,
     is: fn(&SoakPlanError) -> bool,
@@ -376,8 +376,7 @@
     }
 }
 
-/// The whole path, short: processes, faults of each group, checks. Its verdict depends on promises alone, not
-/// on how much was served.
+/// A short soak with faults of each group. Only broken promises fail it, not how much was served.
 #[test]
 fn a_short_soak_of_real_processes_keeps_all_promises() {
     soak_keeps_all_promises(&SoakPlan {
@@ -396,8 +395,8 @@
     });
 }
 
-/// Stops, signals and submissions that overlap, also of all daemons of one service. No two daemons are lost
-/// at once without a stop or a store: shards that have lost two witnesses wait for two minutes by design.
+/// Stops, signals and submissions that overlap, also of all daemons of one service. No two daemons are lost at once without a planned
+/// stop and a working store, as shards that have lost two witnesses wait for two minutes by design.
 #[test]
 fn stops_and_changes_that_overlap_keep_all_promises() {
     let stop = |daemon| SoakFault::PlannedStop { daemon };
@@ -430,7 +429,7 @@
     });
 }
 
-/// Back ends that crash, and a request that crashes each that runs it, beside the restart of a daemon and a store that is out.
+/// Back ends that crash, and a request that crashes each that runs it, beside a daemon that restarts and an outage of the store.
 #[test]
 fn crashes_and_a_request_that_causes_them_keep_all_promises() {
     soak_keeps_all_promises(&SoakPlan {
@@ -450,7 +449,7 @@
     });
 }
 
-/// Plans of soaks that once failed; why stands in each file.
+/// Plans of soaks that once failed; each file says why.
 #[test]
 fn plans_that_once_failed_are_kept() {
     let directory = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/soak");
--- a/crates/seamhatch-lab/tests/soak_logs.rs
+++ b/crates/seamhatch-lab/tests/soak_logs.rs
@@ -1,4 +1,4 @@
-//! What a deployment's logs tell the operators' `trace`.
+//! What `seamhatch trace` finds in a deployment's logs.
 
 mod common;
 
@@ -27,7 +27,7 @@
             command.args(["client", "trace", "soak-7"]).args(logs).output().expect("the client starts");
         String::from_utf8_lossy(&output.stdout).into_owned()
     };
-    // Daemons write their logs a little later than they answer.
+    // Daemons answer first and write their logs shortly after.
     eventually("the request is traced", async || trace().contains("cause: answered with status 200")).await;
     let told = trace();
     let told_of =
--- a/crates/seamhatch-lab/tests/soak_report.rs
+++ b/crates/seamhatch-lab/tests/soak_report.rs
@@ -1,4 +1,4 @@
-//! The page of a soak: what is counted, what it holds, and what the command says.
+//! The report on a soak: what is counted, what the page contains, and the exit codes of the command.
 
 use seamhatch_lab::soak::fault::SoakFault;
 use seamhatch_lab::soak::history::{HistoryEvent, SeenAnswer, to_lines};
--- a/crates/seamhatch-lab/tests/soak_shrink.rs
+++ b/crates/seamhatch-lab/tests/soak_shrink.rs
@@ -1,4 +1,4 @@
-//! Shrinking a plan, with a rule in place of a soak.
+//! Shrinking a plan, with a rule that says which plans fail in place of a soak.
 
 use seamhatch_lab::soak::fault::SoakFault;
 use seamhatch_lab::soak::fleet::SERVERS;
@@ -7,7 +7,7 @@
 
 const MOST_TRIES: usize = 100;
 
-/// A plan of this many faults, told apart by their daemons.
+/// A plan with this many faults, distinguished by their daemons.
 fn plan(faults: usize) -> SoakPlan {
     let fault = |daemon| PlannedFault {
         at_ms: 100 * daemon as u64,
