--- a/crates/seamhatch-lab/src/backends/mod.rs
+++ b/crates/seamhatch-lab/src/backends/mod.rs
@@ -11,7 +11,7 @@
 pub use behaviour::Behaviour;
 
 use crate::http_stand_in::HttpStandIn;
-use crate::process::Machine;
+use crate::process::LabMachine;
 use crate::relays::BackendRelays;
 use crate::topology::Topology;
 use bytes::Bytes;
@@ -80,11 +80,11 @@
     /// An address can't be bound.
     pub fn start(
         topology: &Topology,
-        machines: &[Machine],
+        machines: &[LabMachine],
         mode: CallMode,
         relays: Option<BackendRelays>,
     ) -> std::io::Result<Self> {
-        let listen_address = if relays.is_some() { Machine::behind_relay } else { Machine::backend };
+        let listen_address = if relays.is_some() { LabMachine::behind_relay } else { LabMachine::backend };
         let state = Arc::new(State {
             by_host: by_host(topology, machines),
             by_service: by_service(machines),
@@ -105,7 +105,7 @@
     /// # Panics
     /// The machine has none.
     #[must_use]
-    pub fn behaviour(&self, machine: &Machine) -> Arc<Behaviour> {
+    pub fn behaviour(&self, machine: &LabMachine) -> Arc<Behaviour> {
         self.state.by_host[&machine.backend().to_string()].behaviour.clone()
     }
 
@@ -136,8 +136,8 @@
     }
 }
 
-fn by_host(topology: &Topology, machines: &[Machine]) -> HashMap<String, StandInBackend> {
-    let backend = |machine: &Machine| {
+fn by_host(topology: &Topology, machines: &[LabMachine]) -> HashMap<String, StandInBackend> {
+    let backend = |machine: &LabMachine| {
         let service = topology.service(&machine.service);
         let endpoints = service.map(|service| service.endpoints.clone()).unwrap_or_default();
         (machine.backend().to_string(), StandInBackend::new(machine.clone(), endpoints))
@@ -145,7 +145,7 @@
     machines.iter().map(backend).collect()
 }
 
-fn by_service(machines: &[Machine]) -> HashMap<String, Vec<Address>> {
+fn by_service(machines: &[LabMachine]) -> HashMap<String, Vec<Address>> {
     let mut by_service: HashMap<String, Vec<Address>> = HashMap::new();
     for machine in machines {
         by_service.entry(machine.service.clone()).or_default().push(machine.backend());
--- a/crates/seamhatch-lab/src/backends/server.rs
+++ b/crates/seamhatch-lab/src/backends/server.rs
@@ -5,7 +5,7 @@
 use super::{CALL_HEADER, CallMode, DEADLY_PATH, Execution, REQUEST_HEADER, RunningGuard, State};
 use crate::bodies;
 use crate::http_stand_in::{StandInRequest, text_response};
-use crate::process::Machine;
+use crate::process::LabMachine;
 use crate::topology::{ChildCall, Endpoint};
 use bytes::Bytes;
 use http::request::Parts;
@@ -30,7 +30,7 @@
 /// One back end.
 #[derive(Debug)]
 pub(super) struct StandInBackend {
-    pub machine: Machine,
+    pub machine: LabMachine,
     pub behaviour: Arc<Behaviour>,
     endpoints: Vec<Endpoint>,
     slots: Semaphore,
@@ -78,7 +78,7 @@
 }
 
 impl StandInBackend {
-    pub fn new(machine: Machine, endpoints: Vec<Endpoint>) -> Self {
+    pub fn new(machine: LabMachine, endpoints: Vec<Endpoint>) -> Self {
         let slots = Semaphore::new(machine.slots as usize);
         Self { machine, behaviour: Arc::default(), endpoints, slots }
     }
--- a/crates/seamhatch-lab/src/deployment/mod.rs
+++ b/crates/seamhatch-lab/src/deployment/mod.rs
@@ -12,7 +12,7 @@
 use crate::fault_proxy::{self, FaultProxy};
 use crate::network::Network;
 use crate::platform::Platform;
-use crate::process::{DaemonOptions, DaemonProcess, Machine};
+use crate::process::{DaemonOptions, DaemonProcess, LabMachine};
 use crate::relays::BackendRelays;
 use crate::topology::Topology;
 use seamhatch_core::identity::Address;
@@ -51,7 +51,7 @@
     /// One beside each back end, in the order of the topology.
     pub daemons: Vec<DaemonProcess>,
     /// All machines, in the same order.
-    pub machines: Vec<Machine>,
+    pub machines: Vec<LabMachine>,
     /// What restarted daemons are started with.
     pub options: DaemonOptions,
     relays: Option<BackendRelays>,
@@ -89,7 +89,7 @@
         let machines = machines(&topology, &network);
         let platform = Platform::start(network.machine(PLATFORM_GROUP, 1))?;
         machines.iter().for_each(|machine| platform.list_machine(machine.ip));
-        let relays = options.proxied.then(|| BackendRelays::start(&machines, Machine::behind_relay));
+        let relays = options.proxied.then(|| BackendRelays::start(&machines, LabMachine::behind_relay));
         let relays = relays.transpose()?;
         let backends = Backends::start(&topology, &machines, options.mode, relays.clone())?;
         let proxy = if options.proxied { Some(FaultProxy::start(&machines).await?) } else { None };
@@ -160,13 +160,13 @@
 
     /// The machines of a service.
     #[must_use]
-    pub fn machines_of(&self, service: &str) -> Vec<Machine> {
+    pub fn machines_of(&self, service: &str) -> Vec<LabMachine> {
         self.machines.iter().filter(|machine| machine.service == service).cloned().collect()
     }
 
     /// Index of the daemon on a machine.
     #[must_use]
-    pub fn position(&self, machine: &Machine) -> Option<usize> {
+    pub fn position(&self, machine: &LabMachine) -> Option<usize> {
         self.daemons.iter().position(|daemon| daemon.machine.ip == machine.ip)
     }
 
@@ -183,12 +183,12 @@
 
 fn daemon_options(
     topology: &Topology,
-    machines: &[Machine],
+    machines: &[LabMachine],
     options: &DeploymentOptions,
     platform: Address,
     directory: &Path,
 ) -> DaemonOptions {
-    let seed = |machine: &Machine| {
+    let seed = |machine: &LabMachine| {
         if options.proxied { fault_proxy::advertised(machine).gossip } else { machine.gossip() }
     };
     DaemonOptions {
@@ -205,15 +205,15 @@
     }
 }
 
-fn start_daemons(machines: &[Machine], options: &DaemonOptions) -> std::io::Result<Vec<DaemonProcess>> {
+fn start_daemons(machines: &[LabMachine], options: &DaemonOptions) -> std::io::Result<Vec<DaemonProcess>> {
     machines.iter().map(|machine| DaemonProcess::start(machine.clone(), options)).collect()
 }
 
-fn machines(topology: &Topology, network: &Network) -> Vec<Machine> {
+fn machines(topology: &Topology, network: &Network) -> Vec<LabMachine> {
     let mut machines = Vec::new();
     for (group, service) in topology.services.iter().enumerate() {
         for server in 0..service.servers {
-            machines.push(Machine {
+            machines.push(LabMachine {
                 ip: network.machine(group as u8 + 1, server + 1),
                 // Each service begins in another zone, so that small services are spread too.
                 zone: topology.zones[(usize::from(server) + group) % topology.zones.len()].to_owned(),
--- a/crates/seamhatch-lab/src/experiment.rs
+++ b/crates/seamhatch-lab/src/experiment.rs
@@ -6,7 +6,7 @@
 use crate::backends::CallMode;
 use crate::deployment::{Deployment, DeploymentOptions};
 use crate::load::{self, CallerRetries, KindResult, LoadPlan, LoadResult, Surge};
-use crate::process::Machine;
+use crate::process::LabMachine;
 use crate::topology::{RequestKind, Topology};
 use seamhatch_core::identity::Address;
 use seamhatch_policy::Configuration;
@@ -258,7 +258,7 @@
         Configuration::compile(&deployment.topology.document).map_err(|error| error.to_string())?;
     let servers = |kind: &RequestKind| {
         let service = configuration.route(kind.path).unwrap_or_default();
-        deployment.machines_of(service).iter().map(Machine::backend).collect()
+        deployment.machines_of(service).iter().map(LabMachine::backend).collect()
     };
     Ok(deployment.topology.kinds.iter().map(servers).collect())
 }
--- a/crates/seamhatch-lab/src/fault_proxy.rs
+++ b/crates/seamhatch-lab/src/fault_proxy.rs
@@ -3,7 +3,7 @@
 //! It knows the machine that a connection or datagram comes from by its address, and keeps that address towards the daemon.
 //! Owns the rules; tests and the soak set them while traffic goes on.
 
-use crate::process::{AdvertisedAddresses, Machine};
+use crate::process::{AdvertisedAddresses, LabMachine};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::{Arc, RwLock};
@@ -51,7 +51,7 @@
 
 /// The addresses that a daemon behind the proxy advertises.
 #[must_use]
-pub fn advertised(machine: &Machine) -> AdvertisedAddresses {
+pub fn advertised(machine: &LabMachine) -> AdvertisedAddresses {
     let at = |port| SocketAddr::new(machine.ip.into(), port).into();
     AdvertisedAddresses { peer: at(PROXY_PEER), gossip: at(PROXY_GOSSIP) }
 }
@@ -67,7 +67,7 @@
     ///
     /// # Errors
     /// A port can't be bound.
-    pub async fn start(machines: &[Machine]) -> std::io::Result<Self> {
+    pub async fn start(machines: &[LabMachine]) -> std::io::Result<Self> {
         let rules: Arc<Rules> = Arc::default();
         let mut tasks = Vec::new();
         for machine in machines {
@@ -113,7 +113,7 @@
     }
 }
 
-async fn accept(listener: TcpListener, machine: Machine, rules: Arc<Rules>) {
+async fn accept(listener: TcpListener, machine: LabMachine, rules: Arc<Rules>) {
     loop {
         let Ok((incoming, from)) = listener.accept().await else {
             // This process may be out of sockets for a moment; the daemon must be reachable afterwards.
@@ -193,7 +193,7 @@
     }
 }
 
-async fn forward_datagrams(socket: UdpSocket, machine: Machine, rules: Arc<Rules>) {
+async fn forward_datagrams(socket: UdpSocket, machine: LabMachine, rules: Arc<Rules>) {
     let mut buffer = vec![0; BUFFER];
     let target = SocketAddr::from(machine.gossip());
     while let Ok((length, from)) = socket.recv_from(&mut buffer).await {
--- a/crates/seamhatch-lab/src/process.rs
+++ b/crates/seamhatch-lab/src/process.rs
@@ -24,7 +24,7 @@
 
 /// One machine of the emulator: a daemon and the back end beside it.
 #[derive(Debug, Clone)]
-pub struct Machine {
+pub struct LabMachine {
     /// Its address.
     pub ip: Ipv4Addr,
     /// Its zone.
@@ -35,7 +35,7 @@
     pub slots: u32,
 }
 
-impl Machine {
+impl LabMachine {
     fn at(&self, port: u16) -> Address {
         Address { ip: IpAddr::V4(self.ip), port }
     }
@@ -101,7 +101,7 @@
     /// Gossip addresses to ask first.
     pub seeds: Vec<Address>,
     /// The addresses that daemons advertise when they reach each other through a proxy.
-    pub advertise: Option<fn(&Machine) -> AdvertisedAddresses>,
+    pub advertise: Option<fn(&LabMachine) -> AdvertisedAddresses>,
     /// Log level.
     pub log_level: String,
 }
@@ -119,7 +119,7 @@
 #[derive(Debug)]
 pub struct DaemonProcess {
     /// Its machine.
-    pub machine: Machine,
+    pub machine: LabMachine,
     child: Child,
 }
 
@@ -128,7 +128,7 @@
     ///
     /// # Errors
     /// The program or its files can't be used.
-    pub fn start(machine: Machine, options: &DaemonOptions) -> std::io::Result<Self> {
+    pub fn start(machine: LabMachine, options: &DaemonOptions) -> std::io::Result<Self> {
         let settings = write_settings(&machine, options)?;
         let log = log_file(&options.directory, &machine.ip.to_string())?;
         let child = Command::new(&options.program)
@@ -207,7 +207,7 @@
 ///
 /// # Errors
 /// The directory can't be written to.
-pub fn write_settings(machine: &Machine, options: &DaemonOptions) -> std::io::Result<PathBuf> {
+pub fn write_settings(machine: &LabMachine, options: &DaemonOptions) -> std::io::Result<PathBuf> {
     let file = options.directory.join(format!("{}.toml", machine.ip));
     let draft = options.directory.join(format!("{}.draft", machine.ip));
     std::fs::write(&draft, settings_text(machine, options))?;
@@ -219,7 +219,7 @@
     File::options().create(true).append(true).open(directory.join(format!("{name}.log")))
 }
 
-fn settings_text(machine: &Machine, options: &DaemonOptions) -> String {
+fn settings_text(machine: &LabMachine, options: &DaemonOptions) -> String {
     let seeds: Vec<String> = options.seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
     let advertise = options.advertise.map_or_else(String::new, |advertise| {
         let addresses = advertise(machine);
--- a/crates/seamhatch-lab/src/relays.rs
+++ b/crates/seamhatch-lab/src/relays.rs
@@ -3,7 +3,7 @@
 //! While a back end is away its connections are closed and nothing listens at its address. The soak and requests that crash
 //! their back end call this; daemons see a crashed process.
 
-use crate::process::Machine;
+use crate::process::LabMachine;
 use seamhatch_core::identity::Address;
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     /// An address can't be bound.
-    pub fn start(machines: &[Machine], inner: impl Fn(&Machine) -> Address) -> std::io::Result<Self> {
+    pub fn start(machines: &[LabMachine], inner: impl Fn(&LabMachine) -> Address) -> std::io::Result<Self> {
         let runtime = Handle::current();
         let mut by_machine = HashMap::new();
         for machine in machines {
