--- a/crates/seamhatch-lab/src/soak/checks.rs
+++ b/crates/seamhatch-lab/src/soak/checks.rs
@@ -207,8 +207,8 @@
     let mut newest: HashMap<(DaemonIndex, u32), u64> = HashMap::new();
     let mut violations = Vec::new();
     for event in history {
-        let HistoryEvent::Status { daemon, life, generation, at_ms } = event else { continue };
-        let known = newest.entry((*daemon, *life)).or_default();
+        let HistoryEvent::Status { daemon, restarts, generation, at_ms } = event else { continue };
+        let known = newest.entry((*daemon, *restarts)).or_default();
         if generation < known {
             let detail = format!("generation {generation} in force after {known}, at {at_ms} ms");
             violations.push(violation(Promise::ConfigurationForward, format!("daemon {daemon}"), detail));
--- a/crates/seamhatch-lab/src/soak/history.rs
+++ b/crates/seamhatch-lab/src/soak/history.rs
@@ -65,8 +65,9 @@
         at_ms: SoakMillis,
         /// Which.
         daemon: DaemonIndex,
-        /// How often it had been started again.
-        life: u32,
+        /// How often it had been started again; kept histories call it `life`.
+        #[serde(rename = "life")]
+        restarts: u32,
         /// Generation of the configuration in force there.
         generation: u64,
     },
--- a/crates/seamhatch-lab/src/soak/injection.rs
+++ b/crates/seamhatch-lab/src/soak/injection.rs
@@ -1,6 +1,6 @@
 //! Begins and ends the faults of a plan in a running deployment.
 //!
-//! Owns nothing but the count of each daemon's lives: a fault that ends a process starts the daemon again only if no other
+//! Owns nothing but the count of each daemon's restarts: a fault that ends a process starts the daemon again only if no other
 //! fault has done so in the meantime. `steps` calls it at the plan's times.
 
 use super::fault::{CutWay, ReloadLevel, SoakFault};
@@ -21,22 +21,22 @@
 
 /// How often each daemon has been started again; cheap to clone.
 #[derive(Debug, Clone)]
-pub struct DaemonLives(Arc<Vec<AtomicU32>>);
+pub struct DaemonRestarts(Arc<Vec<AtomicU32>>);
 
-impl DaemonLives {
-    /// All daemons in their first life.
+impl DaemonRestarts {
+    /// No daemon has been started again.
     #[must_use]
     pub fn new(daemons: usize) -> Self {
         Self(Arc::new((0..daemons).map(|_| AtomicU32::new(0)).collect()))
     }
 
-    /// The present life of a daemon, from 0.
+    /// How often a daemon has been started again.
     #[must_use]
     pub fn of(&self, daemon: DaemonIndex) -> u32 {
         self.0[daemon].load(Ordering::Acquire)
     }
 
-    fn next(&self, daemon: DaemonIndex) {
+    fn count(&self, daemon: DaemonIndex) {
         self.0[daemon].fetch_add(1, Ordering::AcqRel);
     }
 }
@@ -45,8 +45,8 @@
 pub struct BegunFault {
     /// The fault.
     pub fault: SoakFault,
-    /// The life of each of the fault's daemons at its beginning, in the order of [`SoakFault::daemons`].
-    lives: Vec<u32>,
+    /// Restarts of each of the fault's daemons before it began, in the order of [`SoakFault::daemons`].
+    restarts_before: Vec<u32>,
 }
 
 /// Result of ending a fault.
@@ -64,12 +64,12 @@
 /// Changed settings can't be written.
 pub fn begin(
     deployment: &mut Deployment,
-    lives: &DaemonLives,
+    restarts: &DaemonRestarts,
     fault: SoakFault,
 ) -> std::io::Result<BegunFault> {
-    let lives = fault.daemons().into_iter().map(|daemon| lives.of(daemon)).collect();
+    let restarts_before = fault.daemons().into_iter().map(|daemon| restarts.of(daemon)).collect();
     inject(deployment, &fault)?;
-    Ok(BegunFault { fault, lives })
+    Ok(BegunFault { fault, restarts_before })
 }
 
 /// Asks a daemon to stop, for the first time or again.
@@ -118,17 +118,17 @@
 /// A daemon can't be started again, or its settings can't be written.
 pub fn end(
     deployment: &mut Deployment,
-    lives: &DaemonLives,
+    restarts: &DaemonRestarts,
     begun: &BegunFault,
 ) -> std::io::Result<FaultEnd> {
     match &begun.fault {
         SoakFault::PlannedStop { daemon } | SoakFault::HastyStop { daemon, .. }
-            if begun.is_same_life(*daemon, lives) && !deployment.daemons[*daemon].has_ended() =>
+            if begun.is_same_incarnation(*daemon, restarts) && !deployment.daemons[*daemon].has_ended() =>
         {
             return Ok(FaultEnd::StillStopping);
         }
         SoakFault::Kill { .. } | SoakFault::PlannedStop { .. } | SoakFault::HastyStop { .. } => {
-            end_by_force(deployment, lives, begun)?;
+            end_by_force(deployment, restarts, begun)?;
         }
         SoakFault::Reload { daemon, .. } => reload(deployment, *daemon, None, 0)?,
         SoakFault::Pause { daemon } => signal(deployment, *daemon, Signal::CONT),
@@ -159,12 +159,12 @@
 /// A daemon can't be started again.
 pub fn end_by_force(
     deployment: &mut Deployment,
-    lives: &DaemonLives,
+    restarts: &DaemonRestarts,
     begun: &BegunFault,
 ) -> std::io::Result<()> {
     for daemon in begun.fault.daemons() {
-        if begun.is_same_life(daemon, lives) {
-            lives.next(daemon);
+        if begun.is_same_incarnation(daemon, restarts) {
+            restarts.count(daemon);
             deployment.restart(daemon)?;
         }
     }
@@ -173,9 +173,9 @@
 
 impl BegunFault {
     /// Whether the daemon has not been started again since the fault began.
-    fn is_same_life(&self, daemon: DaemonIndex, lives: &DaemonLives) -> bool {
+    fn is_same_incarnation(&self, daemon: DaemonIndex, restarts: &DaemonRestarts) -> bool {
         let position = self.fault.daemons().iter().position(|own| *own == daemon);
-        position.is_some_and(|position| self.lives[position] == lives.of(daemon))
+        position.is_some_and(|position| self.restarts_before[position] == restarts.of(daemon))
     }
 }
 
--- a/crates/seamhatch-lab/src/soak/runner.rs
+++ b/crates/seamhatch-lab/src/soak/runner.rs
@@ -6,7 +6,7 @@
 use super::checks::PROBE_PREFIX;
 use super::fleet::SoakFleet;
 use super::history::HistoryEvent;
-use super::injection::DaemonLives;
+use super::injection::DaemonRestarts;
 use super::load::{self, SoakRequest};
 use super::plan::SoakPlan;
 use super::recorder::Recorder;
@@ -60,7 +60,7 @@
     let options =
         DeploymentOptions { program, log_level: "info".into(), proxied: true, mode: CallMode::ThroughDaemon };
     let mut deployment = Deployment::start_ready(topology(plan.servers), &options).await?;
-    let lives = DaemonLives::new(deployment.daemons.len());
+    let restarts = DaemonRestarts::new(deployment.daemons.len());
     let recorder = Recorder::begin();
     for (daemon, machine) in deployment.machines.iter().enumerate() {
         recorder.note(HistoryEvent::Daemon { daemon, service: machine.service.clone() });
@@ -68,8 +68,8 @@
     let load =
         load::send_load(plan.clone(), deployment.topology.clone(), deployment.ingresses(), recorder.clone());
     let load = tokio::spawn(load);
-    let watch = tokio::spawn(watch_daemons(admins(&deployment), lives.clone(), recorder.clone()));
-    let faults = steps::run_steps(&mut deployment, &lives, &plan.faults, &recorder).await;
+    let watch = tokio::spawn(watch_daemons(admins(&deployment), restarts.clone(), recorder.clone()));
+    let faults = steps::run_steps(&mut deployment, &restarts, &plan.faults, &recorder).await;
     faults.map_err(|error| error.to_string())?;
     load.await.map_err(|error| error.to_string())?;
     steps::submit(&deployment, 0, &recorder).await.map_err(|error| error.to_string())?;
@@ -77,7 +77,7 @@
     watch.abort();
     recorder.note(HistoryEvent::Healed { at_ms: recorder.at_ms(), ready });
     probe(&deployment, &recorder).await;
-    record_reports(&admins(&deployment), &lives, &recorder).await;
+    record_reports(&admins(&deployment), &restarts, &recorder).await;
     while deployment.backends.running() > 0 {
         tokio::time::sleep(POLL).await;
     }
@@ -92,22 +92,27 @@
     deployment.daemons.iter().map(|daemon| daemon.machine.admin()).collect()
 }
 
-async fn watch_daemons(admins: Vec<Address>, lives: DaemonLives, recorder: Recorder) {
+async fn watch_daemons(admins: Vec<Address>, restarts: DaemonRestarts, recorder: Recorder) {
     loop {
-        record_reports(&admins, &lives, &recorder).await;
+        record_reports(&admins, &restarts, &recorder).await;
         tokio::time::sleep(STATUS_INTERVAL).await;
     }
 }
 
 /// Records each daemon's status report, except of one that is started again in the meantime.
-async fn record_reports(admins: &[Address], lives: &DaemonLives, recorder: &Recorder) {
+async fn record_reports(admins: &[Address], restarts: &DaemonRestarts, recorder: &Recorder) {
     for (daemon, admin) in admins.iter().enumerate() {
-        let life = lives.of(daemon);
+        let before = restarts.of(daemon);
         let asked = tokio::time::timeout(STATUS_INTERVAL, status_of(*admin)).await;
         let Ok(Some(report)) = asked else { continue };
-        if lives.of(daemon) == life {
+        if restarts.of(daemon) == before {
             let generation = report.generation;
-            recorder.note(HistoryEvent::Status { at_ms: recorder.at_ms(), daemon, life, generation });
+            recorder.note(HistoryEvent::Status {
+                at_ms: recorder.at_ms(),
+                daemon,
+                restarts: before,
+                generation,
+            });
         }
     }
 }
--- a/crates/seamhatch-lab/src/soak/steps.rs
+++ b/crates/seamhatch-lab/src/soak/steps.rs
@@ -6,7 +6,7 @@
 use super::fault::SoakFault;
 use super::fleet::DaemonIndex;
 use super::history::{HistoryEvent, SoakMillis};
-use super::injection::{self, BegunFault, DaemonLives, FaultEnd};
+use super::injection::{self, BegunFault, DaemonRestarts, FaultEnd};
 use super::load;
 use super::plan::PlannedFault;
 use super::recorder::Recorder;
@@ -52,12 +52,12 @@
 /// A daemon can't be started again, or its settings can't be written.
 pub async fn run_steps(
     deployment: &mut Deployment,
-    lives: &DaemonLives,
+    restarts: &DaemonRestarts,
     planned: &[PlannedFault],
     recorder: &Recorder,
 ) -> std::io::Result<()> {
     let mut runner =
-        StepRunner { deployment, lives, recorder, queue: StepQueue::default(), submissions: Vec::new() };
+        StepRunner { deployment, restarts, recorder, queue: StepQueue::default(), submissions: Vec::new() };
     planned.iter().for_each(|fault| runner.queue.add(fault.at_ms, Step::Begin(fault.clone())));
     while let Some((at_ms, step)) = runner.queue.next() {
         tokio::time::sleep_until((recorder.start() + Duration::from_millis(at_ms)).into()).await;
@@ -73,7 +73,7 @@
 /// What the steps of a plan act on.
 struct StepRunner<'a> {
     deployment: &'a mut Deployment,
-    lives: &'a DaemonLives,
+    restarts: &'a DaemonRestarts,
     recorder: &'a Recorder,
     queue: StepQueue,
     /// Configurations that are being submitted.
@@ -112,20 +112,20 @@
             }
             _ => {}
         }
-        let begun = injection::begin(self.deployment, self.lives, fault)?;
+        let begun = injection::begin(self.deployment, self.restarts, fault)?;
         self.queue.add(planned_ms, Step::End { begun, planned_ms });
         Ok(())
     }
 
     /// Ends a fault, or looks again later while its daemon still stops; one that takes too long is killed.
     fn end(&mut self, begun: BegunFault, planned_ms: SoakMillis) -> std::io::Result<()> {
-        if injection::end(self.deployment, self.lives, &begun)? == FaultEnd::StillStopping {
+        if injection::end(self.deployment, self.restarts, &begun)? == FaultEnd::StillStopping {
             if self.recorder.at_ms() <= planned_ms + STOP_TIMEOUT_MS {
                 self.queue.add(self.recorder.at_ms() + STOP_POLL_MS, Step::End { begun, planned_ms });
                 return Ok(());
             }
             println!("killed after {STOP_TIMEOUT_MS} ms, not stopped yet: {:?}", begun.fault);
-            injection::end_by_force(self.deployment, self.lives, &begun)?;
+            injection::end_by_force(self.deployment, self.restarts, &begun)?;
         }
         self.recorder.note(HistoryEvent::FaultEnds { at_ms: self.recorder.at_ms(), fault: begun.fault });
         Ok(())
--- a/crates/seamhatch-lab/tests/soak.rs
+++ b/crates/seamhatch-lab/tests/soak.rs
@@ -45,8 +45,8 @@
     }
 }
 
-fn status(at_ms: u64, daemon: usize, life: u32, generation: u64) -> HistoryEvent {
-    HistoryEvent::Status { at_ms, daemon, life, generation }
+fn status(at_ms: u64, daemon: usize, restarts: u32, generation: u64) -> HistoryEvent {
+    HistoryEvent::Status { at_ms, daemon, restarts, generation }
 }
 
 fn begins(at_ms: u64, fault: SoakFault) -> HistoryEvent {
@@ -239,7 +239,7 @@
             cut_at_stop(11_000, vec![begins(10_500, kill.clone()), ends(10_900, kill)]),
         ),
         kept(
-            "forward, and anew in another life",
+            "forward, and again after a restart",
             vec![status(1, 0, 0, 3), status(2, 0, 1, 2), status(3, 0, 1, 3)],
         ),
         broken("backward", Promise::ConfigurationForward, vec![status(1, 0, 0, 3), status(2, 0, 0, 2)]),
