--- a/crates/seamhatch-lab/src/load.rs
+++ b/crates/seamhatch-lab/src/load.rs
@@ -1,9 +1,12 @@
-//! Open-loop load: requests are sent at their times whatever became of earlier
-//! ones, and latency counts from the intended time.
+//! Open-loop load: requests are sent at drawn times whatever became of earlier ones, and latency counts from the time at which
+//! a request was due.
+//!
+//! `demo` and the experiments send it; the soak draws its own load with the same functions.
 
 use crate::client::{Caller, CallerAnswer, CallerRequest};
 use crate::topology::RequestKind;
 use hdrhistogram::Histogram;
+use rand::RngExt;
 use seamhatch_core::identity::Address;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -11,22 +14,24 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Longest latency that is told apart, in microseconds.
+/// Longest latency that a histogram holds, in microseconds; longer ones count as this. Chosen, not measured.
 const LONGEST_LATENCY: u64 = 60_000_000;
+/// Seconds after the load for which good answers are counted second by second. Chosen, not measured.
+const SECONDS_AFTER: usize = 30;
 
 /// How callers repeat what failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerRetries {
-    /// Repeats after the first try.
+    /// Most repeats after the first attempt.
     pub most: u32,
-    /// Wait for what `Retry-After` says; else repeat at once.
+    /// Waits as long as `Retry-After` says, a second without it; else repeats at once.
     pub honour_retry_after: bool,
 }
 
 /// A time of higher demand.
 #[derive(Debug, Clone, Copy)]
 pub struct Surge {
-    /// Its beginning, from that of the load.
+    /// Its beginning, from the beginning of the load.
     pub start: Duration,
     /// Its end.
     pub end: Duration,
@@ -39,15 +44,15 @@
 pub struct LoadPlan {
     /// Requests a second, of all kinds.
     pub rate: f64,
-    /// How long.
+    /// How long requests are sent.
     pub duration: Duration,
     /// Kinds and their shares.
     pub kinds: Vec<RequestKind>,
-    /// Where to send, in turn: one list for all kinds, or one for each.
+    /// Where to send, in turn: one list for all kinds, or one for each kind.
     pub targets: Vec<Vec<Address>>,
-    /// A time of higher demand.
+    /// Higher demand for a time.
     pub surge: Option<Surge>,
-    /// Repeats.
+    /// What callers do after a failure.
     pub retries: CallerRetries,
     /// Prefix of the requests' names, unique in a run.
     pub name: String,
@@ -60,11 +65,9 @@
     pub sent: u64,
     /// Complete and correct answers.
     pub good: u64,
-    /// Repeats by the callers.
-    pub repeats: u64,
-    /// Failed requests by outcome and reason of the last try.
+    /// Failed requests by outcome and reason of the last attempt.
     pub failures: BTreeMap<String, u64>,
-    /// Latency of good answers in microseconds, from the intended time.
+    /// Latency of good answers in microseconds, from the time at which the request was due.
     pub latency: Histogram<u64>,
     /// Latency of refusals (`not-run`) in microseconds.
     pub refusal_latency: Histogram<u64>,
@@ -79,7 +82,6 @@
         Self {
             sent: 0,
             good: 0,
-            repeats: 0,
             failures: BTreeMap::new(),
             latency: histogram(),
             refusal_latency: histogram(),
@@ -100,7 +102,7 @@
 
 /// Sends the load and waits for all answers.
 pub async fn run(plan: LoadPlan) -> LoadResult {
-    let seconds = plan.duration.as_secs() as usize + 30;
+    let seconds = plan.duration.as_secs() as usize + SECONDS_AFTER;
     let names: Vec<&'static str> = plan.kinds.iter().map(|kind| kind.name).collect();
     let results = Mutex::new(plan.kinds.iter().map(|_| KindResult::new(seconds)).collect());
     let run = Arc::new(Run { plan, caller: Caller::default(), start: Instant::now(), results });
@@ -109,10 +111,10 @@
     let mut number = 0_u64;
     while intended < run.start + run.plan.duration {
         tokio::time::sleep_until(intended).await;
-        let kind = run.draw_kind();
+        let kind = draw_kind(&run.plan.kinds, &mut rand::rng());
         tasks.spawn(run.clone().request(kind, number, intended));
         number += 1;
-        intended += exponential(1.0 / run.plan.rate_at(intended - run.start));
+        intended += exponential(run.plan.rate_at(intended - run.start), &mut rand::rng());
         while tasks.try_join_next().is_some() {}
     }
     while tasks.join_next().await.is_some() {}
@@ -135,18 +137,6 @@
         targets.get(kind).unwrap_or(&targets[0])
     }
 
-    fn draw_kind(&self) -> usize {
-        let total: f64 = self.plan.kinds.iter().map(|kind| kind.share).sum();
-        let mut drawn = rand::random::<f64>() * total;
-        for (index, kind) in self.plan.kinds.iter().enumerate() {
-            drawn -= kind.share;
-            if drawn < 0.0 {
-                return index;
-            }
-        }
-        self.plan.kinds.len() - 1
-    }
-
     async fn request(self: Arc<Self>, kind: usize, number: u64, intended: Instant) {
         let shape = &self.plan.kinds[kind];
         let name = format!("{}-{number}", self.plan.name);
@@ -179,7 +169,6 @@
         let mut results = self.results.lock().expect("results lock");
         let result = &mut results[kind];
         result.sent += u64::from(last);
-        result.repeats += u64::from(!last);
         if answer.is_good() {
             result.good += 1;
             result.latency.saturating_record((now - intended).as_micros() as u64);
@@ -203,7 +192,21 @@
     }
 }
 
-fn exponential(mean_seconds: f64) -> Duration {
-    let uniform: f64 = rand::random::<f64>().max(1e-12);
-    Duration::from_secs_f64(-uniform.ln() * mean_seconds)
+/// Index of a request kind, drawn by the kinds' shares.
+pub(crate) fn draw_kind(kinds: &[RequestKind], rng: &mut impl RngExt) -> usize {
+    let total: f64 = kinds.iter().map(|kind| kind.share).sum();
+    let mut drawn = rng.random::<f64>() * total;
+    for (index, kind) in kinds.iter().enumerate() {
+        drawn -= kind.share;
+        if drawn < 0.0 {
+            return index;
+        }
+    }
+    kinds.len() - 1
+}
+
+/// Time to the next event of a Poisson process with this rate.
+pub(crate) fn exponential(per_second: f64, rng: &mut impl RngExt) -> Duration {
+    let uniform: f64 = rng.random::<f64>().max(f64::MIN_POSITIVE);
+    Duration::from_secs_f64(-uniform.ln() / per_second)
 }
--- a/crates/seamhatch-lab/src/platform.rs
+++ b/crates/seamhatch-lab/src/platform.rs
@@ -1,38 +1,37 @@
-//! Stand-in for the platform: a key-value service that speaks the JSON form of
-//! the etcd v3 protocol as far as the daemons use it, and a machine list.
-//! Both can fail in the ways the users describe.
+//! Stand-in for the platform: a key-value store that speaks the JSON form of the etcd v3 protocol as far as daemons use it,
+//! and a machine list.
+//!
+//! Owns the content of both, in memory, and the faults that are active. Daemons read and write it over HTTP; tests and the
+//! soak change the faults, the machines and, as after a restored backup, the content.
 
+use crate::http_stand_in::{HttpStandIn, StandInRequest, text_response};
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use http::StatusCode;
 use seamhatch_core::identity::Address;
-use seamhatchd::listeners::{self, Listener};
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use std::convert::Infallible;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
-use xitca_web::body::{BodyExt, RequestBody, ResponseBody};
 use xitca_web::http::WebResponse;
-use xitca_web::service::fn_service;
-use xitca_web::{App, WebContext};
 
+/// Port of the key-value store, as etcd has it.
 const STORE_PORT: u16 = 2379;
 
-/// Ways in which the platform fails.
+/// Faults of the platform that are active.
 #[derive(Debug, Clone, Default)]
 pub struct PlatformFaults {
-    /// Every request to the key-value service fails.
+    /// Every request to the store is answered 503.
     pub store_out: bool,
-    /// So many writes are carried out without their answer being sent.
+    /// The next so many writes are carried out and answered 504.
     pub lose_write_answers: u32,
-    /// Each answer takes so much longer.
+    /// Each answer comes this much later.
     pub delay: Duration,
-    /// Requests a second, none for no limit.
+    /// Requests a second that the store answers, none for no limit; those beyond get 429.
     pub rate_limit: Option<u32>,
-    /// The machine list can't be read.
+    /// The machine list is answered 503.
     pub machines_out: bool,
 }
 
@@ -42,7 +41,7 @@
     revision: u64,
 }
 
-/// A copy of the store's content.
+/// A copy of the store's content, as a backup holds it.
 #[derive(Debug, Clone, Default)]
 pub struct StoreCopy {
     values: BTreeMap<Vec<u8>, StoredValue>,
@@ -54,7 +53,6 @@
     revision: u64,
     faults: PlatformFaults,
     machines: BTreeMap<Ipv4Addr, &'static str>,
-    requests: u64,
     window_start: Option<Instant>,
     window_requests: u32,
 }
@@ -63,29 +61,26 @@
 pub struct Platform {
     address: Address,
     state: Arc<Mutex<State>>,
-    listener: Option<Listener>,
+    _server: HttpStandIn,
 }
 
 type Shared = Arc<Mutex<State>>;
 
 impl Platform {
-    /// Starts it at this machine address.
+    /// Starts it at this machine's address.
     ///
     /// # Errors
     /// The address can't be bound.
     pub fn start(ip: Ipv4Addr) -> std::io::Result<Self> {
         let state: Shared = Arc::default();
-        let application = App::new()
-            .with_state(state.clone())
-            .at("/", fn_service(handle))
-            .at("/{*rest}", fn_service(handle));
         let address = Address::from(SocketAddr::new(ip.into(), STORE_PORT));
-        let socket = listeners::bind(address)?;
-        let listener = listeners::serve(application.finish(), vec![socket], 1, "platform")?;
-        Ok(Self { address, state, listener: Some(listener) })
+        let serving = state.clone();
+        let answering = move |request| handle(serving.clone(), request);
+        let server = HttpStandIn::start("platform", std::iter::once(address), 1, answering)?;
+        Ok(Self { address, state, _server: server })
     }
 
-    /// Address of the key-value service and of the machine list.
+    /// Address of the store and of the machine list.
     #[must_use]
     pub fn address(&self) -> Address {
         self.address
@@ -96,40 +91,23 @@
         change(&mut self.lock().faults);
     }
 
-    /// Puts a machine on the list, as live.
+    /// Lists a machine as live.
     pub fn list_machine(&self, ip: Ipv4Addr) {
         self.lock().machines.insert(ip, "live");
     }
 
-    /// Marks a machine as leaving.
-    pub fn machine_leaves(&self, ip: Ipv4Addr) {
+    /// Lists a machine as leaving.
+    pub fn list_leaving_machine(&self, ip: Ipv4Addr) {
         self.lock().machines.insert(ip, "leaving");
     }
 
-    /// Takes a machine off the list.
-    pub fn remove_machine(&self, ip: Ipv4Addr) {
-        self.lock().machines.remove(&ip);
-    }
-
-    /// Requests to the key-value service so far.
-    #[must_use]
-    pub fn requests(&self) -> u64 {
-        self.lock().requests
-    }
-
-    /// Whether writes are still waiting to have their answer lost.
-    #[must_use]
-    pub fn answers_still_to_lose(&self) -> u32 {
-        self.lock().faults.lose_write_answers
-    }
-
-    /// Copies the content.
+    /// A copy of the store's content.
     #[must_use]
     pub fn copy(&self) -> StoreCopy {
         StoreCopy { values: self.lock().values.clone() }
     }
 
-    /// Puts an earlier copy back, as after a restored backup.
+    /// Replaces the store's content by an earlier copy; revisions go on from the present one.
     pub fn restore(&self, copy: StoreCopy) {
         let mut state = self.lock();
         state.revision += 1;
@@ -145,14 +123,6 @@
     }
 }
 
-impl Drop for Platform {
-    fn drop(&mut self) {
-        if let Some(listener) = self.listener.take() {
-            listener.stop(Duration::ZERO);
-        }
-    }
-}
-
 fn lock(state: &Shared) -> MutexGuard<'_, State> {
     state.lock().expect("platform lock")
 }
@@ -191,34 +161,15 @@
     Status(StatusCode),
 }
 
-async fn handle(mut context: WebContext<'_, Shared>) -> Result<WebResponse, Infallible> {
-    let state = context.state().clone();
-    let (parts, extension) = context.take_request().into_parts();
-    let (_, body) = extension.replace_body(());
-    let bytes = read(body).await;
-    let path = parts.uri.path().to_owned();
+async fn handle(state: Shared, request: StandInRequest) -> WebResponse {
     let delay = lock(&state).faults.delay;
     if !delay.is_zero() {
         tokio::time::sleep(delay).await;
     }
-    Ok(match answer(&state, &path, &bytes) {
-        Answer::Json(value) => response(StatusCode::OK, value.to_string()),
-        Answer::Status(status) => response(status, String::new()),
-    })
-}
-
-async fn read(mut body: RequestBody) -> Vec<u8> {
-    let mut bytes = Vec::new();
-    while let Some(Ok(piece)) = body.data().await {
-        bytes.extend_from_slice(&piece);
+    match answer(&state, request.uri().path(), request.body()) {
+        Answer::Json(value) => text_response(StatusCode::OK, value.to_string()),
+        Answer::Status(status) => text_response(status, String::new()),
     }
-    bytes
-}
-
-fn response(status: StatusCode, text: String) -> WebResponse {
-    let mut response = WebResponse::new(ResponseBody::bytes(text));
-    *response.status_mut() = status;
-    response
 }
 
 fn answer(state: &Shared, path: &str, body: &[u8]) -> Answer {
@@ -226,7 +177,6 @@
     if path == "/machines" {
         return state.machine_list();
     }
-    state.requests += 1;
     if state.faults.store_out {
         return Answer::Status(StatusCode::SERVICE_UNAVAILABLE);
     }
@@ -251,6 +201,7 @@
         Answer::Json(list.collect())
     }
 
+    /// Counts a request against the rate limit, in windows of a second.
     fn within_rate(&mut self) -> bool {
         let Some(limit) = self.faults.rate_limit else { return true };
         let now = Instant::now();
@@ -263,6 +214,7 @@
         self.window_requests <= limit
     }
 
+    /// Reads one key; none when the request can't be read.
     fn range(&self, body: &[u8]) -> Option<Answer> {
         let request: RangeRequest = serde_json::from_slice(body).ok()?;
         let key = STANDARD.decode(&request.key).ok()?;
@@ -277,6 +229,7 @@
         Some(Answer::Json(json!({ "kvs": kvs, "count": kvs.len().to_string() })))
     }
 
+    /// Writes all keys if all comparisons hold; none when the request can't be read.
     fn transaction(&mut self, body: &[u8]) -> Option<Answer> {
         let request: TxnRequest = serde_json::from_slice(body).ok()?;
         for compare in &request.compare {
--- a/crates/seamhatch-lab/src/soak/faults.rs
+++ b/crates/seamhatch-lab/src/soak/injection.rs
@@ -1,9 +1,14 @@
-//! Bringing the faults of a plan about, and ending them.
+//! Begins and ends the faults of a plan in a running deployment.
+//!
+//! Owns nothing but the count of each daemon's restarts: a fault that ends a process starts the daemon again only if no other
+//! fault has done so in the meantime. `steps` calls it at the plan's times.
 
-use super::plan::{CutWay, DaemonIndex, ReloadLevel, SoakFault};
+use super::fault::{CutWay, ReloadLevel, SoakFault};
+use super::fleet::DaemonIndex;
 use crate::backends::Behaviour;
 use crate::deployment::Deployment;
-use crate::faults::Rule;
+use crate::fault_proxy::Rule;
+use crate::platform::PlatformFaults;
 use crate::process::write_settings;
 use rustix::process::Signal;
 use std::net::Ipv4Addr;
@@ -11,68 +16,68 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
-/// Service time of a back end that is as it should be, in percent.
+/// Service time of a back end without a fault, in percent.
 const USUAL_PERCENT: u32 = 100;
 
-/// How often each daemon has been started anew.
+/// How often each daemon has been started again; cheap to clone.
 #[derive(Debug, Clone)]
-pub struct DaemonLives(Arc<Vec<AtomicU32>>);
+pub struct DaemonRestarts(Arc<Vec<AtomicU32>>);
 
-impl DaemonLives {
-    /// Daemons in their first lives.
+impl DaemonRestarts {
+    /// No daemon has been started again.
     #[must_use]
     pub fn new(daemons: usize) -> Self {
         Self(Arc::new((0..daemons).map(|_| AtomicU32::new(0)).collect()))
     }
 
-    /// The present life of a daemon, from 0 on.
+    /// How often a daemon has been started again.
     #[must_use]
     pub fn of(&self, daemon: DaemonIndex) -> u32 {
         self.0[daemon].load(Ordering::Acquire)
     }
 
-    fn next(&self, daemon: DaemonIndex) {
+    fn count(&self, daemon: DaemonIndex) {
         self.0[daemon].fetch_add(1, Ordering::AcqRel);
     }
 }
 
-/// A fault that was brought about.
+/// A fault that has begun.
 pub struct BegunFault {
-    /// Which.
+    /// The fault.
     pub fault: SoakFault,
-    /// The lives that it struck, in the order of the fault's daemons.
-    struck: Vec<u32>,
+    /// Restarts of each of the fault's daemons before it began, in the order of [`SoakFault::daemons`].
+    restarts_before: Vec<u32>,
 }
 
-/// What has come of ending a fault.
+/// Result of ending a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultEnd {
-    /// It is over.
+    /// The fault is over.
     Ended,
-    /// A daemon that was asked to stop hasn't ended yet.
+    /// The daemon was asked to stop and hasn't ended yet.
     StillStopping,
 }
 
-/// Makes a fault begin. A fault that strikes a process that has ended already does nothing.
+/// Begins a fault. It has no effect on a process that has already ended.
 ///
 /// # Errors
 /// Changed settings can't be written.
 pub fn begin(
     deployment: &mut Deployment,
-    lives: &DaemonLives,
+    restarts: &DaemonRestarts,
     fault: SoakFault,
 ) -> std::io::Result<BegunFault> {
-    let struck = fault.daemons().into_iter().map(|daemon| lives.of(daemon)).collect();
-    strike(deployment, &fault)?;
-    Ok(BegunFault { fault, struck })
+    let restarts_before = fault.daemons().into_iter().map(|daemon| restarts.of(daemon)).collect();
+    inject(deployment, &fault)?;
+    Ok(BegunFault { fault, restarts_before })
 }
 
-/// Asks a daemon to stop, once or once more.
+/// Asks a daemon to stop, for the first time or again.
 pub fn ask_to_stop(deployment: &mut Deployment, daemon: DaemonIndex) {
     signal(deployment, daemon, Signal::TERM);
 }
 
-fn strike(deployment: &mut Deployment, fault: &SoakFault) -> std::io::Result<()> {
+fn inject(deployment: &mut Deployment, fault: &SoakFault) -> std::io::Result<()> {
     match fault {
         SoakFault::Kill { daemons } => {
             daemons.iter().for_each(|&daemon| deployment.daemons[daemon].kill());
@@ -89,66 +94,54 @@
         SoakFault::Delay { daemon, delay_ms } => {
             between(deployment, *daemon, Rule::Delay(Duration::from_millis(*delay_ms)));
         }
-        SoakFault::StoreOut => deployment.platform.set_faults(|faults| faults.store_out = true),
-        SoakFault::StoreSlow { delay_ms } => {
-            deployment.platform.set_faults(|faults| faults.delay = Duration::from_millis(*delay_ms));
-        }
-        SoakFault::StoreThrottled { per_second } => {
-            deployment.platform.set_faults(|faults| faults.rate_limit = Some(*per_second));
-        }
-        SoakFault::StoreLosesAnswers { writes } => {
-            deployment.platform.set_faults(|faults| faults.lose_write_answers = *writes);
-        }
-        SoakFault::MachinesOut => deployment.platform.set_faults(|faults| faults.machines_out = true),
-        SoakFault::ServerSlow { daemon, percent } => {
-            behaviour(deployment, *daemon).slowdown_percent.store(*percent, Ordering::Relaxed);
-        }
-        SoakFault::ServerFails { daemon } => {
-            behaviour(deployment, *daemon).failing.store(true, Ordering::Relaxed);
-        }
-        SoakFault::ServerCuts { daemon } => {
-            behaviour(deployment, *daemon).cuts_answers.store(true, Ordering::Relaxed);
-        }
-        SoakFault::ServerForges { daemon } => {
-            behaviour(deployment, *daemon).forges_outcome.store(true, Ordering::Relaxed);
+        SoakFault::StoreOut
+        | SoakFault::StoreSlow { .. }
+        | SoakFault::StoreThrottled { .. }
+        | SoakFault::StoreLosesAnswers { .. }
+        | SoakFault::MachinesOut => {
+            deployment.platform.set_faults(|faults| set_platform_fault(faults, fault, true));
         }
+        SoakFault::ServerSlow { daemon, .. }
+        | SoakFault::ServerFails { daemon }
+        | SoakFault::ServerCuts { daemon }
+        | SoakFault::ServerForges { daemon } => misbehave(&behaviour(deployment, *daemon), fault),
         SoakFault::ServerCrash { daemon } => deployment.relays().crash(deployment.machines[*daemon].ip),
-        // Submitted or sent by the run itself, which records what became of it.
+        // `steps` submits or sends these and records the outcome.
         SoakFault::Configuration { .. } | SoakFault::DeadlyRequest { .. } => {}
     }
     Ok(())
 }
 
-/// Ends a fault, unless a daemon that was asked to stop is still at it.
+/// Ends a fault, unless a daemon that was asked to stop still runs.
 ///
 /// # Errors
-/// A daemon can't be started again, or told its settings.
+/// A daemon can't be started again, or its settings can't be written.
 pub fn end(
     deployment: &mut Deployment,
-    lives: &DaemonLives,
+    restarts: &DaemonRestarts,
     begun: &BegunFault,
 ) -> std::io::Result<FaultEnd> {
     match &begun.fault {
         SoakFault::PlannedStop { daemon } | SoakFault::HastyStop { daemon, .. }
-            if begun.still_lives(*daemon, lives) && !deployment.daemons[*daemon].has_ended() =>
+            if begun.is_same_incarnation(*daemon, restarts) && !deployment.daemons[*daemon].has_ended() =>
         {
             return Ok(FaultEnd::StillStopping);
         }
         SoakFault::Kill { .. } | SoakFault::PlannedStop { .. } | SoakFault::HastyStop { .. } => {
-            end_by_force(deployment, lives, begun)?;
+            end_by_force(deployment, restarts, begun)?;
         }
         SoakFault::Reload { daemon, .. } => reload(deployment, *daemon, None, 0)?,
         SoakFault::Pause { daemon } => signal(deployment, *daemon, Signal::CONT),
         SoakFault::Cut { daemon, .. } | SoakFault::Reset { daemon } | SoakFault::Delay { daemon, .. } => {
             between(deployment, *daemon, Rule::Pass);
         }
-        SoakFault::StoreOut => deployment.platform.set_faults(|faults| faults.store_out = false),
-        SoakFault::StoreSlow { .. } => deployment.platform.set_faults(|faults| faults.delay = Duration::ZERO),
-        SoakFault::StoreThrottled { .. } => deployment.platform.set_faults(|faults| faults.rate_limit = None),
-        SoakFault::StoreLosesAnswers { .. } => {
-            deployment.platform.set_faults(|faults| faults.lose_write_answers = 0);
+        SoakFault::StoreOut
+        | SoakFault::StoreSlow { .. }
+        | SoakFault::StoreThrottled { .. }
+        | SoakFault::StoreLosesAnswers { .. }
+        | SoakFault::MachinesOut => {
+            deployment.platform.set_faults(|faults| set_platform_fault(faults, &begun.fault, false));
         }
-        SoakFault::MachinesOut => deployment.platform.set_faults(|faults| faults.machines_out = false),
         SoakFault::ServerSlow { daemon, .. }
         | SoakFault::ServerFails { daemon }
         | SoakFault::ServerCuts { daemon }
@@ -159,19 +152,19 @@
     Ok(FaultEnd::Ended)
 }
 
-/// Starts the daemons of a fault anew, also those that haven't ended, but not those that another fault has
-/// started anew meanwhile.
+/// Starts the daemons of a fault again, and kills those that still run first; not those that another fault has started again
+/// in the meantime.
 ///
 /// # Errors
 /// A daemon can't be started again.
 pub fn end_by_force(
     deployment: &mut Deployment,
-    lives: &DaemonLives,
+    restarts: &DaemonRestarts,
     begun: &BegunFault,
 ) -> std::io::Result<()> {
     for daemon in begun.fault.daemons() {
-        if begun.still_lives(daemon, lives) {
-            lives.next(daemon);
+        if begun.is_same_incarnation(daemon, restarts) {
+            restarts.count(daemon);
             deployment.restart(daemon)?;
         }
     }
@@ -179,22 +172,22 @@
 }
 
 impl BegunFault {
-    /// Whether nobody has started the daemon anew since it was struck.
-    fn still_lives(&self, daemon: DaemonIndex, lives: &DaemonLives) -> bool {
-        let place = self.fault.daemons().iter().position(|own| *own == daemon);
-        place.is_some_and(|place| self.struck[place] == lives.of(daemon))
+    /// Whether the daemon has not been started again since the fault began.
+    fn is_same_incarnation(&self, daemon: DaemonIndex, restarts: &DaemonRestarts) -> bool {
+        let position = self.fault.daemons().iter().position(|own| *own == daemon);
+        position.is_some_and(|position| self.restarts_before[position] == restarts.of(daemon))
     }
 }
 
-/// Sends a signal to a daemon, unless it has ended: its number may be another process's by now.
+/// Sends a signal to a daemon, unless it has ended: its process id may belong to another process by now.
 fn signal(deployment: &mut Deployment, daemon: DaemonIndex, signal: Signal) {
     if !deployment.daemons[daemon].has_ended() {
-        // The only error is that there is no such process.
+        // The only error is that the process has just ended.
         let _ = deployment.daemons[daemon].signal(signal);
     }
 }
 
-/// Changes a daemon's settings file and has it read again.
+/// Rewrites a daemon's settings file and makes the daemon reload it.
 fn reload(
     deployment: &mut Deployment,
     daemon: DaemonIndex,
@@ -212,10 +205,40 @@
     Ok(())
 }
 
+/// Begins or ends a fault of the platform.
+fn set_platform_fault(faults: &mut PlatformFaults, fault: &SoakFault, active: bool) {
+    match fault {
+        SoakFault::StoreOut => faults.store_out = active,
+        SoakFault::StoreSlow { delay_ms } => {
+            faults.delay = if active { Duration::from_millis(*delay_ms) } else { Duration::ZERO };
+        }
+        SoakFault::StoreThrottled { per_second } => faults.rate_limit = active.then_some(*per_second),
+        SoakFault::StoreLosesAnswers { writes } => {
+            faults.lose_write_answers = if active { *writes } else { 0 }
+        }
+        SoakFault::MachinesOut => faults.machines_out = active,
+        other => unreachable!("{other:?} is no fault of the platform"),
+    }
+}
+
+/// Begins a fault of a back end.
+fn misbehave(behaviour: &Behaviour, fault: &SoakFault) {
+    match fault {
+        SoakFault::ServerSlow { percent, .. } => {
+            behaviour.slowdown_percent.store(*percent, Ordering::Relaxed);
+        }
+        SoakFault::ServerFails { .. } => behaviour.failing.store(true, Ordering::Relaxed),
+        SoakFault::ServerCuts { .. } => behaviour.cuts_answers.store(true, Ordering::Relaxed),
+        SoakFault::ServerForges { .. } => behaviour.forges_outcome.store(true, Ordering::Relaxed),
+        other => unreachable!("{other:?} is no fault of a back end"),
+    }
+}
+
 fn behaviour(deployment: &Deployment, daemon: DaemonIndex) -> Arc<Behaviour> {
     deployment.backends.behaviour(&deployment.machines[daemon])
 }
 
+/// Ends all faults of a back end, also those of another fault that overlaps.
 fn restore(behaviour: &Behaviour) {
     behaviour.slowdown_percent.store(USUAL_PERCENT, Ordering::Relaxed);
     behaviour.failing.store(false, Ordering::Relaxed);
@@ -223,12 +246,14 @@
     behaviour.forges_outcome.store(false, Ordering::Relaxed);
 }
 
+/// Address of a daemon's machine and those of all the others.
 fn others(deployment: &Deployment, daemon: DaemonIndex) -> (Ipv4Addr, Vec<Ipv4Addr>) {
     let own = deployment.machines[daemon].ip;
     let others = deployment.machines.iter().map(|machine| machine.ip).filter(|ip| *ip != own);
     (own, others.collect())
 }
 
+/// Sets the rule for both directions between a daemon and all the others.
 fn between(deployment: &Deployment, daemon: DaemonIndex, rule: Rule) {
     let (own, others) = others(deployment, daemon);
     deployment.proxy().set_between(&[own], &others, rule);
--- a/crates/seamhatch-lab/src/soak/load.rs
+++ b/crates/seamhatch-lab/src/soak/load.rs
@@ -1,11 +1,16 @@
-//! The load of a soak: requests at drawn times to drawn daemons, and clients that keep one connection each.
+//! The load of a soak: requests at drawn times to drawn daemons, clients that keep one connection each, and callers that repeat a
+//! request that crashes back ends.
+//!
+//! Times, daemons and kinds are drawn from the plan's seed. Each request and answer is recorded.
 
+use super::fleet::DaemonIndex;
 use super::history::{HistoryEvent, SeenAnswer};
-use super::plan::{DaemonIndex, SoakPlan};
+use super::plan::SoakPlan;
 use super::recorder::Recorder;
-use crate::backends::DEADLY;
+use crate::backends::DEADLY_PATH;
 use crate::client::{Caller, CallerAnswer, CallerRequest};
 use crate::connection::CallerConnection;
+use crate::load::{draw_kind, exponential};
 use crate::topology::{RequestKind, Topology};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -13,20 +18,20 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// Load that could not be sent in time, as this machine was too busy, is left out beyond this.
+/// Requests that are due longer ago than this, as this machine was too busy, are left out. Chosen, not measured.
 const MOST_BACKLOG: Duration = Duration::from_secs(1);
-/// Requests a second of a client that keeps its connection, while it is answered at once.
+/// Requests a second of a client that keeps its connection, as long as it is answered at once. Chosen, not measured.
 const CLIENT_RATE: f64 = 3.0;
-/// Pause of a client whose new connection was refused.
+/// Pause of a client whose new connection was refused. Chosen, not measured.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Name prefix of the requests that crash back ends.
 pub const DEADLY_PREFIX: &str = "deadly-";
-/// Of so many daemons one has a caller who comes again with such a request.
-const INSISTING_EACH: usize = 3;
-/// Between two attempts of a caller, and between the first ones at two daemons.
-const INSISTING_APART: Duration = Duration::from_millis(50);
-/// More daemons than a soak has, to number the copies of a request by daemon and attempt.
+/// Every so many daemons, one has a caller that repeats such a request. Chosen, not measured.
+const DEADLY_CALLER_EACH: usize = 3;
+/// Pause between two attempts of such a caller, and between the first attempts at neighbouring daemons. Chosen, not measured.
+const DEADLY_PAUSE: Duration = Duration::from_millis(50);
+/// More daemons than a soak can have: the copies of a request are numbered by daemon plus this for each attempt.
 const MOST_DAEMONS: usize = 1000;
 
 /// Sends the load of a plan and waits for all answers.
@@ -59,11 +64,11 @@
         tokio::time::sleep_until(at.into()).await;
         at = at.max(Instant::now().checked_sub(MOST_BACKLOG).unwrap_or(at));
         let daemon = rng.random_range(0..ingresses.len());
-        let request =
-            SoakRequest::new(topology, draw_kind(&topology.kinds, &mut rng), format!("soak-{number}"));
+        let kind = &topology.kinds[draw_kind(&topology.kinds, &mut rng)];
+        let request = SoakRequest::new(topology, kind, format!("soak-{number}"));
         tasks.spawn(send(caller.clone(), ingresses[daemon], daemon, request, recorder.clone()));
         number += 1;
-        at += exponential(&mut rng, plan.rate);
+        at += exponential(plan.rate, &mut rng);
         while tasks.try_join_next().is_some() {}
     }
     tasks.join_all().await;
@@ -76,7 +81,7 @@
 }
 
 impl SoakRequest {
-    /// A request of this kind and name.
+    /// A request of this kind with this name.
     #[must_use]
     pub fn new(topology: &Topology, kind: &RequestKind, name: String) -> Self {
         let request = CallerRequest {
@@ -92,7 +97,7 @@
     #[must_use]
     pub fn deadly(topology: &Topology, kind: &RequestKind, number: u64, copy: usize) -> Self {
         let request = Self::new(topology, kind, format!("{DEADLY_PREFIX}{number}-{copy}"));
-        let path = format!("{}{DEADLY}{number}", kind.path);
+        let path = format!("{}{DEADLY_PATH}{number}", kind.path);
         Self { request: CallerRequest { path, key: None, ..request.request }, ..request }
     }
 
@@ -116,27 +121,33 @@
     }
 }
 
-/// Callers that come again at once, each at a daemon of its own, with one request that crashes back ends.
-pub fn insist(deadly: u64, span: Duration, topology: &Topology, ingresses: &[Address], recorder: &Recorder) {
+/// Starts callers, each at a daemon of its own, that repeat one request that crashes back ends for this long.
+pub fn repeat_deadly(
+    deadly: u64,
+    span: Duration,
+    topology: &Topology,
+    ingresses: &[Address],
+    recorder: &Recorder,
+) {
     let Some(kind) = topology.kinds.iter().find(|kind| !kind.keyed).cloned() else { return };
-    for (daemon, ingress) in ingresses.iter().copied().enumerate().step_by(INSISTING_EACH) {
+    for (daemon, ingress) in ingresses.iter().copied().enumerate().step_by(DEADLY_CALLER_EACH) {
         let (kind, topology, recorder) = (kind.clone(), topology.clone(), recorder.clone());
         tokio::spawn(async move {
             let caller = Caller::default();
             let end = Instant::now() + span;
-            tokio::time::sleep(INSISTING_APART * daemon as u32).await;
+            tokio::time::sleep(DEADLY_PAUSE * daemon as u32).await;
             let mut copy = daemon;
             while Instant::now() < end {
                 let request = SoakRequest::deadly(&topology, &kind, deadly, copy);
                 send(caller.clone(), ingress, daemon, request, recorder.clone()).await;
                 copy += MOST_DAEMONS;
-                tokio::time::sleep(INSISTING_APART).await;
+                tokio::time::sleep(DEADLY_PAUSE).await;
             }
         });
     }
 }
 
-/// Sends a request over any connection and records what becomes of it.
+/// Sends a request over any connection and records both it and its answer.
 pub async fn send(
     caller: Caller,
     ingress: Address,
@@ -149,7 +160,7 @@
     request.note_answered(&answer, &recorder);
 }
 
-/// A client that goes on using its connection until the daemon closes it.
+/// A client that uses one connection until the daemon closes it.
 struct KeepingClient {
     number: usize,
     rng: SmallRng,
@@ -163,9 +174,9 @@
         let mut kept = None;
         let mut sent = 0_u64;
         while Instant::now() < end {
-            tokio::time::sleep(exponential(&mut self.rng, CLIENT_RATE)).await;
+            tokio::time::sleep(exponential(CLIENT_RATE, &mut self.rng)).await;
             let Some((daemon, mut connection)) = self.usable(kept.take(), end).await else { return };
-            let kind = draw_kind(&self.topology.kinds, &mut self.rng);
+            let kind = &self.topology.kinds[draw_kind(&self.topology.kinds, &mut self.rng)];
             let request = SoakRequest::new(&self.topology, kind, format!("kept-{}-{sent}", self.number));
             sent += 1;
             request.note_sent(daemon, &self.recorder);
@@ -175,7 +186,7 @@
         }
     }
 
-    /// The connection kept so far, or a new one where that is closed; none when the load ends before.
+    /// The kept connection, or a new one to a drawn daemon if that is closed; none when the load ends first.
     async fn usable(
         &mut self,
         kept: Option<(DaemonIndex, CallerConnection)>,
@@ -198,20 +209,3 @@
         None
     }
 }
-
-fn exponential(rng: &mut SmallRng, per_second: f64) -> Duration {
-    let uniform: f64 = rng.random::<f64>().max(f64::MIN_POSITIVE);
-    Duration::from_secs_f64(-uniform.ln() / per_second)
-}
-
-fn draw_kind<'a>(kinds: &'a [RequestKind], rng: &mut SmallRng) -> &'a RequestKind {
-    let total: f64 = kinds.iter().map(|kind| kind.share).sum();
-    let mut drawn = rng.random::<f64>() * total;
-    for kind in kinds {
-        drawn -= kind.share;
-        if drawn < 0.0 {
-            return kind;
-        }
-    }
-    &kinds[kinds.len() - 1]
-}
--- a/crates/seamhatch-lab/src/soak/steps.rs
+++ b/crates/seamhatch-lab/src/soak/steps.rs
@@ -1,30 +1,34 @@
-//! The steps of a plan, each at its time, whatever the earlier ones are still waiting for.
+//! Runs the steps of a plan, each at its time: a step that has to wait, as for a daemon that stops, is queued again and holds up no
+//! other.
+//!
+//! `runner` calls it beside the load. It records the real beginning and end of each fault, which the checks go by.
 
-use super::faults::{self, BegunFault, DaemonLives, FaultEnd};
+use super::fault::SoakFault;
+use super::fleet::DaemonIndex;
 use super::history::{HistoryEvent, SoakMillis};
+use super::injection::{self, BegunFault, DaemonRestarts, FaultEnd};
 use super::load;
-use super::plan::{DaemonIndex, PlannedFault, SoakFault};
+use super::plan::PlannedFault;
 use super::recorder::Recorder;
 use crate::deployment::Deployment;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// A step of a plan that comes later than this tells of a machine that is too busy, in milliseconds.
+/// A step that comes later than this, in milliseconds, is printed: this machine is too busy for the plan. Chosen, not measured.
 const MOST_LATE_MS: SoakMillis = 1_000;
-/// Pause between two looks at a daemon that hasn't ended yet, in milliseconds.
+/// Pause between two checks whether a daemon has ended, in milliseconds. Chosen, not measured.
 const STOP_POLL_MS: SoakMillis = 20;
-/// Longest wait for a daemon that was asked to stop, in milliseconds from the planned end of the stop on.
+/// Longest wait for a daemon that was asked to stop, in milliseconds from the planned end of the stop. Chosen, not measured.
 const STOP_TIMEOUT_MS: SoakMillis = 60_000;
 
-/// One step.
 enum Step {
     Begin(PlannedFault),
     Again(DaemonIndex),
     End { begun: BegunFault, planned_ms: SoakMillis },
 }
 
-/// The steps to come, in the order of their times.
+/// The steps to come, by their time and then in the order in which they were added.
 #[derive(Default)]
 struct StepQueue {
     steps: BTreeMap<(SoakMillis, usize), Step>,
@@ -42,89 +46,101 @@
     }
 }
 
-/// Brings the faults of a plan about and ends them.
+/// Begins and ends all faults of a plan, and waits for the configurations that were submitted.
 ///
 /// # Errors
-/// A daemon can't be started again, or told to read its settings.
-pub async fn bring_about(
+/// A daemon can't be started again, or its settings can't be written.
+pub async fn run_steps(
     deployment: &mut Deployment,
-    lives: &DaemonLives,
+    restarts: &DaemonRestarts,
     planned: &[PlannedFault],
     recorder: &Recorder,
 ) -> std::io::Result<()> {
-    let mut queue = StepQueue::default();
-    planned.iter().for_each(|fault| queue.add(fault.at_ms, Step::Begin(fault.clone())));
-    let mut submissions = Vec::new();
-    while let Some((at_ms, step)) = queue.next() {
+    let mut runner =
+        StepRunner { deployment, restarts, recorder, queue: StepQueue::default(), submissions: Vec::new() };
+    planned.iter().for_each(|fault| runner.queue.add(fault.at_ms, Step::Begin(fault.clone())));
+    while let Some((at_ms, step)) = runner.queue.next() {
         tokio::time::sleep_until((recorder.start() + Duration::from_millis(at_ms)).into()).await;
-        tell_if_late(at_ms, recorder);
-        match step {
-            Step::Begin(fault) => {
-                submissions.extend(begin(deployment, lives, fault, &mut queue, recorder)?);
-            }
-            Step::Again(daemon) => faults::ask_to_stop(deployment, daemon),
-            Step::End { begun, planned_ms } => {
-                let overdue = recorder.at_ms() > planned_ms + STOP_TIMEOUT_MS;
-                match faults::end(deployment, lives, &begun)? {
-                    FaultEnd::StillStopping if !overdue => {
-                        queue.add(recorder.at_ms() + STOP_POLL_MS, Step::End { begun, planned_ms });
-                    }
-                    FaultEnd::StillStopping => {
-                        println!("killed after {STOP_TIMEOUT_MS} ms, not stopped yet: {:?}", begun.fault);
-                        faults::end_by_force(deployment, lives, &begun)?;
-                        note_end(begun.fault, recorder);
-                    }
-                    FaultEnd::Ended => note_end(begun.fault, recorder),
-                }
-            }
-        }
+        print_if_late(at_ms, recorder);
+        runner.run(step)?;
     }
-    for submission in submissions {
+    for submission in runner.submissions {
         submission.await.map_err(std::io::Error::other)?;
     }
     Ok(())
 }
 
-/// Makes a fault begin and plans its further steps. Gives the submission to wait for, if it is one.
-fn begin(
-    deployment: &mut Deployment,
-    lives: &DaemonLives,
-    planned: PlannedFault,
-    queue: &mut StepQueue,
-    recorder: &Recorder,
-) -> std::io::Result<Option<JoinHandle<()>>> {
-    let planned_ms = planned.end_ms();
-    let PlannedFault { at_ms, for_ms, fault } = planned;
-    recorder.note(HistoryEvent::FaultBegins { at_ms: recorder.at_ms(), fault: fault.clone() });
-    if let SoakFault::HastyStop { daemon, again_ms } = fault {
-        queue.add(at_ms + again_ms, Step::Again(daemon));
+/// What the steps of a plan act on.
+struct StepRunner<'a> {
+    deployment: &'a mut Deployment,
+    restarts: &'a DaemonRestarts,
+    recorder: &'a Recorder,
+    queue: StepQueue,
+    /// Configurations that are being submitted.
+    submissions: Vec<JoinHandle<()>>,
+}
+
+impl StepRunner<'_> {
+    fn run(&mut self, step: Step) -> std::io::Result<()> {
+        match step {
+            Step::Begin(planned) => self.begin(planned),
+            Step::Again(daemon) => {
+                injection::ask_to_stop(self.deployment, daemon);
+                Ok(())
+            }
+            Step::End { begun, planned_ms } => self.end(begun, planned_ms),
+        }
     }
-    let submission = match fault {
-        SoakFault::Configuration { daemon } => Some(submit(deployment, daemon, recorder)),
-        _ => None,
-    };
-    if let SoakFault::DeadlyRequest { number } = fault {
-        let span = Duration::from_millis(for_ms);
-        load::insist(number, span, &deployment.topology, &deployment.ingresses(), recorder);
+
+    /// Begins a fault and queues its further steps.
+    fn begin(&mut self, planned: PlannedFault) -> std::io::Result<()> {
+        let planned_ms = planned.end_ms();
+        let PlannedFault { at_ms, for_ms, fault } = planned;
+        let begins = HistoryEvent::FaultBegins { at_ms: self.recorder.at_ms(), fault: fault.clone() };
+        self.recorder.note(begins);
+        match fault {
+            SoakFault::HastyStop { daemon, again_ms } => {
+                self.queue.add(at_ms + again_ms, Step::Again(daemon));
+            }
+            SoakFault::Configuration { daemon } => {
+                self.submissions.push(submit(self.deployment, daemon, self.recorder));
+            }
+            SoakFault::DeadlyRequest { number } => {
+                let (topology, ingresses) = (&self.deployment.topology, self.deployment.ingresses());
+                let span = Duration::from_millis(for_ms);
+                load::repeat_deadly(number, span, topology, &ingresses, self.recorder);
+            }
+            _ => {}
+        }
+        let begun = injection::begin(self.deployment, self.restarts, fault)?;
+        self.queue.add(planned_ms, Step::End { begun, planned_ms });
+        Ok(())
     }
-    let begun = faults::begin(deployment, lives, fault)?;
-    queue.add(planned_ms, Step::End { begun, planned_ms });
-    Ok(submission)
-}
 
-fn note_end(fault: SoakFault, recorder: &Recorder) {
-    recorder.note(HistoryEvent::FaultEnds { at_ms: recorder.at_ms(), fault });
+    /// Ends a fault, or looks again later while its daemon still stops; one that takes too long is killed.
+    fn end(&mut self, begun: BegunFault, planned_ms: SoakMillis) -> std::io::Result<()> {
+        if injection::end(self.deployment, self.restarts, &begun)? == FaultEnd::StillStopping {
+            if self.recorder.at_ms() <= planned_ms + STOP_TIMEOUT_MS {
+                self.queue.add(self.recorder.at_ms() + STOP_POLL_MS, Step::End { begun, planned_ms });
+                return Ok(());
+            }
+            println!("killed after {STOP_TIMEOUT_MS} ms, not stopped yet: {:?}", begun.fault);
+            injection::end_by_force(self.deployment, self.restarts, &begun)?;
+        }
+        self.recorder.note(HistoryEvent::FaultEnds { at_ms: self.recorder.at_ms(), fault: begun.fault });
+        Ok(())
+    }
 }
 
-fn tell_if_late(at_ms: SoakMillis, recorder: &Recorder) {
+fn print_if_late(at_ms: SoakMillis, recorder: &Recorder) {
     let late_ms = recorder.at_ms().saturating_sub(at_ms);
     if late_ms > MOST_LATE_MS {
         println!("this machine is too busy for the plan: the step of {at_ms} ms came {late_ms} ms late");
     }
 }
 
-/// Submits the configuration once more, under another number, beside whatever else happens. What the client
-/// can't tell isn't noted.
+/// Submits the last configuration once more, as a new generation, without waiting for it. Recorded only when the client says
+/// that it was accepted: otherwise nothing is promised.
 pub fn submit(deployment: &Deployment, daemon: DaemonIndex, recorder: &Recorder) -> JoinHandle<()> {
     let mut submission = deployment.submission(daemon, &["--json"]);
     let recorder = recorder.clone();
--- a/crates/seamhatch-lab/tests/soak.rs
+++ b/crates/seamhatch-lab/tests/soak.rs
@@ -1,11 +1,11 @@
-//! The soak's plans and checks; no processes are started but in the last test.
+//! The soak's plans and checks, and four tests that run soaks with real processes.
 
 use seamhatch_lab::soak::checks::{PROBE_PREFIX, Promise, RETRY_TOKENS, check};
+use seamhatch_lab::soak::fault::{CutWay, ReloadLevel, SoakFault};
+use seamhatch_lab::soak::fleet::{SERVERS, SoakFleet};
 use seamhatch_lab::soak::history::{HistoryEvent, SeenAnswer, from_lines, to_lines};
 use seamhatch_lab::soak::no_server::NO_SERVER_BOUND_MS;
-use seamhatch_lab::soak::plan::{
-    CutWay, PlanError, PlannedFault, ReloadLevel, SERVERS, SoakFault, SoakFleet, SoakPlan,
-};
+use seamhatch_lab::soak::plan::{PlannedFault, SoakPlan, SoakPlanError};
 use std::io::Write;
 use std::process::{Command, Stdio};
 
@@ -45,8 +45,8 @@
     }
 }
 
-fn status(at_ms: u64, daemon: usize, life: u32, generation: u64) -> HistoryEvent {
-    HistoryEvent::Status { at_ms, daemon, life, generation }
+fn status(at_ms: u64, daemon: usize, restarts: u32, generation: u64) -> HistoryEvent {
+    HistoryEvent::Status { at_ms, daemon, restarts, generation }
 }
 
 fn begins(at_ms: u64, fault: SoakFault) -> HistoryEvent {
@@ -112,7 +112,7 @@
     ]
 }
 
-/// A request that is sent into a stop while this goes on beside.
+/// A request that is sent during a stop, with another fault beside it.
 fn stop_beside(fault: SoakFault, answer: SeenAnswer) -> Vec<HistoryEvent> {
     at_stop(11_000, answer, vec![begins(10_500, fault.clone()), ends(10_900, fault)])
 }
@@ -239,7 +239,7 @@
             cut_at_stop(11_000, vec![begins(10_500, kill.clone()), ends(10_900, kill)]),
         ),
         kept(
-            "forward, and anew in another life",
+            "forward, and again after a restart",
             vec![status(1, 0, 0, 3), status(2, 0, 1, 2), status(3, 0, 1, 3)],
         ),
         broken("backward", Promise::ConfigurationForward, vec![status(1, 0, 0, 3), status(2, 0, 0, 2)]),
@@ -270,7 +270,7 @@
 }
 
 fn deadly_runs(count: usize) -> Vec<HistoryEvent> {
-    // Each copy is a request of its own.
+    // Each copy has a name of its own.
     (0..count).map(|copy| executed(&format!("deadly-1-{copy}"), "GET /claims/deadly-1", "")).collect()
 }
 
@@ -306,10 +306,10 @@
     assert_ne!(SoakPlan::draw(1, 60, FLEET), SoakPlan::draw(2, 60, FLEET));
 }
 
-/// A plan that can't be used, and what its error says.
+/// A plan that can't be used, and the error that names the reason.
 struct PlanCase {
     plan: SoakPlan,
-    is: fn(&PlanError) -> bool,
+    is: fn(&SoakPlanError) -> bool,
 }
 
 #[test]
@@ -325,11 +325,11 @@
     let cases = [
         PlanCase {
             plan: with(1_000, SoakFault::Kill { daemons: vec![0, DAEMONS] }),
-            is: |error| matches!(error, PlanError::Daemon { number: 1, daemon: DAEMONS, last: 7 }),
+            is: |error| matches!(error, SoakPlanError::Daemon { number: 1, daemon: DAEMONS, last: 7 }),
         },
         PlanCase {
             plan: with(9_500, SoakFault::StoreOut),
-            is: |error| matches!(error, PlanError::Late { number: 1, end_ms: 10_500, load_ms: 10_000 }),
+            is: |error| matches!(error, SoakPlanError::Late { number: 1, end_ms: 10_500, load_ms: 10_000 }),
         },
     ];
     for case in cases {
@@ -340,8 +340,11 @@
     }
     let mut file = tempfile::NamedTempFile::new().expect("a file");
     file.write_all(b"seed = 1\nfault = 3\n").expect("is written");
-    assert!(matches!(SoakPlan::read(file.path(), FLEET.services), Err(PlanError::Form { .. })));
-    assert!(matches!(SoakPlan::read("no/such/file".as_ref(), FLEET.services), Err(PlanError::Read { .. })));
+    assert!(matches!(SoakPlan::read(file.path(), FLEET.services), Err(SoakPlanError::Form { .. })));
+    assert!(matches!(
+        SoakPlan::read("no/such/file".as_ref(), FLEET.services),
+        Err(SoakPlanError::Read { .. })
+    ));
 }
 
 /// Arguments, the exit code, and how many plans are printed.
@@ -361,6 +364,7 @@
         ArgumentCase { arguments: &["--daemons", "84"], code: 2, plans: 0 },
         ArgumentCase { arguments: &["--daemons", "0"], code: 2, plans: 0 },
         ArgumentCase { arguments: &["--seeds", "many"], code: 2, plans: 0 },
+        ArgumentCase { arguments: &["--seed", "9223372036854775808"], code: 2, plans: 0 },
     ];
     for case in cases {
         let mut command = Command::new(env!("CARGO_BIN_EXE_seamhatch-lab"));
@@ -372,8 +376,7 @@
     }
 }
 
-/// The whole path, short: processes, faults of each group, checks. Its verdict depends on promises alone, not
-/// on how much was served.
+/// A short soak with faults of each group. Only broken promises fail it, not how much was served.
 #[test]
 fn a_short_soak_of_real_processes_keeps_all_promises() {
     soak_keeps_all_promises(&SoakPlan {
@@ -392,8 +395,8 @@
     });
 }
 
-/// Stops, signals and submissions that overlap, also of all daemons of one service. No two daemons are lost
-/// at once without a stop or a store: shards that have lost two witnesses wait for two minutes by design.
+/// Stops, signals and submissions that overlap, also of all daemons of one service. No two daemons are lost at once without a planned
+/// stop and a working store, as shards that have lost two witnesses wait for two minutes by design.
 #[test]
 fn stops_and_changes_that_overlap_keep_all_promises() {
     let stop = |daemon| SoakFault::PlannedStop { daemon };
@@ -426,7 +429,7 @@
     });
 }
 
-/// Back ends that crash, and a request that crashes each that runs it, beside the restart of a daemon and a store that is out.
+/// Back ends that crash, and a request that crashes each that runs it, beside a daemon that restarts and an outage of the store.
 #[test]
 fn crashes_and_a_request_that_causes_them_keep_all_promises() {
     soak_keeps_all_promises(&SoakPlan {
@@ -446,7 +449,7 @@
     });
 }
 
-/// Plans of soaks that once failed; why stands in each file.
+/// Plans of soaks that once failed; each file says why.
 #[test]
 fn plans_that_once_failed_are_kept() {
     let directory = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/soak");
