--- a/crates/seamhatch/src/arguments/command.rs
+++ b/crates/seamhatch/src/arguments/command.rs
@@ -6,7 +6,7 @@
 
 /// What the command line asks for.
 #[derive(Debug)]
-pub enum Invocation {
+pub enum CommandLine {
     /// Print a help text.
     Help(&'static str),
     /// Print the version.
@@ -25,12 +25,12 @@
     /// Longest time.
     pub timeout: Duration,
     /// What to do.
-    pub action: Action,
+    pub subcommand: Subcommand,
 }
 
 /// What to do.
 #[derive(Debug)]
-pub enum Action {
+pub enum Subcommand {
     /// Check a file.
     Check {
         /// The file, `-` for standard input.
--- a/crates/seamhatch/src/arguments/mod.rs
+++ b/crates/seamhatch/src/arguments/mod.rs
@@ -3,7 +3,7 @@
 mod command;
 mod help;
 
-pub use command::{Action, Command, ExplainOptions, Invocation, SubmitOptions, TraceOptions};
+pub use command::{Command, CommandLine, ExplainOptions, Subcommand, SubmitOptions, TraceOptions};
 pub use help::HELP;
 
 use crate::error::CliError;
@@ -18,10 +18,10 @@
 ///
 /// # Errors
 /// [`CliError::Usage`].
-pub fn parse(arguments: Vec<OsString>) -> Result<Invocation, CliError> {
+pub fn parse(arguments: Vec<OsString>) -> Result<CommandLine, CliError> {
     let mut arguments = Arguments::from_vec(arguments);
     if arguments.contains(["-V", "--version"]) {
-        return Ok(Invocation::Version);
+        return Ok(CommandLine::Version);
     }
     let help = arguments.contains(["-h", "--help"]);
     let json = arguments.contains("--json");
@@ -29,31 +29,32 @@
     let timeout = value::<u64>(&mut arguments, "--timeout")?.unwrap_or(30);
     let name = arguments.subcommand().map_err(usage)?;
     let Some(name) = name else {
-        return if help { Ok(Invocation::Help(HELP)) } else { Err(usage("no command is given")) };
+        return if help { Ok(CommandLine::Help(HELP)) } else { Err(usage("no command is given")) };
     };
     if help {
         let text = help::of_command(&name).ok_or_else(|| unknown_command(&name))?;
-        return Ok(Invocation::Help(text));
+        return Ok(CommandLine::Help(text));
     }
-    let action = action(&name, &mut arguments)?;
+    let subcommand = subcommand(&name, &mut arguments)?;
     if let Some(unknown) = arguments.finish().first() {
         return Err(usage(format!("unknown argument {:?}", unknown.to_string_lossy())));
     }
-    Ok(Invocation::Run(Command { daemons, json, timeout: Duration::from_secs(timeout), action }))
+    Ok(CommandLine::Run(Command { daemons, json, timeout: Duration::from_secs(timeout), subcommand }))
 }
 
-fn action(name: &str, arguments: &mut Arguments) -> Result<Action, CliError> {
+fn subcommand(name: &str, arguments: &mut Arguments) -> Result<Subcommand, CliError> {
     match name {
-        "check" => Ok(Action::Check { file: file(arguments)? }),
-        "submit" => submit(arguments).map(Action::Submit),
-        "status" => Ok(Action::Status),
-        "history" => Ok(Action::History),
-        "explain" => explain(arguments).map(Action::Explain),
-        "drain" => {
-            Ok(Action::Drain { member: value(arguments, "--member")?, wait: arguments.contains("--wait") })
-        }
+        "check" => Ok(Subcommand::Check { file: file(arguments)? }),
+        "submit" => submit(arguments).map(Subcommand::Submit),
+        "status" => Ok(Subcommand::Status),
+        "history" => Ok(Subcommand::History),
+        "explain" => explain(arguments).map(Subcommand::Explain),
+        "drain" => Ok(Subcommand::Drain {
+            member: value(arguments, "--member")?,
+            wait: arguments.contains("--wait"),
+        }),
         "crashes" => crashes(arguments),
-        "trace" => trace(arguments).map(Action::Trace),
+        "trace" => trace(arguments).map(Subcommand::Trace),
         _ => Err(unknown_command(name)),
     }
 }
@@ -67,14 +68,14 @@
     Ok(TraceOptions { request, files })
 }
 
-fn crashes(arguments: &mut Arguments) -> Result<Action, CliError> {
+fn crashes(arguments: &mut Arguments) -> Result<Subcommand, CliError> {
     let words: Vec<String> =
         std::iter::from_fn(|| arguments.opt_free_from_str().ok().flatten()).take(2).collect();
     match words.iter().map(String::as_str).collect::<Vec<_>>()[..] {
-        [] => Ok(Action::Crashes),
+        [] => Ok(Subcommand::Crashes),
         ["clear", digest] => {
             let wrong = |_| usage(format!("{digest:?} is not a digest as `seamhatch crashes` shows it"));
-            digest.parse().map(|digest| Action::ClearSuspect { digest }).map_err(wrong)
+            digest.parse().map(|digest| Subcommand::ClearSuspect { digest }).map_err(wrong)
         }
         _ => Err(usage("crashes takes nothing, or `clear DIGEST`")),
     }
--- a/crates/seamhatch/src/commands.rs
+++ b/crates/seamhatch/src/commands.rs
@@ -1,6 +1,6 @@
 //! The commands.
 
-use crate::arguments::{Action, Command, ExplainOptions, SubmitOptions};
+use crate::arguments::{Command, ExplainOptions, Subcommand, SubmitOptions};
 use crate::client::{AdminClient, Failure, Problem, Reply};
 use crate::error::CliError;
 use crate::output;
@@ -60,34 +60,34 @@
 /// # Errors
 /// [`CliError`].
 pub async fn run(command: Command) -> Result<String, CliError> {
-    let Command { daemons, json, timeout, action } = command;
+    let Command { daemons, json, timeout, subcommand } = command;
     let deadline = Instant::now() + timeout;
-    match action {
-        Action::Check { file } => check(&file),
-        Action::Submit(options) => submit(daemons, json, deadline, options).await,
-        Action::Status => {
+    match subcommand {
+        Subcommand::Check { file } => check(&file),
+        Subcommand::Submit(options) => submit(daemons, json, deadline, options).await,
+        Subcommand::Status => {
             let report: StatusReport = AdminClient::new(daemons)?.get("/v1/status").await?;
             Ok(output::show(json, &report, output::status))
         }
-        Action::History => {
+        Subcommand::History => {
             let stored: StoredConfiguration = AdminClient::new(daemons)?.get("/v1/configuration").await?;
             Ok(output::show(json, &stored.recent, |recent| output::history(recent)))
         }
-        Action::Crashes => {
+        Subcommand::Crashes => {
             let report: CrashReport = AdminClient::new(daemons)?.get("/v1/crashes").await?;
             Ok(output::show(json, &report, output::crashes))
         }
-        Action::ClearSuspect { digest } => {
+        Subcommand::ClearSuspect { digest } => {
             let body = serde_json::json!({ "digest": digest.to_string() });
             let _: serde_json::Value = AdminClient::new(daemons)?.post("/v1/crashes/clear", &body).await?;
             Ok(format!("{digest} is cleared; all daemons learn it within a second\n"))
         }
-        Action::Explain(options) => explain(daemons, json, options).await,
-        Action::Trace(options) => {
+        Subcommand::Explain(options) => explain(daemons, json, options).await,
+        Subcommand::Trace(options) => {
             let found = trace::trace(&options)?;
             Ok(output::show(json, &found, trace::to_text))
         }
-        Action::Drain { member, wait } => drain(daemons, deadline, member, wait).await,
+        Subcommand::Drain { member, wait } => drain(daemons, deadline, member, wait).await,
     }
 }
 
--- a/crates/seamhatch/src/lib.rs
+++ b/crates/seamhatch/src/lib.rs
@@ -11,7 +11,7 @@
 pub use arguments::HELP;
 pub use error::CliError;
 
-use arguments::Invocation;
+use arguments::CommandLine;
 use std::ffi::OsString;
 use std::process::ExitCode;
 
@@ -30,11 +30,11 @@
 }
 
 fn execute(arguments: Vec<OsString>) -> Result<String, CliError> {
-    let invocation = arguments::parse(arguments)?;
-    let command = match invocation {
-        Invocation::Help(text) => return Ok(text.to_owned()),
-        Invocation::Version => return Ok(format!("seamhatch {}\n", env!("CARGO_PKG_VERSION"))),
-        Invocation::Run(command) => command,
+    let command_line = arguments::parse(arguments)?;
+    let command = match command_line {
+        CommandLine::Help(text) => return Ok(text.to_owned()),
+        CommandLine::Version => return Ok(format!("seamhatch {}\n", env!("CARGO_PKG_VERSION"))),
+        CommandLine::Run(command) => command,
     };
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
