--- a/crates/seamhatch-model/src/configuration/daemons.rs
+++ b/crates/seamhatch-model/src/configuration/daemons.rs
@@ -33,29 +33,29 @@
     }
 
     fn registration_steps(&self, state: &ConfigurationState, index: usize, steps: &mut Steps) {
-        let Some(candidate) = &state.daemons[index].candidate else { return };
+        let Some(pending) = &state.daemons[index].pending else { return };
         for witness in 0..DAEMONS {
-            if candidate.holders[witness] || !state.daemons[witness].witness {
+            if pending.holders[witness] || !state.daemons[witness].witness {
                 continue;
             }
-            Step::add(steps, state, action("candidate is held at", index, witness), |next| {
-                let document = candidate.document.clone();
+            Step::add(steps, state, action("pending document is held at", index, witness), |next| {
+                let document = pending.document.clone();
                 if is_newer(&next.daemons[witness].held, &document) {
                     next.daemons[witness].held = document;
                 }
                 // One that holds a contradicting document does not count.
-                let agrees = next.daemons[witness].held.starts_with(&candidate.document);
-                if let Some(candidate) = &mut next.daemons[index].candidate {
-                    candidate.holders[witness] = agrees;
+                let agrees = next.daemons[witness].held.starts_with(&pending.document);
+                if let Some(pending) = &mut next.daemons[index].pending {
+                    pending.holders[witness] = agrees;
                 }
             });
         }
-        let holders = candidate.holders.iter().filter(|holds| **holds).count();
+        let holders = pending.holders.iter().filter(|holds| **holds).count();
         if holders >= MAJORITY || self.fault == ConfigurationFault::NoRegistration {
-            Step::add(steps, state, action("candidate is in force", index, 0), |next| {
-                let Some(candidate) = next.daemons[index].candidate.take() else { return };
-                if is_newer(&next.daemons[index].in_force, &candidate.document) {
-                    next.daemons[index].adopt(candidate.document);
+            Step::add(steps, state, action("pending document is in force", index, 0), |next| {
+                let Some(pending) = next.daemons[index].pending.take() else { return };
+                if is_newer(&next.daemons[index].in_force, &pending.document) {
+                    next.daemons[index].adopt(pending.document);
                 }
             });
         }
@@ -82,7 +82,7 @@
         let answers = daemon.asked.iter().filter(|asked| **asked).count();
         let enough =
             answers >= MAJORITY || (answers > 0 && self.fault == ConfigurationFault::ReadyFromOneWitness);
-        if enough && daemon.candidate.is_none() && !daemon.in_force.is_empty() {
+        if enough && daemon.pending.is_none() && !daemon.in_force.is_empty() {
             Step::add(steps, state, action("daemon is ready", index, 0), |next| {
                 next.daemons[index].ready = true;
                 next.daemons[index].note();
--- a/crates/seamhatch-model/src/configuration/mod.rs
+++ b/crates/seamhatch-model/src/configuration/mod.rs
@@ -62,7 +62,7 @@
             held: first.clone(),
             witness: true,
             ready: true,
-            candidate: None,
+            pending: None,
             asked: [false; DAEMONS],
             highest: 1,
             reverted: false,
--- a/crates/seamhatch-model/src/configuration/state.rs
+++ b/crates/seamhatch-model/src/configuration/state.rs
@@ -39,7 +39,7 @@
 
 /// A document on its way to being in force at a daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
-pub(super) struct Candidate {
+pub(super) struct PendingDocument {
     pub(super) document: History,
     pub(super) holders: [bool; DAEMONS],
 }
@@ -50,7 +50,7 @@
     pub(super) held: History,
     pub(super) witness: bool,
     pub(super) ready: bool,
-    pub(super) candidate: Option<Candidate>,
+    pub(super) pending: Option<PendingDocument>,
     /// Witnesses that answered at the start.
     pub(super) asked: [bool; DAEMONS],
     /// The highest generation that was in force here, over all lives.
@@ -120,10 +120,10 @@
     /// A daemon starts to bring a document into force, or goes on with a newer one.
     pub(super) fn propose(&mut self, daemon: usize, document: History) {
         let daemon = &mut self.daemons[daemon];
-        let candidate = daemon.candidate.as_ref().map(|candidate| candidate.document.clone());
-        let known = candidate.unwrap_or_else(|| daemon.in_force.clone());
+        let pending = daemon.pending.as_ref().map(|pending| pending.document.clone());
+        let known = pending.unwrap_or_else(|| daemon.in_force.clone());
         if is_newer(&known, &document) {
-            daemon.candidate = Some(Candidate { document, holders: [false; DAEMONS] });
+            daemon.pending = Some(PendingDocument { document, holders: [false; DAEMONS] });
         }
     }
 }
@@ -139,7 +139,7 @@
         self.held = Vec::new();
         self.witness = false;
         self.ready = false;
-        self.candidate = None;
+        self.pending = None;
         self.asked = [false; DAEMONS];
     }
 
