--- a/deploy/policy.rhai
+++ b/deploy/policy.rhai
@@ -1,4 +1,5 @@
-// The policy of the deployment. Operators may change it; see docs/OPERATIONS.md.
+// The policy of this deployment: a decision of its operators, who may change it (docs/OPERATIONS.md). Which kinds of routes
+// may be repeated is decided in platform/src/operator.rs.
 // It reads the route alone, so each route is decided once per configuration.
 fn classify(request) {
     switch request.route.rank {
