--- a/crates/seamhatch/src/trace/mod.rs
+++ b/crates/seamhatch/src/trace/mod.rs
@@ -2,6 +2,7 @@
 
 mod cause;
 mod log;
+mod meaning;
 
 use crate::arguments::TraceOptions;
 use crate::error::CliError;
@@ -13,7 +14,9 @@
 
 /// Between the name of a request and what names the call that it causes.
 const CALL_SEPARATOR: char = '.';
-/// Lines without this tell of no request.
+/// Event of the daemon beside a server: a call was not run, or not to its end.
+const CALL_REFUSED: &str = "call refused";
+/// Lines without this are about no request.
 const REQUEST_KEY: &str = "\"request\"";
 
 /// What the logs tell of a request.
@@ -40,6 +43,22 @@
     pub fields: Map<String, Value>,
 }
 
+impl TraceLine {
+    /// A field as text; "unknown" where the line does not have it.
+    fn shown(&self, key: &str) -> String {
+        match self.fields.get(key) {
+            Some(Value::String(text)) => text.clone(),
+            Some(value) => value.to_string(),
+            None => "unknown".into(),
+        }
+    }
+
+    /// A field that is a number; 0 where the line does not have it.
+    fn number(&self, key: &str) -> u64 {
+        self.fields.get(key).and_then(Value::as_u64).unwrap_or_default()
+    }
+}
+
 /// Reads logs and keeps what tells of a request, in order of time.
 ///
 /// # Errors
