--- a/crates/seamhatch-policy/src/configuration.rs
+++ b/crates/seamhatch-policy/src/configuration.rs
@@ -1,4 +1,9 @@
-//! A checked configuration in the form that a daemon decides with.
+//! A checked configuration in the form that a daemon decides with: routes by host and prefix, the compiled policy,
+//! tenants and limits.
+//!
+//! It is made once per generation ([`Configuration::compile`], [`Configuration::from_document`]) and never changed,
+//! so that one configuration decides a whole request. Where the policy reads nothing but the route and the tenant's
+//! rank, its decisions are made here, ahead of the requests.
 
 use crate::document::{
     CrashSettings, Document, LimitSettings, RouteSettings, Sample, ServiceSettings, WeightedService,
@@ -9,7 +14,7 @@
 use crate::tenant::{Tenant, TenantTable};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Paths that every policy is tried on, besides its own samples.
+/// Requests that every policy is tried on, besides the document's samples.
 const BUILT_IN_SAMPLES: [(&str, &str); 2] = [("GET", "/"), ("POST", "/")];
 
 /// A path prefix, where it leads to, and what is decided for its requests.
@@ -120,7 +125,7 @@
         Ok(configuration)
     }
 
-    /// Checks and compiles a document whose policy was tried before.
+    /// Checks and compiles a document, without trying its policy on samples.
     ///
     /// # Errors
     /// The first [`ConfigurationError`] found.
@@ -154,7 +159,7 @@
         &self.limits
     }
 
-    /// What is done with requests that crash servers.
+    /// How requests that crash servers are treated.
     #[must_use]
     pub fn crashes(&self) -> &CrashSettings {
         &self.crashes
--- a/crates/seamhatch-policy/src/document.rs
+++ b/crates/seamhatch-policy/src/document.rs
@@ -1,4 +1,7 @@
-//! The document as operators write it.
+//! The document as operators write it, and the checks that need no run of its policy.
+//!
+//! Each type here is a table of the TOML document; docs/OPERATIONS.md has the same keys. Adapters that read another
+//! form of document build a [`Document`] and call [`Document::check`].
 
 use crate::error::ConfigurationError;
 use crate::host::host_name;
@@ -6,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Largest document, in bytes.
+/// Largest document, in bytes. It has to fit into a frame between daemons. Chosen, not measured.
 const LARGEST_DOCUMENT: usize = 256 * 1024;
 
 /// One configuration as written in TOML.
@@ -29,26 +32,26 @@
     /// Bounds on what a caller may send.
     #[serde(default)]
     pub limits: LimitSettings,
-    /// What is done with requests that crash servers.
+    /// How requests that crash servers are treated.
     #[serde(default)]
     pub crashes: CrashSettings,
 }
 
-/// What is done with requests that crash servers.
+/// How requests that crash servers are treated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CrashSettings {
-    /// Whether such requests are turned away. Crashes are noted all the same.
+    /// Whether such requests are refused. Crashes are recorded all the same.
     pub turn_away: bool,
-    /// Crashes after which a request is turned away, 3 to 16: the third is the first that can happen on a trial.
+    /// Crashes after which a request is refused, 3 to 16: the third is the first that can happen on a trial run.
     pub limit: u32,
-    /// Time before a request that was turned away is tried again, in milliseconds; doubled by each further crash.
+    /// Time before one copy of a refused request is tried again, in milliseconds; doubled by each further crash.
     pub pause_ms: u64,
 }
 
 impl Default for CrashSettings {
     fn default() -> Self {
-        // As `CrashPolicy` of the core: a server away for seconds, once in half a minute, is what a trial costs.
+        // As `CrashPolicy` of the core: a trial run costs a server that is away for seconds, once in half a minute.
         Self { turn_away: true, limit: 3, pause_ms: 30_000 }
     }
 }
@@ -57,7 +60,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSettings {
-    /// Path, query and header fields, in bytes.
+    /// Path, query and header fields together, in bytes.
     pub head_bytes: usize,
     /// Path and query alone, in bytes.
     pub path_bytes: usize,
@@ -71,6 +74,7 @@
 
 impl Default for LimitSettings {
     fn default() -> Self {
+        // Chosen, not measured.
         Self {
             head_bytes: 32 * 1024,
             path_bytes: 8 * 1024,
@@ -97,6 +101,7 @@
 
 impl Default for ServiceSettings {
     fn default() -> Self {
+        // Chosen, not measured.
         Self { queue_per_slot: 4, retry_ratio: 0.1, retry_burst: 10.0, connections: None }
     }
 }
--- a/crates/seamhatch-policy/src/error.rs
+++ b/crates/seamhatch-policy/src/error.rs
@@ -1,17 +1,17 @@
-//! What can be wrong with a configuration, each with its remedy.
+//! What can be wrong with a configuration. Each message names the place and the remedy.
 
 use thiserror::Error;
 
 /// A configuration that can't be accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ConfigurationError {
-    /// It isn't TOML, or a key is unknown, missing or of the wrong type.
+    /// The text isn't TOML, or a key is unknown, missing or of the wrong type.
     #[error("the document can't be read: {detail}; correct the line it names")]
     Syntax {
         /// The parser's message, with the place.
         detail: String,
     },
-    /// It is larger than a daemon takes.
+    /// The document is larger than a daemon accepts.
     #[error("the document has {size} bytes, more than the {limit} allowed; shorten the policy or the routes")]
     TooLarge {
         /// Bytes given.
@@ -39,7 +39,7 @@
         /// The service it names.
         service: String,
     },
-    /// A route leads nowhere, or says so twice.
+    /// A route names no service, or names one in both ways.
     #[error(
         "route {prefix:?} needs either `service` or `weighted` with a weight above 0; write one of the two"
     )]
@@ -59,7 +59,7 @@
         /// The name.
         name: String,
     },
-    /// A key of a tenant isn't one.
+    /// A tenant's key, or the digest of one, is malformed.
     #[error(
         "a key of the tenant {tenant:?} is not 1 to 512 visible characters of ASCII, or the digest of one \
          not 64 hexadecimal digits; correct it"
@@ -74,7 +74,7 @@
         /// The name.
         name: String,
     },
-    /// Two tenants have one key, so that it tells nobody's requests.
+    /// Two tenants have one key, so that it does not identify either.
     #[error("the tenants {first:?} and {second:?} have a key in common; take it away from one of them")]
     SharedKey {
         /// One tenant.
--- a/crates/seamhatch-policy/src/lib.rs
+++ b/crates/seamhatch-policy/src/lib.rs
@@ -1,9 +1,9 @@
-//! The operators' configuration: one TOML document with services, routes,
-//! limits and a short policy program, checked before it is accepted.
+//! The operators' configuration: one TOML document with services, routes, tenants, limits and a short policy
+//! program, checked before it is accepted.
 //!
-//! [`Document::parse`] reads and checks a document, [`Configuration::compile`]
-//! makes from it what a daemon decides with, and [`StoredConfiguration`] is
-//! what lies in the key-value service and travels between daemons.
+//! [`Document::parse`] reads and checks a document, [`Configuration::compile`] makes from it what a daemon decides
+//! with, and [`StoredConfiguration`] is the form in the store and between daemons. The crate keeps no state and does
+//! no input or output. The daemon's controllers compile, its filters decide; the operators' client checks with it.
 
 mod configuration;
 mod document;
--- a/crates/seamhatch-policy/src/program/decision.rs
+++ b/crates/seamhatch-policy/src/program/decision.rs
@@ -10,13 +10,13 @@
 use seamhatch_core::priority::PriorityClass;
 use serde::Serialize;
 
-/// Retries that a policy may allow.
+/// Most retries that a policy may allow one request. Chosen, not measured.
 const MAX_RETRIES: i64 = 100;
-/// Retries without a `retries` function.
+/// Retries without a `retries` function and a route's `dispatches`. Chosen, not measured.
 const DEFAULT_RETRIES: u32 = 2;
-/// Deadline without a `deadline_ms` function.
+/// Deadline without a `deadline_ms` function and a route's time-out. Chosen, not measured.
 pub(super) const DEFAULT_DEADLINE: Microseconds = 10_000 * MILLISECOND;
-/// Longest deadline, in milliseconds.
+/// Longest deadline, in milliseconds: claims are remembered for longer than any request lives.
 const MAX_DEADLINE_MS: i64 = (LONGEST_REQUEST / MILLISECOND) as i64;
 
 /// What the policy decided for a request.
--- a/crates/seamhatch-policy/src/program/script.rs
+++ b/crates/seamhatch-policy/src/program/script.rs
@@ -3,15 +3,15 @@
 use crate::error::ConfigurationError;
 use rhai::{AST, Dynamic, Engine, Map, Scope};
 
-/// Operations of one function run.
+/// Operations of one function run. Chosen, not measured, as are the other limits here.
 const MAX_OPERATIONS: u64 = 20_000;
-/// Nested calls.
+/// Calls of functions within functions.
 const MAX_CALL_LEVELS: usize = 16;
-/// Nesting of expressions.
+/// Expressions within expressions.
 const MAX_EXPRESSION_DEPTH: usize = 48;
-/// Bytes of a string.
+/// Bytes of a string that the program makes or gets.
 const MAX_STRING: usize = 16 * 1024;
-/// Elements of an array or a map.
+/// Elements of an array or a map that the program makes or gets.
 const MAX_ELEMENTS: usize = 512;
 
 pub(super) const CLASSIFY: &str = "classify";
@@ -136,6 +136,7 @@
 
 /// A value as errors show it.
 fn shortened(value: &Dynamic) -> String {
+    /// Characters; more would fill a line of an error. Chosen, not measured.
     const LONGEST: usize = 80;
     let text = format!("{value:?}");
     text.chars().take(LONGEST).collect()
--- a/crates/seamhatch-policy/src/stored.rs
+++ b/crates/seamhatch-policy/src/stored.rs
@@ -1,11 +1,14 @@
-//! The configuration as it lies in the key-value service and travels between daemons.
+//! An accepted configuration in the form of the store and of messages between daemons.
+//!
+//! The field names are stored as JSON and sent as they are ordered: both must stay readable for earlier versions.
 
 use seamhatch_core::generation::{Generation, SubmissionId, Version};
 use seamhatch_core::identity::Fingerprint;
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
 
-/// Submissions that a document remembers, so that a lost answer can be resolved.
+/// Submissions that a stored configuration remembers. A submitter whose answer was lost finds out from them unless so
+/// many others came after its own. Chosen, not measured.
 const REMEMBERED_SUBMISSIONS: usize = 64;
 
 /// One accepted submission.
--- a/crates/seamhatch-policy/src/tenant.rs
+++ b/crates/seamhatch-policy/src/tenant.rs
@@ -1,4 +1,7 @@
-//! Tenants: who may send requests, by which keys, and how many.
+//! Tenants: who may send requests, with which keys, and at which rate.
+//!
+//! [`TenantTable`] is built once per configuration and never changed. Keys are in it as digests only; neither errors
+//! nor `Debug` output show one.
 
 use crate::error::ConfigurationError;
 use serde::{Deserialize, Serialize};
@@ -7,11 +10,11 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Longest name of a tenant, in bytes. It goes into a header field of each of its requests.
+/// Longest name of a tenant, in bytes. It goes into a header field of each of its requests. Chosen, not measured.
 const LONGEST_NAME: usize = 128;
-/// Longest key, in bytes.
+/// Longest key, in bytes. Chosen, not measured.
 const LONGEST_KEY: usize = 512;
-/// Highest rate and burst, in requests a second and requests.
+/// Highest rate and burst, in requests a second and requests: no limit in practice. Chosen, not measured.
 const HIGHEST_RATE: f64 = 1e9;
 
 /// A tenant's key as the document spells it. It is shown nowhere.
@@ -25,8 +28,8 @@
     }
 }
 
-/// SHA-256 of a key. Daemons look keys up by it, so that a look-up takes as long whatever the key is, and the
-/// keys themselves need not be in memory.
+/// SHA-256 of a key. Looking keys up by digest takes the same time whatever the key is, and keeps the keys themselves
+/// out of memory.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyDigest([u8; 32]);
 
@@ -60,7 +63,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TenantSettings {
-    /// Its name, which back ends are told.
+    /// Its name, which back ends see.
     pub name: String,
     /// Keys that it may use.
     pub keys: Vec<ApiKey>,
@@ -165,6 +168,7 @@
         Ok((rate > 0.0).then_some(RateLimit { rate, burst }))
     }
 
+    /// A rate or a burst; 0 where it is left out, which means no limit.
     fn checked_number(&self, field: &str, value: Option<f64>) -> Result<f64, ConfigurationError> {
         let value = value.unwrap_or_default();
         if (0.0..=HIGHEST_RATE).contains(&value) {
