--- a/crates/seamhatch/src/arguments/mod.rs
+++ b/crates/seamhatch/src/arguments/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: what it may say ([`HELP`]), and what it says ([`parse`]).
+//! Reading the command line with `pico-args`: flags of the whole client first, then the subcommand and its own.
 
 mod command;
 mod help;
@@ -14,6 +14,9 @@
 use std::str::FromStr;
 use std::time::Duration;
 
+/// Longest time for a command, in seconds, where `--timeout` does not say. Chosen, not measured.
+const DEFAULT_TIMEOUT_SECONDS: u64 = 30;
+
 /// Reads the command line.
 ///
 /// # Errors
@@ -26,7 +29,7 @@
     let help = arguments.contains(["-h", "--help"]);
     let json = arguments.contains("--json");
     let daemons = daemons(&mut arguments)?;
-    let timeout = value::<u64>(&mut arguments, "--timeout")?.unwrap_or(30);
+    let timeout = value::<u64>(&mut arguments, "--timeout")?.unwrap_or(DEFAULT_TIMEOUT_SECONDS);
     let name = arguments.subcommand().map_err(usage)?;
     let Some(name) = name else {
         return if help { Ok(CommandLine::Help(HELP)) } else { Err(usage("no command is given")) };
@@ -69,6 +72,7 @@
 }
 
 fn crashes(arguments: &mut Arguments) -> Result<Subcommand, CliError> {
+    // A word that isn't text ends the list; it is reported as an unknown argument.
     let words: Vec<String> =
         std::iter::from_fn(|| arguments.opt_free_from_str().ok().flatten()).take(2).collect();
     match words.iter().map(String::as_str).collect::<Vec<_>>()[..] {
--- a/crates/seamhatch/src/client.rs
+++ b/crates/seamhatch/src/client.rs
@@ -1,4 +1,7 @@
-//! HTTP towards the daemons' admin listeners.
+//! HTTP requests to the daemons' admin listeners.
+//!
+//! The first daemon that can be reached is asked. The next one is tried only where nothing was sent, or for a read: a
+//! write whose answer is lost may have been carried out.
 
 use crate::error::CliError;
 use bytes::Bytes;
@@ -9,7 +12,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// What a daemon says when it does not do what is asked.
+/// Why a daemon did not do what it was asked.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Problem {
     /// Machine-readable kind.
@@ -20,7 +23,7 @@
     pub generation: Option<u64>,
 }
 
-/// What came back.
+/// A daemon's answer.
 pub enum Reply<T> {
     /// Done.
     Done(T),
@@ -28,11 +31,11 @@
     Problem(Problem),
 }
 
-/// Why nothing came back.
+/// Why there is no answer.
 pub enum Failure {
-    /// Nothing was sent.
+    /// Nothing was sent to any daemon.
     NotSent(String),
-    /// It may have been carried out.
+    /// The request was sent, so it may have been carried out.
     Lost(String),
 }
 
--- a/crates/seamhatch/src/commands.rs
+++ b/crates/seamhatch/src/commands.rs
@@ -1,4 +1,6 @@
-//! The commands.
+//! The commands: each asks one daemon, except `check` and `trace`, which work on files.
+//!
+//! A submission keeps its id over all attempts, so that repeating it after a lost answer can't submit twice.
 
 use crate::arguments::{Command, ExplainOptions, Subcommand, SubmitOptions};
 use crate::client::{AdminClient, Failure, Problem, Reply};
@@ -17,7 +19,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause between two looks at the deployment while waiting.
+/// Pause between two requests while waiting for the deployment. Chosen, not measured.
 const WAIT_POLL: Duration = Duration::from_millis(200);
 
 /// Body of a submission.
--- a/crates/seamhatch/src/error.rs
+++ b/crates/seamhatch/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong, and the exit code that pipelines branch on.
+//! What can go wrong, and the exit code that pipelines branch on. Each message names the remedy.
 
 use std::path::PathBuf;
 use thiserror::Error;
--- a/crates/seamhatch/src/lib.rs
+++ b/crates/seamhatch/src/lib.rs
@@ -1,5 +1,9 @@
-//! The operators' client of seamhatch: checks, submits and explains policies,
-//! and shows and drains members, through any daemon's admin listener.
+//! The operators' client: checks, submits and explains configurations, shows and drains members, and follows a request
+//! through the logs of daemons.
+//!
+//! `arguments` reads the command line, `commands` carries it out, `client` talks to the admin listener of any daemon,
+//! `output` prints for people. The client keeps no state between two runs. [`CliError`] has the exit codes that
+//! pipelines branch on.
 
 pub mod arguments;
 mod client;
--- a/crates/seamhatch/src/output.rs
+++ b/crates/seamhatch/src/output.rs
@@ -1,4 +1,4 @@
-//! What is printed for people.
+//! Reports of daemons as text for people, or as JSON for tools.
 
 use crate::commands::Explanation;
 use seamhatch_policy::SubmissionRecord;
@@ -12,6 +12,7 @@
     if !json {
         return text(value);
     }
+    // Can't fail: the reports are structs and lists of numbers and strings.
     let mut printed = serde_json::to_string_pretty(value).unwrap_or_default();
     printed.push('\n');
     printed
--- a/crates/seamhatch/src/trace/log.rs
+++ b/crates/seamhatch/src/trace/log.rs
@@ -1,4 +1,4 @@
-//! Logs of daemons, read line by line.
+//! Logs of daemons, read line by line: the logs of a hundred daemons don't fit into memory.
 
 use super::TraceLine;
 use crate::error::CliError;
@@ -7,15 +7,14 @@
 use std::io::{BufRead, BufReader, Read};
 use std::path::{Path, PathBuf};
 
-/// Fields that are shown in their own place.
+/// Fields of a line that [`TraceLine`] has by themselves.
 const SHOWN_APART: [&str; 4] = ["time", "level", "message", "request"];
 
-/// Where lines come from. Each is read more than once, and only what is looked for is taken apart: the logs
-/// of a hundred daemons don't fit into memory.
+/// Where lines come from. Each source is read more than once, and only wanted lines are parsed.
 pub enum LogSource {
     /// A file, named after its daemon.
     File(PathBuf),
-    /// What stood on standard input; the daemon's name stands before each line.
+    /// Standard input, whole; the daemon's name stands before each line.
     Text(String),
 }
 
@@ -34,8 +33,8 @@
         Ok(vec![Self::Text(String::from_utf8_lossy(&text).into_owned())])
     }
 
-    /// The lines whose text `is_wanted`, taken apart. Lines that aren't JSON objects are passed over: a log
-    /// may begin with what a shell has written.
+    /// The lines whose text `is_wanted`, parsed. Lines that aren't JSON objects are skipped: a log may begin with
+    /// the output of a shell.
     ///
     /// # Errors
     /// The file can't be read.
--- a/crates/seamhatch/src/trace/mod.rs
+++ b/crates/seamhatch/src/trace/mod.rs
@@ -1,4 +1,7 @@
-//! A request's path, gathered from the logs of many daemons.
+//! A request's path, gathered from the logs of many daemons (JSON lines).
+//!
+//! [`trace`] keeps the lines of the request and of its calls, and what the daemons on its way logged meanwhile; `cause`
+//! sums it up in a sentence. Event names and keys are those of the daemon's log lines.
 
 mod cause;
 mod log;
@@ -19,7 +22,7 @@
 /// Lines without this are about no request.
 const REQUEST_KEY: &str = "\"request\"";
 
-/// What the logs tell of a request.
+/// What the logs say about a request.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RequestTrace {
     /// One sentence: why it ended as it did.
@@ -28,14 +31,14 @@
     pub lines: Vec<TraceLine>,
 }
 
-/// One line of a log that tells of the request, or of what a daemon on its way came to believe.
+/// One line of a log that is about the request, or about what a daemon on its way found out.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct TraceLine {
     /// Time as the daemon wrote it.
     pub time: String,
     /// Name of the daemon: of its log file, or what stands before the line.
     pub daemon: String,
-    /// The request or call that it tells of; none for what the daemon came to believe.
+    /// The request or call that it is about; none for what the daemon found out.
     pub request: Option<String>,
     /// What happened.
     pub event: String,
@@ -59,17 +62,17 @@
     }
 }
 
-/// Reads logs and keeps what tells of a request, in order of time.
+/// Reads logs and keeps the lines about a request, in order of time.
 ///
 /// # Errors
-/// A file can't be read, or no line tells of the request.
+/// A file can't be read, or no line is about the request.
 pub fn trace(options: &TraceOptions) -> Result<RequestTrace, CliError> {
     let sources = LogSource::open(&options.files)?;
     let request = options.request.as_str();
     let mut lines = Vec::new();
     for source in &sources {
         let named = source.lines(|line| line.contains(request))?;
-        lines.extend(named.into_iter().filter(|line| tells_of(line, request)));
+        lines.extend(named.into_iter().filter(|line| is_about(line, request)));
     }
     if lines.is_empty() {
         let detail = format!(
@@ -77,8 +80,8 @@
         );
         return Err(CliError::Refused { detail });
     }
-    let beliefs = meanwhile(&sources, &lines)?;
-    lines.extend(beliefs);
+    let findings = meanwhile(&sources, &lines)?;
+    lines.extend(findings);
     lines.sort_by(|left, right| left.time.cmp(&right.time));
     Ok(RequestTrace { cause: cause::cause(request, &lines), lines })
 }
@@ -101,13 +104,13 @@
     text
 }
 
-/// Whether a line tells of the request or of a call that it caused.
-fn tells_of(line: &TraceLine, request: &str) -> bool {
+/// Whether a line is about the request or a call that it caused.
+fn is_about(line: &TraceLine, request: &str) -> bool {
     let rest = line.request.as_deref().and_then(|name| name.strip_prefix(request));
     rest.is_some_and(|rest| rest.is_empty() || rest.starts_with(CALL_SEPARATOR))
 }
 
-/// What the daemons on a request's way came to believe while it was under way.
+/// What the daemons on a request's way found out while it was under way.
 fn meanwhile(sources: &[LogSource], own: &[TraceLine]) -> Result<Vec<TraceLine>, CliError> {
     let daemons: BTreeSet<&str> = own.iter().map(|line| line.daemon.as_str()).collect();
     let first = own.iter().map(|line| line.time.as_str()).min().unwrap_or_default();
