--- a/crates/seamhatch-model/src/departures.rs
+++ b/crates/seamhatch-model/src/departures.rs
@@ -4,7 +4,7 @@
 //! Bounds: two instances, one after the other; one daemon that holds departures and is not lost; the
 //! store and the holder answer a starting daemon within its patience.
 
-use crate::search::{Action, Model, SearchResult, Step, action, search};
+use crate::search::{Model, SearchResult, Step, action, search};
 use seamhatch_core::Instant;
 use seamhatch_core::departure::{DepartureInquiry, DepartureRecord, DepartureSource, InquiryVerdict};
 use seamhatch_core::instance::{Heartbeat, InstanceId, InstanceRegistry, InstanceState};
@@ -90,15 +90,6 @@
 
 type Steps = Vec<Step<DeparturesState>>;
 
-fn add(
-    steps: &mut Steps,
-    before: &DeparturesState,
-    action: Action,
-    change: impl FnOnce(&mut DeparturesState),
-) {
-    Step::add(steps, before, action, change);
-}
-
 impl Model for DeparturesModel {
     type State = DeparturesState;
 
@@ -144,17 +135,17 @@
         for instance in 0..INSTANCES {
             match state.phases[instance] {
                 Phase::NotStarted if state.phases[instance - 1] == Phase::Left => {
-                    add(steps, state, action("instance starts", instance, 0), |next| {
+                    Step::add(steps, state, action("instance starts", instance, 0), |next| {
                         next.phases[instance] = Phase::Ready;
                     });
                 }
                 Phase::Ready => {
                     if state.sent[instance] < self.heartbeats {
-                        add(steps, state, action("instance is ready", instance, 0), |next| {
+                        Step::add(steps, state, action("instance is ready", instance, 0), |next| {
                             next.send(instance, InstanceState::Ready);
                         });
                     }
-                    add(steps, state, action("instance leaves", instance, 0), |next| {
+                    Step::add(steps, state, action("instance leaves", instance, 0), |next| {
                         next.phases[instance] = Phase::Left;
                         next.send(instance, InstanceState::Draining);
                     });
@@ -167,10 +158,15 @@
     fn delivery_steps(&self, state: &DeparturesState, steps: &mut Steps) {
         for message in &state.messages {
             let instance = instance_number(&message.instance);
-            add(steps, state, action("heartbeat arrives", instance, message.sequence as usize), |next| {
-                next.messages.remove(message);
-                self.deliver(next, message.clone());
-            });
+            Step::add(
+                steps,
+                state,
+                action("heartbeat arrives", instance, message.sequence as usize),
+                |next| {
+                    next.messages.remove(message);
+                    self.deliver(next, message.clone());
+                },
+            );
         }
     }
 
@@ -190,7 +186,7 @@
 
     fn remember_steps(&self, state: &DeparturesState, steps: &mut Steps) {
         for &instance in &state.daemon.pending {
-            add(steps, state, action("the holder notes instance", instance, 0), |next| {
+            Step::add(steps, state, action("the holder notes instance", instance, 0), |next| {
                 next.held.insert(instance);
                 next.acknowledged[instance] = true;
             });
@@ -200,7 +196,7 @@
             if noted || state.writes.iter().any(in_flight) {
                 continue;
             }
-            add(steps, state, action("the daemon writes instance", instance, 0), |next| {
+            Step::add(steps, state, action("the daemon writes instance", instance, 0), |next| {
                 let write = self.write(next, instance);
                 next.writes.push(write);
             });
@@ -219,10 +215,10 @@
     fn store_steps(&self, state: &DeparturesState, steps: &mut Steps) {
         for index in 0..state.writes.len() {
             let instance = state.writes[index].instance;
-            add(steps, state, action("a write lands for instance", instance, index), |next| {
+            Step::add(steps, state, action("a write lands for instance", instance, index), |next| {
                 next.land(index);
             });
-            add(steps, state, action("a write is lost for instance", instance, index), |next| {
+            Step::add(steps, state, action("a write is lost for instance", instance, index), |next| {
                 next.writes.remove(index);
             });
         }
@@ -230,18 +226,18 @@
 
     fn start_steps(&self, state: &DeparturesState, steps: &mut Steps) {
         if state.daemon.life < self.restarts {
-            add(steps, state, action("the daemon restarts", 0, 0), |next| {
+            Step::add(steps, state, action("the daemon restarts", 0, 0), |next| {
                 next.daemon = DaemonState { life: next.daemon.life + 1, ..DaemonState::default() };
             });
         }
         if state.daemon.settled {
             return;
         }
-        add(steps, state, action("the store tells", 0, 0), |next| {
+        Step::add(steps, state, action("the store tells", 0, 0), |next| {
             let instances = next.record.instances.clone();
             self.tell(next, DepartureSource::Store, &instances);
         });
-        add(steps, state, action("the holder tells", 0, 0), |next| {
+        Step::add(steps, state, action("the holder tells", 0, 0), |next| {
             let instances: Vec<InstanceId> = next.held.iter().map(|held| instance_id(*held)).collect();
             self.tell(next, DepartureSource::Holders, &instances);
         });
--- a/crates/seamhatch-model/src/freshness.rs
+++ b/crates/seamhatch-model/src/freshness.rs
@@ -4,7 +4,7 @@
 //! Bounds: two daemons, few instants, one change of the configuration. Instants are those of one clock: a
 //! translation into another's errs early, which makes a proof older and never younger.
 
-use crate::search::{Action, Model, SearchResult, Step, action, search};
+use crate::search::{Model, SearchResult, Step, action, search};
 use seamhatch_core::Instant;
 use seamhatch_core::freshness::{FreshnessProof, FreshnessTracker};
 use seamhatch_core::generation::Generation;
@@ -73,10 +73,6 @@
 
 type Steps = Vec<Step<FreshnessState>>;
 
-fn add(steps: &mut Steps, before: &FreshnessState, action: Action, change: impl FnOnce(&mut FreshnessState)) {
-    Step::add(steps, before, action, change);
-}
-
 impl Model for FreshnessModel {
     type State = FreshnessState;
 
@@ -92,10 +88,10 @@
     fn steps(&self, state: &FreshnessState) -> Steps {
         let mut steps = Vec::new();
         if state.now < self.instants {
-            add(&mut steps, state, action("time passes", 0, 0), |next| next.now += 1);
+            Step::add(&mut steps, state, action("time passes", 0, 0), |next| next.now += 1);
         }
         if state.accepted.len() < GENERATIONS {
-            add(&mut steps, state, action("a configuration is accepted", 0, 0), |next| {
+            Step::add(&mut steps, state, action("a configuration is accepted", 0, 0), |next| {
                 next.accepted.push(next.now);
             });
         }
@@ -103,11 +99,11 @@
             self.daemon_steps(state, daemon, &mut steps);
         }
         for message in &state.messages {
-            add(&mut steps, state, action("a message arrives", 0, 0), |next| {
+            Step::add(&mut steps, state, action("a message arrives", 0, 0), |next| {
                 next.messages.remove(message);
                 self.deliver(next, *message);
             });
-            add(&mut steps, state, action("a message is lost", 0, 0), |next| {
+            Step::add(&mut steps, state, action("a message is lost", 0, 0), |next| {
                 next.messages.remove(message);
             });
         }
@@ -135,27 +131,27 @@
         let DaemonState { life, in_force, tracker } = state.daemons[daemon];
         let other = 1 - daemon;
         if state.messages.len() < MOST_MESSAGES {
-            add(steps, state, action("asks the store", daemon, 0), |next| {
+            Step::add(steps, state, action("asks the store", daemon, 0), |next| {
                 next.messages.insert(Message::Ask { daemon, life, sent: next.now });
             });
             if let Some(FreshnessProof { generation, at }) = tracker.proof() {
                 let (generation, at) = (generation.0, at.0);
-                add(steps, state, action("tells its proof", daemon, other), |next| {
+                Step::add(steps, state, action("tells its proof", daemon, other), |next| {
                     next.messages.insert(Message::Proof { to: other, generation, at });
                 });
             }
         }
-        add(steps, state, action("takes the other's configuration", daemon, other), |next| {
+        Step::add(steps, state, action("takes the other's configuration", daemon, other), |next| {
             let generation = next.daemons[other].in_force;
             next.daemons[daemon].adopt(generation);
         });
         if self.fault == FreshnessFault::HangingWatch {
-            add(steps, state, action("its watch hangs", daemon, 0), |next| {
+            Step::add(steps, state, action("its watch hangs", daemon, 0), |next| {
                 next.daemons[daemon].prove(in_force, next.now);
             });
         }
         if life < self.restarts {
-            add(steps, state, action("restarts", daemon, 0), |next| {
+            Step::add(steps, state, action("restarts", daemon, 0), |next| {
                 next.daemons[daemon] = DaemonState { life: life + 1, ..DaemonState::default() };
             });
         }
--- a/crates/seamhatch-model/src/quota_shards.rs
+++ b/crates/seamhatch-model/src/quota_shards.rs
@@ -3,7 +3,7 @@
 //!
 //! Bounds: one shard, two daemons, few instants. A lease and the key that goes with it are made by one call.
 
-use crate::search::{Action, Model, SearchResult, Step, action, search};
+use crate::search::{Model, SearchResult, Step, action, search};
 use seamhatch_core::Instant;
 use seamhatch_core::quota::ShardLease;
 use std::collections::BTreeSet;
@@ -62,15 +62,6 @@
 
 type Steps = Vec<Step<QuotaShardsState>>;
 
-fn add(
-    steps: &mut Steps,
-    before: &QuotaShardsState,
-    action: Action,
-    change: impl FnOnce(&mut QuotaShardsState),
-) {
-    Step::add(steps, before, action, change);
-}
-
 impl Model for QuotaShardsModel {
     type State = QuotaShardsState;
 
@@ -81,27 +72,27 @@
     fn steps(&self, state: &QuotaShardsState) -> Steps {
         let mut steps = Vec::new();
         if state.now < self.instants {
-            add(&mut steps, state, action("time passes", 0, 0), |next| next.now += 1);
+            Step::add(&mut steps, state, action("time passes", 0, 0), |next| next.now += 1);
         }
         for daemon in 0..DAEMONS {
             let life = state.daemons[daemon].life;
             if state.calls.len() < MOST_CALLS {
-                add(&mut steps, state, action("asks the store", daemon, 0), |next| {
+                Step::add(&mut steps, state, action("asks the store", daemon, 0), |next| {
                     next.calls.insert(Call::Asked { daemon, life, sent: next.now });
                 });
             }
             if life < self.restarts {
-                add(&mut steps, state, action("restarts", daemon, 0), |next| {
+                Step::add(&mut steps, state, action("restarts", daemon, 0), |next| {
                     next.daemons[daemon] = DaemonState { life: life + 1, ..DaemonState::default() };
                 });
             }
         }
         for call in &state.calls {
-            add(&mut steps, state, action("a call or its answer arrives", 0, 0), |next| {
+            Step::add(&mut steps, state, action("a call or its answer arrives", 0, 0), |next| {
                 next.calls.remove(call);
                 self.deliver(next, *call);
             });
-            add(&mut steps, state, action("a call or its answer is lost", 0, 0), |next| {
+            Step::add(&mut steps, state, action("a call or its answer is lost", 0, 0), |next| {
                 next.calls.remove(call);
             });
         }
--- a/crates/seamhatch-model/tests/claims.rs
+++ b/crates/seamhatch-model/tests/claims.rs
@@ -1,6 +1,7 @@
 //! Claims: the protocol holds, and each seeded fault is found.
 
-use seamhatch_model::SearchResult;
+mod common;
+
 use seamhatch_model::claims::{ClaimsFault, ClaimsModel};
 
 const LIMIT: usize = 3_000_000;
@@ -10,19 +11,11 @@
 }
 
 fn assert_holds(name: &str, model: ClaimsModel) {
-    match model.search(LIMIT) {
-        SearchResult::Holds { states } => println!("{name}: {states} states"),
-        other => panic!("{name}: {other:#?}"),
-    }
+    common::assert_holds(name, &model.search(LIMIT));
 }
 
 fn assert_found(model: ClaimsModel) {
-    match model.search(LIMIT) {
-        SearchResult::Violated { invariant, trace } => {
-            println!("{:?}: {invariant} after {} steps", model.fault, trace.len());
-        }
-        other => panic!("{:?} was not found: {other:?}", model.fault),
-    }
+    common::assert_found(model.fault, &model.search(LIMIT));
 }
 
 #[test]
--- a/crates/seamhatch-model/tests/configuration.rs
+++ b/crates/seamhatch-model/tests/configuration.rs
@@ -1,6 +1,7 @@
 //! Configuration: what is accepted stays, and each seeded fault is found.
 
-use seamhatch_model::SearchResult;
+mod common;
+
 use seamhatch_model::configuration::{ConfigurationFault, ConfigurationModel};
 
 const LIMIT: usize = 3_000_000;
@@ -17,19 +18,11 @@
 }
 
 fn assert_holds(name: &str, model: ConfigurationModel) {
-    match model.search(LIMIT) {
-        SearchResult::Holds { states } => println!("{name}: {states} states"),
-        other => panic!("{name}: {other:#?}"),
-    }
+    common::assert_holds(name, &model.search(LIMIT));
 }
 
 fn assert_found(model: ConfigurationModel) {
-    match model.search(LIMIT) {
-        SearchResult::Violated { invariant, trace } => {
-            println!("{:?}: {invariant} after {} steps", model.fault, trace.len());
-        }
-        other => panic!("{:?} was not found: {other:?}", model.fault),
-    }
+    common::assert_found(model.fault, &model.search(LIMIT));
 }
 
 #[test]
--- a/crates/seamhatch-model/tests/crashes.rs
+++ b/crates/seamhatch-model/tests/crashes.rs
@@ -1,6 +1,7 @@
 //! Requests that crash servers: the bounds hold, and each seeded fault is found.
 
-use seamhatch_model::SearchResult;
+mod common;
+
 use seamhatch_model::crashes::{CrashesFault, CrashesModel, News};
 
 const LIMIT: usize = 3_000_000;
@@ -16,17 +17,11 @@
 };
 
 fn assert_holds(model: CrashesModel) {
-    match model.search(LIMIT) {
-        SearchResult::Holds { states } => println!("{model:?}: {states} states"),
-        other => panic!("{model:?}: {other:#?}"),
-    }
+    common::assert_holds(model, &model.search(LIMIT));
 }
 
 fn assert_found(model: CrashesModel) {
-    match model.search(LIMIT) {
-        SearchResult::Violated { invariant, trace } => println!("{:?}: {invariant}: {trace:?}", model.fault),
-        other => panic!("{:?} was not found: {other:?}", model.fault),
-    }
+    common::assert_found(model.fault, &model.search(LIMIT));
 }
 
 #[test]
--- a/crates/seamhatch-model/tests/departures.rs
+++ b/crates/seamhatch-model/tests/departures.rs
@@ -1,6 +1,8 @@
 //! Departures: acknowledged ones hold through restarts, and each seeded fault is found.
 
-use seamhatch_model::SearchResult;
+mod common;
+
+use common::{assert_found, assert_holds};
 use seamhatch_model::departures::{DeparturesFault, DeparturesModel};
 
 const LIMIT: usize = 6_000_000;
@@ -18,10 +20,7 @@
 fn an_acknowledged_departure_holds_through_restarts() {
     for (restarts, heartbeats) in BOUNDS {
         let model = DeparturesModel { restarts, heartbeats, fault: DeparturesFault::None };
-        match model.search(LIMIT) {
-            SearchResult::Holds { states } => println!("{model:?}: {states} states"),
-            other => panic!("{model:?}: {other:#?}"),
-        }
+        assert_holds(model, &model.search(LIMIT));
     }
 }
 
@@ -35,9 +34,6 @@
     ];
     for FaultCase { fault, restarts } in cases {
         let model = DeparturesModel { restarts, heartbeats: 2, fault };
-        match model.search(LIMIT) {
-            SearchResult::Violated { trace, .. } => println!("{fault:?}: {trace:?}"),
-            other => panic!("{fault:?} was not found: {other:?}"),
-        }
+        assert_found(fault, &model.search(LIMIT));
     }
 }
--- a/crates/seamhatch-model/tests/freshness.rs
+++ b/crates/seamhatch-model/tests/freshness.rs
@@ -1,6 +1,8 @@
 //! Proof of freshness: nobody goes by a configuration past the bound, and each seeded fault is found.
 
-use seamhatch_model::SearchResult;
+mod common;
+
+use common::{assert_found, assert_holds};
 use seamhatch_model::freshness::{FreshnessFault, FreshnessModel};
 
 const LIMIT: usize = 6_000_000;
@@ -11,10 +13,8 @@
 
 #[test]
 fn nobody_goes_by_a_configuration_past_the_bound() {
-    match model(FreshnessFault::None).search(LIMIT) {
-        SearchResult::Holds { states } => println!("{states} states"),
-        other => panic!("{other:#?}"),
-    }
+    let model = model(FreshnessFault::None);
+    assert_holds(model, &model.search(LIMIT));
 }
 
 #[test]
@@ -26,9 +26,6 @@
         FreshnessFault::NotInForce,
     ];
     for fault in faults {
-        match model(fault).search(LIMIT) {
-            SearchResult::Violated { trace, .. } => println!("{fault:?}: {trace:?}"),
-            other => panic!("{fault:?} was not found: {other:?}"),
-        }
+        assert_found(fault, &model(fault).search(LIMIT));
     }
 }
--- a/crates/seamhatch-model/tests/retries.rs
+++ b/crates/seamhatch-model/tests/retries.rs
@@ -1,6 +1,7 @@
 //! Retry tokens: the bound holds over the tree, and each seeded fault is found.
 
-use seamhatch_model::SearchResult;
+mod common;
+
 use seamhatch_model::retries::{RetriesFault, RetriesModel};
 
 const LIMIT: usize = 3_000_000;
@@ -10,17 +11,11 @@
 }
 
 fn assert_holds(model: RetriesModel) {
-    match model.search(LIMIT) {
-        SearchResult::Holds { states } => println!("{model:?}: {states} states"),
-        other => panic!("{model:?}: {other:#?}"),
-    }
+    common::assert_holds(model, &model.search(LIMIT));
 }
 
 fn assert_found(model: RetriesModel) {
-    match model.search(LIMIT) {
-        SearchResult::Violated { trace, .. } => println!("{:?}: {trace:?}", model.fault),
-        other => panic!("{:?} was not found: {other:?}", model.fault),
-    }
+    common::assert_found(model.fault, &model.search(LIMIT));
 }
 
 #[test]
