--- a/crates/seamhatch-model/src/claims/attempts.rs
+++ b/crates/seamhatch-model/src/claims/attempts.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// A restarted process is another witness: messages for its earlier life don't reach it.
+    /// A restarted process is another witness: messages for its earlier incarnation don't reach it.
     fn is_addressed(&self, state: &ClaimsState, process: usize) -> bool {
         state.incarnations[process] == 0 || self.fault == ClaimsFault::RestartedWitnessServes
     }
--- a/crates/seamhatch-model/src/configuration/state.rs
+++ b/crates/seamhatch-model/src/configuration/state.rs
@@ -53,7 +53,7 @@
     pub(super) pending: Option<PendingDocument>,
     /// Witnesses that answered at the start.
     pub(super) asked: [bool; DAEMONS],
-    /// The highest generation that was in force here, over all lives.
+    /// The highest generation that was in force here, over all incarnations.
     pub(super) highest: usize,
     pub(super) reverted: bool,
 }
--- a/crates/seamhatch-model/src/crashes.rs
+++ b/crates/seamhatch-model/src/crashes.rs
@@ -69,7 +69,7 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Server {
-    life: u8,
+    instance: u8,
     at_work: Vec<Copy>,
     /// What the daemon beside it knows of either request.
     known: [SuspectRecord; 2],
@@ -107,7 +107,7 @@
 
     fn initial(&self) -> CrashesState {
         let known = [DEADLY, HARMLESS].map(|request| SuspectRecord::new(RequestDigest(request as u64)));
-        let server = Server { life: 0, at_work: Vec::new(), known };
+        let server = Server { instance: 0, at_work: Vec::new(), known };
         CrashesState {
             servers: vec![server; self.servers],
             copies_left: self.copies,
@@ -217,16 +217,16 @@
 
     fn end_server(&self, state: &mut CrashesState, at: usize) {
         let server = &mut state.servers[at];
-        let life = u64::from(server.life) * self.servers as u64 + at as u64;
-        server.life += 1;
+        let instance = u64::from(server.instance) * self.servers as u64 + at as u64;
+        server.instance += 1;
         let mut at_work = std::mem::take(&mut server.at_work);
         // A crash counts once for a request.
         at_work.dedup_by_key(|copy| copy.request);
         for copy in at_work {
             let on_trial = copy.on_trial || self.fault == CrashesFault::CondemnedByCount;
-            server.known[copy.request].add(InstanceDigest(life), on_trial);
+            server.known[copy.request].add(InstanceDigest(instance), on_trial);
             if self.fault == CrashesFault::SumOfReports {
-                server.known[copy.request].add(InstanceDigest(life + 1000), on_trial);
+                server.known[copy.request].add(InstanceDigest(instance + 1000), on_trial);
             }
             state.harmless_trial_cut |= copy.on_trial && copy.request == HARMLESS;
             state.harmless_cut += u8::from(copy.request == HARMLESS);
--- a/crates/seamhatch-model/src/departures.rs
+++ b/crates/seamhatch-model/src/departures.rs
@@ -52,17 +52,17 @@
     expected: Option<u64>,
     record: DepartureRecord,
     instance: usize,
-    life: u8,
+    incarnation: u8,
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 struct DaemonState {
-    life: u8,
+    incarnation: u8,
     registry: InstanceRegistry,
     inquiry: DepartureInquiry,
     settled: bool,
     early: Option<Heartbeat>,
-    /// Departures that this life has to have noted.
+    /// Departures that this incarnation has to have noted.
     pending: BTreeSet<usize>,
 }
 
@@ -190,8 +190,9 @@
                 next.held.insert(instance);
                 next.acknowledged[instance] = true;
             });
-            let in_flight =
-                |write: &StoreWrite| write.instance == instance && write.life == state.daemon.life;
+            let in_flight = |write: &StoreWrite| {
+                write.instance == instance && write.incarnation == state.daemon.incarnation
+            };
             let noted = state.record.instances.contains(&instance_id(instance));
             if noted || state.writes.iter().any(in_flight) {
                 continue;
@@ -204,12 +205,12 @@
     }
 
     fn write(&self, state: &DeparturesState, instance: usize) -> StoreWrite {
-        let life = state.daemon.life;
+        let incarnation = state.daemon.incarnation;
         let replaced = self.fault == DeparturesFault::ReplacedRecord;
         let known = DepartureRecord { instances: state.daemon.registry.departed().cloned().collect() };
         let mut record = if replaced { known } else { state.record.clone() };
         record.add(&instance_id(instance));
-        StoreWrite { expected: (!replaced).then_some(state.revision), record, instance, life }
+        StoreWrite { expected: (!replaced).then_some(state.revision), record, instance, incarnation }
     }
 
     fn store_steps(&self, state: &DeparturesState, steps: &mut Steps) {
@@ -225,9 +226,10 @@
     }
 
     fn start_steps(&self, state: &DeparturesState, steps: &mut Steps) {
-        if state.daemon.life < self.restarts {
+        if state.daemon.incarnation < self.restarts {
             Step::add(steps, state, action("the daemon restarts", 0, 0), |next| {
-                next.daemon = DaemonState { life: next.daemon.life + 1, ..DaemonState::default() };
+                next.daemon =
+                    DaemonState { incarnation: next.daemon.incarnation + 1, ..DaemonState::default() };
             });
         }
         if state.daemon.settled {
@@ -272,7 +274,8 @@
         }
         self.record = write.record;
         self.revision += 1;
-        let waited_for = write.life == self.daemon.life && self.daemon.pending.contains(&write.instance);
+        let waited_for =
+            write.incarnation == self.daemon.incarnation && self.daemon.pending.contains(&write.instance);
         self.acknowledged[write.instance] |= waited_for;
     }
 }
--- a/crates/seamhatch-model/src/freshness.rs
+++ b/crates/seamhatch-model/src/freshness.rs
@@ -47,16 +47,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Message {
     /// A question to the store.
-    Ask { daemon: usize, life: u8, sent: u64 },
+    Ask { daemon: usize, incarnation: u8, sent: u64 },
     /// Its answer.
-    Answer { daemon: usize, life: u8, sent: u64, generation: u64 },
+    Answer { daemon: usize, incarnation: u8, sent: u64, generation: u64 },
     /// Another daemon's proof.
     Proof { to: usize, generation: u64, at: u64 },
 }
 
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 struct DaemonState {
-    life: u8,
+    incarnation: u8,
     in_force: u64,
     tracker: FreshnessTracker,
 }
@@ -128,11 +128,11 @@
     }
 
     fn daemon_steps(&self, state: &FreshnessState, daemon: usize, steps: &mut Steps) {
-        let DaemonState { life, in_force, tracker } = state.daemons[daemon];
+        let DaemonState { incarnation, in_force, tracker } = state.daemons[daemon];
         let other = 1 - daemon;
         if state.messages.len() < MOST_MESSAGES {
             Step::add(steps, state, action("asks the store", daemon, 0), |next| {
-                next.messages.insert(Message::Ask { daemon, life, sent: next.now });
+                next.messages.insert(Message::Ask { daemon, incarnation, sent: next.now });
             });
             if let Some(FreshnessProof { generation, at }) = tracker.proof() {
                 let (generation, at) = (generation.0, at.0);
@@ -150,9 +150,9 @@
                 next.daemons[daemon].prove(in_force, next.now);
             });
         }
-        if life < self.restarts {
+        if incarnation < self.restarts {
             Step::add(steps, state, action("restarts", daemon, 0), |next| {
-                next.daemons[daemon] = DaemonState { life: life + 1, ..DaemonState::default() };
+                next.daemons[daemon] = DaemonState { incarnation: incarnation + 1, ..DaemonState::default() };
             });
         }
     }
@@ -160,13 +160,13 @@
     fn deliver(&self, state: &mut FreshnessState, message: Message) {
         let now = state.now;
         match message {
-            Message::Ask { daemon, life, sent } => {
+            Message::Ask { daemon, incarnation, sent } => {
                 let generation = state.accepted.len() as u64 - 1;
-                state.messages.insert(Message::Answer { daemon, life, sent, generation });
+                state.messages.insert(Message::Answer { daemon, incarnation, sent, generation });
             }
-            Message::Answer { daemon, life, sent, generation } => {
+            Message::Answer { daemon, incarnation, sent, generation } => {
                 let daemon = &mut state.daemons[daemon];
-                if daemon.life != life {
+                if daemon.incarnation != incarnation {
                     return;
                 }
                 let late = self.fault == FreshnessFault::CountedFromAnswer;
--- a/crates/seamhatch-model/src/quota_shards.rs
+++ b/crates/seamhatch-model/src/quota_shards.rs
@@ -39,14 +39,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Call {
     /// Asks for the shard, or renews its lease.
-    Asked { daemon: usize, life: u8, sent: u64 },
+    Asked { daemon: usize, incarnation: u8, sent: u64 },
     /// The store has done it.
-    Done { daemon: usize, life: u8, sent: u64 },
+    Done { daemon: usize, incarnation: u8, sent: u64 },
 }
 
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 struct DaemonState {
-    life: u8,
+    incarnation: u8,
     lease: ShardLease,
 }
 
@@ -75,15 +75,16 @@
             Step::add(&mut steps, state, action("time passes", 0, 0), |next| next.now += 1);
         }
         for daemon in 0..DAEMONS {
-            let life = state.daemons[daemon].life;
+            let incarnation = state.daemons[daemon].incarnation;
             if state.calls.len() < MOST_CALLS {
                 Step::add(&mut steps, state, action("asks the store", daemon, 0), |next| {
-                    next.calls.insert(Call::Asked { daemon, life, sent: next.now });
+                    next.calls.insert(Call::Asked { daemon, incarnation, sent: next.now });
                 });
             }
-            if life < self.restarts {
+            if incarnation < self.restarts {
                 Step::add(&mut steps, state, action("restarts", daemon, 0), |next| {
-                    next.daemons[daemon] = DaemonState { life: life + 1, ..DaemonState::default() };
+                    next.daemons[daemon] =
+                        DaemonState { incarnation: incarnation + 1, ..DaemonState::default() };
                 });
             }
         }
@@ -114,19 +115,19 @@
 
     fn deliver(&self, state: &mut QuotaShardsState, call: Call) {
         match call {
-            Call::Asked { daemon, life, sent } => {
+            Call::Asked { daemon, incarnation, sent } => {
                 let early = if self.fault == QuotaShardsFault::FreedEarly { SPAN / 2 } else { 0 };
                 let free =
                     state.holder.is_none_or(|(holder, until)| holder == daemon || until <= state.now + early);
                 if free {
                     state.holder = Some((daemon, state.now + SPAN));
-                    state.calls.insert(Call::Done { daemon, life, sent });
+                    state.calls.insert(Call::Done { daemon, incarnation, sent });
                 }
             }
-            Call::Done { daemon, life, sent } => {
+            Call::Done { daemon, incarnation, sent } => {
                 let now = state.now;
                 let daemon = &mut state.daemons[daemon];
-                if daemon.life != life {
+                if daemon.incarnation != incarnation {
                     return;
                 }
                 let late = self.fault == QuotaShardsFault::CountedFromAnswer;
