--- a/crates/seamhatch-model/src/claims/attempts.rs
+++ b/crates/seamhatch-model/src/claims/attempts.rs
@@ -24,7 +24,7 @@
             }
             Phase::GivenUp | Phase::Lost => {
                 // Claims and releases of it may still arrive. Releases also stand for those of
-                // others, who were told by the holder that it gave up.
+                // other attempts, which learnt from the holder that it gave up.
                 if state.late_messages_left > 0 {
                     self.deliver_claims(state, index, steps);
                     self.deliver_releases(state, index, steps);
--- a/crates/seamhatch-model/src/claims/state.rs
+++ b/crates/seamhatch-model/src/claims/state.rs
@@ -21,9 +21,9 @@
     Asking,
     Won,
     Dispatched,
-    /// Won, then refused: its caller was told `not-run`.
+    /// Won, then refused: its caller got `not-run`.
     GivenUp,
-    /// Did not win: its caller was told `unknown` or `duplicate`.
+    /// Did not win: its caller got `unknown` or `duplicate`.
     Lost,
 }
 
--- a/crates/seamhatch-model/src/claims/witnesses.rs
+++ b/crates/seamhatch-model/src/claims/witnesses.rs
@@ -66,8 +66,8 @@
     }
 
     fn install_steps(&self, state: &ClaimsState, steps: &mut Steps) {
-        let told = state.sealed.iter().flatten().flatten().copied();
-        let claims = union_of_claims(told);
+        let sealed = state.sealed.iter().flatten().flatten().copied();
+        let claims = union_of_claims(sealed);
         for place in 0..WITNESSES {
             let process = process(2, place);
             if state.incarnations[process] > 0 {
--- a/crates/seamhatch-model/src/configuration/daemons.rs
+++ b/crates/seamhatch-model/src/configuration/daemons.rs
@@ -15,14 +15,14 @@
             });
         }
         if is_newer(&daemon.in_force, &daemon.held) {
-            Step::add(steps, state, action("daemon takes up what it holds", index, 0), |next| {
+            Step::add(steps, state, action("daemon adopts what it holds", index, 0), |next| {
                 next.propose(index, next.daemons[index].held.clone());
             });
         }
         self.registration_steps(state, index, steps);
         for other in (0..DAEMONS).filter(|other| *other != index) {
             let offered = state.daemons[other].in_force.clone();
-            Step::add(steps, state, action("daemon passes its configuration to", other, index), |next| {
+            Step::add(steps, state, action("daemon sends its configuration to", other, index), |next| {
                 if self.fault == ConfigurationFault::AdoptAnything
                     || is_newer(&next.daemons[index].in_force, &offered)
                 {
--- a/crates/seamhatch-model/src/configuration/mod.rs
+++ b/crates/seamhatch-model/src/configuration/mod.rs
@@ -25,11 +25,11 @@
     LostMeansFailed,
     /// A lost answer is taken for success.
     LostMeansAccepted,
-    /// A restarted daemon is ready with what one witness tells.
+    /// A restarted daemon is ready with what one witness returns.
     ReadyFromOneWitness,
     /// What is read from the store is in force before a majority of witnesses holds it.
     NoRegistration,
-    /// A submitter is told as soon as the store has answered.
+    /// A submitter is answered as soon as the store has answered.
     ToldBeforeRegistration,
 }
 
--- a/crates/seamhatch-model/src/configuration/state.rs
+++ b/crates/seamhatch-model/src/configuration/state.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Submitter {
     pub(super) based_on: Option<u64>,
-    /// The newest document that a majority of witnesses told.
+    /// The newest document that a majority of witnesses returned.
     pub(super) known: History,
     pub(super) read: Option<(History, u8)>,
     /// A write that was sent, with its condition.
@@ -111,7 +111,7 @@
         true
     }
 
-    /// The submitter's daemon brings what landed into force before it tells.
+    /// The submitter's daemon brings what landed into force before it answers.
     pub(super) fn landed(&mut self, submitter: usize, generation: Generation, document: History) {
         self.submitters[submitter].landed = Some(generation);
         self.propose(submitter, document);
--- a/crates/seamhatch-model/src/crashes.rs
+++ b/crates/seamhatch-model/src/crashes.rs
@@ -1,8 +1,8 @@
 //! Requests that crash servers: one that ends each server it runs on, and a harmless one beside it, with copies, lost servers,
 //! late news and daemons that restart.
 //!
-//! Once all daemons know that a request is condemned no server begins to run it, whoever restarts; servers that it ends are
-//! bounded; the harmless one is condemned by nothing but a trial of its own that was cut off.
+//! Once all daemons know that a request is condemned, no server begins to run it, whichever daemon restarts. The number of servers
+//! that it ends is bounded. The harmless request is condemned only by a trial run of its own that was cut off.
 
 use crate::search::{Model, SearchResult, Step, action, search};
 use seamhatch_core::Instant;
@@ -16,7 +16,7 @@
     None,
     /// A daemon that starts serves before it has asked another one.
     ServesBeforeLearning,
-    /// Each crash counts as one on trial.
+    /// Each crash counts as one on a trial run.
     CondemnedByCount,
     /// Copies of a suspect run beside each other, and suspects of several crashes too.
     NoTrials,
@@ -145,7 +145,7 @@
                 self.end_well(next, at);
             });
             for other in (0..self.servers).filter(|other| *other != at) {
-                Step::add(&mut steps, state, action("a daemon tells another", at, other), |next| {
+                Step::add(&mut steps, state, action("a daemon reports to another", at, other), |next| {
                     next.tell(at, other);
                 });
                 Step::add(&mut steps, state, action("a daemon restarts and asks", at, other), |next| {
--- a/crates/seamhatch-model/src/departures.rs
+++ b/crates/seamhatch-model/src/departures.rs
@@ -235,11 +235,11 @@
         if state.daemon.settled {
             return;
         }
-        Step::add(steps, state, action("the store tells", 0, 0), |next| {
+        Step::add(steps, state, action("the store answers the inquiry", 0, 0), |next| {
             let instances = next.record.instances.clone();
             self.tell(next, DepartureSource::Store, &instances);
         });
-        Step::add(steps, state, action("the holder tells", 0, 0), |next| {
+        Step::add(steps, state, action("the holder answers the inquiry", 0, 0), |next| {
             let instances: Vec<InstanceId> = next.held.iter().map(|held| instance_id(*held)).collect();
             self.tell(next, DepartureSource::Holders, &instances);
         });
--- a/crates/seamhatch-model/src/freshness.rs
+++ b/crates/seamhatch-model/src/freshness.rs
@@ -136,12 +136,12 @@
             });
             if let Some(FreshnessProof { generation, at }) = tracker.proof() {
                 let (generation, at) = (generation.0, at.0);
-                Step::add(steps, state, action("tells its proof", daemon, other), |next| {
+                Step::add(steps, state, action("sends its proof to", daemon, other), |next| {
                     next.messages.insert(Message::Proof { to: other, generation, at });
                 });
             }
         }
-        Step::add(steps, state, action("takes the other's configuration", daemon, other), |next| {
+        Step::add(steps, state, action("adopts the configuration of", daemon, other), |next| {
             let generation = next.daemons[other].in_force;
             next.daemons[daemon].adopt(generation);
         });
--- a/crates/seamhatch-model/src/lib.rs
+++ b/crates/seamhatch-model/src/lib.rs
@@ -1,9 +1,9 @@
-//! Specifications of the core protocols as transition systems over the pure
-//! functions that the daemon runs, searched exhaustively within stated bounds.
+//! Specifications of the core protocols as transition systems over the functions of `seamhatch-core` that the daemon
+//! runs, searched exhaustively within stated bounds.
 //!
-//! `stateright` is not to be had; [`search`] is a breadth-first search of its
-//! own. The path to a state that breaks an invariant is the counterexample, and
-//! a shortest one.
+//! A file for each protocol: its state, its steps, its invariants, and faults that can be seeded to show that the search
+//! finds them. [`search`] is breadth-first, so the path to a state that breaks an invariant is a shortest
+//! counterexample. The tests run the searches; nothing else depends on this crate.
 
 pub mod claims;
 pub mod configuration;
--- a/crates/seamhatch-model/src/retries.rs
+++ b/crates/seamhatch-model/src/retries.rs
@@ -1,5 +1,5 @@
 //! Retry tokens over a tree of calls: dispatches beyond the distinct calls
-//! never exceed what the root was given, whatever fails and whoever repeats.
+//! never exceed the root's tokens, whatever fails and whichever daemon repeats.
 
 use crate::search::{Model, SearchResult, Step, action, search};
 use seamhatch_core::identity::Fingerprint;
--- a/crates/seamhatch-model/src/search.rs
+++ b/crates/seamhatch-model/src/search.rs
@@ -1,8 +1,7 @@
 //! Exhaustive breadth-first search of a transition system.
 //!
-//! Of a state that was searched only a 128-bit digest is kept, with the step
-//! that led to it. `pathfinding::directed::bfs`, tried first, keeps every state
-//! and ran out of memory at a few million states of the claims model.
+//! Of a state that was searched only a 128-bit digest is kept, with the step that led to it: searches of this crate reach
+//! millions of states, which don't fit into memory whole.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -23,14 +22,14 @@
     fn violation(&self, state: &Self::State) -> Option<&'static str>;
 }
 
-/// What happens in a step, made without allocation.
+/// What happens in a step. It allocates nothing, as millions are made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Action {
     /// In words.
     pub what: &'static str,
-    /// Number of the one that acts.
+    /// Number of the daemon, attempt or process that acts.
     pub who: usize,
-    /// Number of the other one, if there is one.
+    /// Number of the other one; 0 where there is none.
     pub other: usize,
 }
 
