--- a/crates/seamhatch-policy/src/program/decision.rs
+++ b/crates/seamhatch-policy/src/program/decision.rs
@@ -1,7 +1,7 @@
 //! What a program decides for a request: the result of each function, its default where it is absent, and the
 //! bounds that the route sets. A route's word may forbid a repeat and lower retries and deadline, never more.
 
-use super::script::{CLASSIFY, DEADLINE, Failure, PolicyScript, REPEATABLE, RETRIES, STOP_SENDING};
+use super::script::{CLASSIFY, DEADLINE, FunctionFailure, PolicyScript, REPEATABLE, RETRIES, STOP_SENDING};
 use super::view::ServerView;
 use crate::document::RouteAttributes;
 use rhai::Map;
@@ -38,12 +38,12 @@
     script: &PolicyScript,
     argument: &Map,
     rank: Option<u8>,
-) -> Result<PriorityClass, Failure> {
+) -> Result<PriorityClass, FunctionFailure> {
     const WANTED: &str = "\"critical\", \"normal\", \"bulk\" or \"background\"";
     let Some(value) = script.run(CLASSIFY, argument.clone())? else {
         return Ok(class_of_rank(rank));
     };
-    let unusable = Failure::of_result(&value, WANTED);
+    let unusable = FunctionFailure::of_result(&value, WANTED);
     let Ok(name) = value.into_string() else { return Err(unusable) };
     name.parse().map_err(|_| unusable)
 }
@@ -52,7 +52,7 @@
     script: &PolicyScript,
     argument: &Map,
     attributes: &RouteAttributes,
-) -> Result<u32, Failure> {
+) -> Result<u32, FunctionFailure> {
     let value = script.integer(RETRIES, argument, 0..=MAX_RETRIES, "an integer from 0 to 100")?;
     let most = attributes.dispatches.map(|dispatches| dispatches.saturating_sub(1));
     let retries = value.map_or(most.unwrap_or(DEFAULT_RETRIES), |retries| retries as u32);
@@ -63,7 +63,7 @@
     script: &PolicyScript,
     argument: &Map,
     attributes: &RouteAttributes,
-) -> Result<Microseconds, Failure> {
+) -> Result<Microseconds, FunctionFailure> {
     let value = script.integer(DEADLINE, argument, 1..=MAX_DEADLINE_MS, "an integer from 1 to 120000")?;
     let deadline = value.map_or(MAX_DEADLINE_MS as u64, |milliseconds| milliseconds as u64);
     let unbounded = value.is_none() && attributes.timeout_ms.is_none();
@@ -82,7 +82,7 @@
     argument: &Map,
     attributes: &RouteAttributes,
     otherwise: impl Fn() -> bool,
-) -> Result<bool, Failure> {
+) -> Result<bool, FunctionFailure> {
     let allowed = attributes.repeatable;
     let wanted = script.boolean(REPEATABLE, argument.clone())?;
     Ok(match (allowed, wanted) {
@@ -93,7 +93,7 @@
     })
 }
 
-pub(super) fn stop_sending(script: &PolicyScript, server: &ServerView) -> Result<bool, Failure> {
+pub(super) fn stop_sending(script: &PolicyScript, server: &ServerView) -> Result<bool, FunctionFailure> {
     Ok(script.boolean(STOP_SENDING, server.to_map())?.unwrap_or(false))
 }
 
--- a/crates/seamhatch-policy/src/program/mod.rs
+++ b/crates/seamhatch-policy/src/program/mod.rs
@@ -25,7 +25,7 @@
 use crate::error::ConfigurationError;
 use decision::DEFAULT_DEADLINE;
 use rhai::Map;
-use script::{CLASSIFY, DEADLINE, Failure, PolicyScript, REPEATABLE, RETRIES, STOP_SENDING};
+use script::{CLASSIFY, DEADLINE, FunctionFailure, PolicyScript, REPEATABLE, RETRIES, STOP_SENDING};
 use seamhatch_core::priority::PriorityClass;
 
 /// A compiled policy program.
@@ -101,7 +101,7 @@
         argument: &Map,
         attributes: &RouteAttributes,
         rank: Option<u8>,
-    ) -> Result<Decision, Failure> {
+    ) -> Result<Decision, FunctionFailure> {
         Ok(Decision {
             class: decision::class(&self.script, argument, rank)?,
             retries: decision::retries(&self.script, argument, attributes)?,
@@ -133,7 +133,7 @@
         let sample = format!("{} {}", request.method, request.path);
         let name = |function: &'static str| {
             let sample = sample.clone();
-            move |failure: Failure| failure.into_error(function, sample)
+            move |failure: FunctionFailure| failure.into_error(function, sample)
         };
         let argument = request.to_map();
         let attributes = &request.route.attributes;
--- a/crates/seamhatch-policy/src/program/script.rs
+++ b/crates/seamhatch-policy/src/program/script.rs
@@ -31,14 +31,14 @@
 }
 
 /// Why a function gave no result.
-pub(super) enum Failure {
+pub(super) enum FunctionFailure {
     /// It failed while it ran, or passed a limit.
     Run(String),
     /// Its result is not of the type or the range that is wanted.
     Result { value: String, wanted: &'static str },
 }
 
-impl Failure {
+impl FunctionFailure {
     /// A result that can't be used.
     pub(super) fn of_result(value: &Dynamic, wanted: &'static str) -> Self {
         Self::Result { value: shortened(value), wanted }
@@ -94,29 +94,37 @@
         argument: &Map,
         range: std::ops::RangeInclusive<i64>,
         wanted: &'static str,
-    ) -> Result<Option<i64>, Failure> {
+    ) -> Result<Option<i64>, FunctionFailure> {
         let Some(value) = self.run(function, argument.clone())? else { return Ok(None) };
         match value.as_int() {
             Ok(number) if range.contains(&number) => Ok(Some(number)),
-            _ => Err(Failure::of_result(&value, wanted)),
+            _ => Err(FunctionFailure::of_result(&value, wanted)),
         }
     }
 
     /// Runs a function that returns true or false; none when it is absent.
-    pub(super) fn boolean(&self, function: &'static str, argument: Map) -> Result<Option<bool>, Failure> {
+    pub(super) fn boolean(
+        &self,
+        function: &'static str,
+        argument: Map,
+    ) -> Result<Option<bool>, FunctionFailure> {
         let Some(value) = self.run(function, argument)? else { return Ok(None) };
-        value.as_bool().map(Some).map_err(|_| Failure::of_result(&value, "true or false"))
+        value.as_bool().map(Some).map_err(|_| FunctionFailure::of_result(&value, "true or false"))
     }
 
     /// Runs a function; none when it is absent.
-    pub(super) fn run(&self, function: &'static str, argument: Map) -> Result<Option<Dynamic>, Failure> {
+    pub(super) fn run(
+        &self,
+        function: &'static str,
+        argument: Map,
+    ) -> Result<Option<Dynamic>, FunctionFailure> {
         if !self.defines(function) {
             return Ok(None);
         }
         self.engine
             .call_fn::<Dynamic>(&mut Scope::new(), &self.ast, function, (argument,))
             .map(Some)
-            .map_err(|error| Failure::Run(error.to_string()))
+            .map_err(|error| FunctionFailure::Run(error.to_string()))
     }
 }
 
--- a/crates/seamhatch/src/client.rs
+++ b/crates/seamhatch/src/client.rs
@@ -14,7 +14,7 @@
 
 /// Why a daemon did not do what it was asked.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
-pub struct Problem {
+pub struct DaemonProblem {
     /// Machine-readable kind.
     pub kind: String,
     /// What is wrong, and the remedy.
@@ -24,15 +24,15 @@
 }
 
 /// A daemon's answer.
-pub enum Reply<T> {
+pub enum AdminReply<T> {
     /// Done.
     Done(T),
     /// Not done.
-    Problem(Problem),
+    Problem(DaemonProblem),
 }
 
 /// Why there is no answer.
-pub enum Failure {
+pub enum AdminFailure {
     /// Nothing was sent to any daemon.
     NotSent(String),
     /// The request was sent, so it may have been carried out.
@@ -80,8 +80,8 @@
         &self,
         path: &str,
         body: &Q,
-    ) -> Result<Reply<T>, Failure> {
-        let json = serde_json::to_vec(body).map_err(|error| Failure::NotSent(error.to_string()))?;
+    ) -> Result<AdminReply<T>, AdminFailure> {
+        let json = serde_json::to_vec(body).map_err(|error| AdminFailure::NotSent(error.to_string()))?;
         self.try_each(Method::POST, path, Bytes::from(json)).await
     }
 
@@ -90,19 +90,19 @@
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<Reply<T>, Failure> {
+    ) -> Result<AdminReply<T>, AdminFailure> {
         let mut reasons = Vec::new();
         for daemon in &self.daemons {
             match self.call(*daemon, method.clone(), path, body.clone()).await {
-                Err(Failure::NotSent(reason)) => reasons.push(format!("{daemon}: {reason}")),
+                Err(AdminFailure::NotSent(reason)) => reasons.push(format!("{daemon}: {reason}")),
                 // A read may go to the next daemon; a write may have been carried out.
-                Err(Failure::Lost(reason)) if method == Method::GET => {
+                Err(AdminFailure::Lost(reason)) if method == Method::GET => {
                     reasons.push(format!("{daemon}: {reason}"));
                 }
                 other => return other,
             }
         }
-        Err(Failure::NotSent(reasons.join("; ")))
+        Err(AdminFailure::NotSent(reasons.join("; ")))
     }
 
     async fn call<T: DeserializeOwned>(
@@ -111,39 +111,39 @@
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<Reply<T>, Failure> {
+    ) -> Result<AdminReply<T>, AdminFailure> {
         let request = Request::builder()
             .method(method)
             .uri(format!("http://{daemon}{path}"))
             .header("content-type", "application/json")
             .body(Full::new(body))
-            .map_err(|error| Failure::NotSent(error.to_string()))?;
+            .map_err(|error| AdminFailure::NotSent(error.to_string()))?;
         let response = self.client.request(request).await.map_err(|error| {
             let detail = error.to_string();
-            if error.is_connect() { Failure::NotSent(detail) } else { Failure::Lost(detail) }
+            if error.is_connect() { AdminFailure::NotSent(detail) } else { AdminFailure::Lost(detail) }
         })?;
         let status = response.status();
         let collected = response.into_body().collect().await;
-        let bytes = collected.map_err(|error| Failure::Lost(error.to_string()))?.to_bytes();
+        let bytes = collected.map_err(|error| AdminFailure::Lost(error.to_string()))?.to_bytes();
         decode(status, &bytes)
     }
 }
 
-fn decode<T: DeserializeOwned>(status: StatusCode, bytes: &[u8]) -> Result<Reply<T>, Failure> {
+fn decode<T: DeserializeOwned>(status: StatusCode, bytes: &[u8]) -> Result<AdminReply<T>, AdminFailure> {
     let unreadable =
-        |error: serde_json::Error| Failure::Lost(format!("status {status}, not readable: {error}"));
+        |error: serde_json::Error| AdminFailure::Lost(format!("status {status}, not readable: {error}"));
     if status.is_success() {
-        serde_json::from_slice(bytes).map(Reply::Done).map_err(unreadable)
+        serde_json::from_slice(bytes).map(AdminReply::Done).map_err(unreadable)
     } else {
-        serde_json::from_slice(bytes).map(Reply::Problem).map_err(unreadable)
+        serde_json::from_slice(bytes).map(AdminReply::Problem).map_err(unreadable)
     }
 }
 
-fn into_result<T>(reply: Result<Reply<T>, Failure>) -> Result<T, CliError> {
+fn into_result<T>(reply: Result<AdminReply<T>, AdminFailure>) -> Result<T, CliError> {
     match reply {
-        Ok(Reply::Done(value)) => Ok(value),
-        Ok(Reply::Problem(problem)) => Err(CliError::Refused { detail: problem.detail }),
-        Err(Failure::NotSent(detail) | Failure::Lost(detail)) => {
+        Ok(AdminReply::Done(value)) => Ok(value),
+        Ok(AdminReply::Problem(problem)) => Err(CliError::Refused { detail: problem.detail }),
+        Err(AdminFailure::NotSent(detail) | AdminFailure::Lost(detail)) => {
             let detail = format!("no daemon answered ({detail}); check --daemon");
             Err(CliError::Unreachable { detail })
         }
--- a/crates/seamhatch/src/commands.rs
+++ b/crates/seamhatch/src/commands.rs
@@ -3,7 +3,7 @@
 //! A submission keeps its id over all attempts, so that repeating it after a lost answer can't submit twice.
 
 use crate::arguments::{Command, ExplainOptions, Subcommand, SubmitOptions};
-use crate::client::{AdminClient, Failure, Problem, Reply};
+use crate::client::{AdminClient, AdminFailure, AdminReply, DaemonProblem};
 use crate::error::CliError;
 use crate::output;
 use crate::trace;
@@ -148,20 +148,20 @@
     let mut sent = false;
     loop {
         let detail = match client.try_post("/v1/submissions", body).await {
-            Ok(Reply::Done(accepted)) => return Ok(accepted),
-            Ok(Reply::Problem(problem)) if problem.kind == "unknown" => {
+            Ok(AdminReply::Done(accepted)) => return Ok(accepted),
+            Ok(AdminReply::Problem(problem)) if problem.kind == "unknown" => {
                 sent = true;
                 // The write was based on this one: a repeat must not be based on another.
                 body.expect_generation = problem.generation.or(body.expect_generation);
                 problem.detail
             }
-            Ok(Reply::Problem(problem)) if problem.kind == "unavailable" => problem.detail,
-            Ok(Reply::Problem(problem)) => return Err(refusal(problem)),
-            Err(Failure::Lost(detail)) => {
+            Ok(AdminReply::Problem(problem)) if problem.kind == "unavailable" => problem.detail,
+            Ok(AdminReply::Problem(problem)) => return Err(refusal(problem)),
+            Err(AdminFailure::Lost(detail)) => {
                 sent = true;
                 detail
             }
-            Err(Failure::NotSent(detail)) => detail,
+            Err(AdminFailure::NotSent(detail)) => detail,
         };
         if Instant::now() >= deadline {
             return Err(undecided(sent, body.id, &detail));
@@ -182,7 +182,7 @@
     }
 }
 
-fn refusal(problem: Problem) -> CliError {
+fn refusal(problem: DaemonProblem) -> CliError {
     match problem.kind.as_str() {
         "conflict" => CliError::Conflict { detail: problem.detail },
         _ => CliError::Refused { detail: problem.detail },
