--- a/crates/seamhatch-lab/src/backends/mod.rs
+++ b/crates/seamhatch-lab/src/backends/mod.rs
@@ -17,7 +17,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use seamhatch_core::identity::Address;
-use seamhatchd::server::backend::{HttpClient, http_client};
+use seamhatchd::base::http_client::{HttpClient, http_client};
 use server::StandInBackend;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/seamhatch-lab/src/client.rs
+++ b/crates/seamhatch-lab/src/client.rs
@@ -9,8 +9,8 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use seamhatch_core::identity::Address;
+use seamhatchd::base::http_client::{HttpClient, http_client};
 use seamhatchd::conventions::headers;
-use seamhatchd::server::backend::{HttpClient, http_client};
 use std::time::Duration;
 
 /// Longest wait for an answer. Chosen, not measured.
--- a/crates/seamhatch-lab/src/deployment/readiness.rs
+++ b/crates/seamhatch-lab/src/deployment/readiness.rs
@@ -6,8 +6,8 @@
 use seamhatch_core::identity::Address;
 use seamhatch_core::membership::{Lifecycle, Liveness};
 use seamhatch_core::roster::WITNESSES;
+use seamhatchd::base::http_client::http_client;
 use seamhatchd::control::StatusReport;
-use seamhatchd::server::backend::http_client;
 use std::time::{Duration, Instant};
 
 /// Pause between two requests for a daemon's report. Chosen, not measured.
--- a/crates/seamhatch-lab/tests/path.rs
+++ b/crates/seamhatch-lab/tests/path.rs
@@ -10,7 +10,7 @@
 use seamhatch_lab::client::Caller;
 use seamhatch_lab::deployment::Deployment;
 use seamhatch_lab::topology::{Topology, call, endpoint, service};
-use seamhatchd::server::backend::http_client;
+use seamhatchd::base::http_client::http_client;
 use std::net::SocketAddr;
 use std::process::Command;
 use std::time::Duration;
--- a/crates/seamhatch/src/client.rs
+++ b/crates/seamhatch/src/client.rs
@@ -8,7 +8,7 @@
 use http::{Method, Request, StatusCode};
 use http_body_util::{BodyExt, Full};
 use seamhatch_core::identity::Address;
-use seamhatchd::server::backend::{HttpClient, http_client};
+use seamhatchd::base::http_client::{HttpClient, http_client};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
--- a/crates/seamhatchd/src/server/backend/mod.rs
+++ b/crates/seamhatchd/src/server/backend/mod.rs
@@ -6,14 +6,12 @@
 
 mod answer;
 mod body;
-mod client;
 mod connections;
 mod error;
 mod request;
 
 pub use answer::BackendAnswer;
 pub use body::{BodyPiece, BrokenOff, ChannelStream, RequestBody, no_body, request_body};
-pub use client::{HttpClient, http_client, probing_http_client};
 pub use error::BackendError;
 pub use request::BackendRequest;
 
--- a/crates/seamhatchd/src/store/exchange.rs
+++ b/crates/seamhatchd/src/store/exchange.rs
@@ -2,7 +2,7 @@
 //! never sent from one whose answer is lost.
 
 use super::StoreError;
-use crate::server::backend::{HttpClient, probing_http_client};
+use crate::base::http_client::{HttpClient, probing_http_client};
 use bytes::Bytes;
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, Full, Limited};
--- a/crates/seamhatchd/src/store/machine_list.rs
+++ b/crates/seamhatchd/src/store/machine_list.rs
@@ -1,7 +1,7 @@
 //! Client of the platform's list of machines. The list lags, so it is a hint and never the only evidence.
 
 use super::StoreError;
-use crate::server::backend::http_client;
+use crate::base::http_client::http_client;
 use bytes::Bytes;
 use http::Request;
 use http_body_util::{BodyExt, Full, Limited};
