--- a/crates/seamhatchd/src/controllers/control_thread/followed.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/followed.rs
@@ -8,7 +8,9 @@
 use crate::base::clock;
 use crate::control::ConfigurationEvent;
 use crate::controllers::ask::ask_generation;
-use crate::controllers::follow::{discover, follow_configuration, keep_fresh, keep_quota_shards};
+use crate::controllers::follow::{
+    ProofKeeper, discover, follow_configuration, keep_fresh, keep_quota_shards,
+};
 use crate::ports::{Backing, FollowedStore};
 use log::info;
 use seamhatch_core::Instant;
@@ -70,7 +72,13 @@
             control.clone(),
             metrics.clone(),
         ));
-        tokio::spawn(keep_fresh(self.shared.clone(), followed.clone(), documents));
+        tokio::spawn(keep_fresh(ProofKeeper {
+            followed: followed.clone(),
+            documents,
+            limits: self.shared.limits.clone(),
+            control: control.clone(),
+            metrics: metrics.clone(),
+        }));
         tokio::spawn(keep_quota_shards(self.shared.clone(), followed.clone()));
         tokio::spawn(discover(followed, gossip, control, metrics));
     }
--- a/crates/seamhatchd/src/controllers/control_thread/mod.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/mod.rs
@@ -175,7 +175,7 @@
             ControlEvent::Operator(event) => self.handle_operator(event),
             ControlEvent::Instance(event) => self.handle_instance(event),
             ControlEvent::Suspects(SuspectEvent::Changed(requests)) => self.suspects_changed(requests),
-            ControlEvent::Suspects(SuspectEvent::Condemned(requests)) => self.condemned(requests),
+            ControlEvent::Suspects(SuspectEvent::Condemned(requests)) => self.condemned(&requests),
             ControlEvent::Configuration(event) => self.handle_configuration(event),
             ControlEvent::Roster(event) => self.handle_roster(event),
             ControlEvent::Member(event) => self.handle_member(event),
--- a/crates/seamhatchd/src/controllers/control_thread/publishing.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/publishing.rs
@@ -34,7 +34,7 @@
     /// Evaluates the policy's `stop_sending`.
     pub(super) fn update_stopped(&mut self) {
         let Some((_, configuration)) = self.configuration.in_force() else { return };
-        let stopped = publish::stopped_servers(&self.shared, &configuration, &self.all_members());
+        let stopped = publish::stopped_servers(&self.shared.pool, &configuration, &self.all_members());
         if stopped != self.publication.stopped {
             self.publication.stopped = stopped;
             self.publish();
--- a/crates/seamhatchd/src/controllers/control_thread/suspects.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/suspects.rs
@@ -35,9 +35,11 @@
     }
 
     /// Has the store remember, beyond the end of all daemons, that requests are condemned.
-    pub(super) fn condemned(&self, requests: Vec<RequestDigest>) {
+    pub(super) fn condemned(&self, requests: &[RequestDigest]) {
         let Some(followed) = self.followed().cloned() else { return };
-        tokio::spawn(remember_condemned(self.shared.clone(), followed, requests));
+        let gossip = self.shared.settings.advertise.gossip;
+        let reports = self.shared.suspects.reports(requests);
+        tokio::spawn(remember_condemned(self.shared.metrics.clone(), followed, gossip, reports));
     }
 
     /// Sends what is due a second time, and forgets records that are too old.
--- a/crates/seamhatchd/src/controllers/follow/departures.rs
+++ b/crates/seamhatchd/src/controllers/follow/departures.rs
@@ -7,6 +7,7 @@
 use crate::controllers::ask::ask_daemon;
 use crate::ports::FollowedStore;
 use crate::shared::Shared;
+use crate::store::DaemonRecord;
 use futures_util::future::join_all;
 use log::warn;
 use seamhatch_core::identity::Address;
@@ -49,7 +50,9 @@
     instance: InstanceId,
     done: oneshot::Sender<()>,
 ) {
-    if change_own_record(&shared, &followed, |record| record.departures.add(&instance)).await {
+    let gossip = shared.settings.advertise.gossip;
+    let change = |record: &mut DaemonRecord| record.departures.add(&instance);
+    if change_own_record(&shared.metrics, &followed, gossip, change).await {
         // Nobody waits any more where other daemons hold it.
         let _ = done.send(());
     } else {
--- a/crates/seamhatchd/src/controllers/follow/freshness.rs
+++ b/crates/seamhatchd/src/controllers/follow/freshness.rs
@@ -9,9 +9,11 @@
 
 use super::store_calls::{Backoff, call_store};
 use crate::base::clock;
-use crate::control::ConfigurationEvent;
+use crate::base::metrics::Metrics;
+use crate::control::{ConfigurationEvent, ControlHandle};
+use crate::limits::SharedLimits;
+use crate::limits::freshness::Freshness;
 use crate::ports::{DocumentFormat, FollowedStore};
-use crate::shared::Shared;
 use crate::store::StoreError;
 use log::debug;
 use seamhatch_core::clock::{MILLISECOND, Microseconds, SECOND};
@@ -32,20 +34,35 @@
 /// measured.
 const EAGER_PLACES: usize = 3;
 
+/// What this task uses.
+pub struct ProofKeeper {
+    /// The store to ask.
+    pub followed: FollowedStore,
+    /// Reads the configuration in it.
+    pub documents: Arc<dyn DocumentFormat>,
+    /// Holds the proof, and this daemon's place in the order.
+    pub limits: Arc<SharedLimits>,
+    /// Receives proofs.
+    pub control: ControlHandle,
+    /// Counts the calls.
+    pub metrics: Arc<Metrics>,
+}
+
 /// Keeps the proof recent until the process ends, while anything depends on it.
-pub async fn keep_fresh(shared: Arc<Shared>, followed: FollowedStore, documents: Arc<dyn DocumentFormat>) {
+pub async fn keep_fresh(keeper: ProofKeeper) {
+    let freshness = &keeper.limits.freshness;
     let mut backoff = Backoff::default();
     loop {
         tokio::time::sleep(POLL).await;
-        if !shared.limits.freshness.is_needed() || !is_due(&shared) {
+        if !freshness.is_needed() || !is_due(freshness) {
             continue;
         }
-        match ask(&shared, &followed, &documents).await {
+        match keeper.ask().await {
             Ok(()) => backoff.succeeded(),
             Err(error) => {
-                shared.metrics.store_failures.inc();
+                keeper.metrics.store_failures.inc();
                 debug!(error = error.to_string().as_str(); "the store does not tell whether the configuration is the newest");
-                if shared.limits.freshness.rank() < EAGER_PLACES {
+                if freshness.rank() < EAGER_PLACES {
                     backoff.eager_pause().await;
                 } else {
                     backoff.pause().await;
@@ -55,24 +72,22 @@
     }
 }
 
-fn is_due(shared: &Shared) -> bool {
-    let place = shared.limits.freshness.rank().min(LAST_PLACE) as Microseconds;
+fn is_due(freshness: &Freshness) -> bool {
+    let place = freshness.rank().min(LAST_PLACE) as Microseconds;
     let asks_after = FIRST_ASKS_AFTER + place * NEXT_ASKS_AFTER;
-    shared.limits.freshness.age(clock::now()).is_none_or(|age| age >= asks_after)
+    freshness.age(clock::now()).is_none_or(|age| age >= asks_after)
 }
 
-async fn ask(
-    shared: &Shared,
-    followed: &FollowedStore,
-    documents: &Arc<dyn DocumentFormat>,
-) -> Result<(), StoreError> {
-    let sent = clock::now();
-    let reading = call_store(&shared.metrics, followed.store.get(&followed.configuration_key)).await?;
-    let Some(item) = reading.found else { return Ok(()) };
-    // One that can't be read is logged by the watch, and proves nothing.
-    let Ok(stored) = documents.read(&item.value) else { return Ok(()) };
-    let proof = FreshnessProof { generation: stored.generation, at: sent };
-    shared.control.send(ConfigurationEvent::Offered(stored));
-    shared.control.send(ConfigurationEvent::Proved(proof));
-    Ok(())
+impl ProofKeeper {
+    async fn ask(&self) -> Result<(), StoreError> {
+        let sent = clock::now();
+        let reading = self.followed.store.get(&self.followed.configuration_key);
+        let Some(item) = call_store(&self.metrics, reading).await?.found else { return Ok(()) };
+        // One that can't be read is logged by the watch, and proves nothing.
+        let Ok(stored) = self.documents.read(&item.value) else { return Ok(()) };
+        let proof = FreshnessProof { generation: stored.generation, at: sent };
+        self.control.send(ConfigurationEvent::Offered(stored));
+        self.control.send(ConfigurationEvent::Proved(proof));
+        Ok(())
+    }
 }
--- a/crates/seamhatchd/src/controllers/follow/mod.rs
+++ b/crates/seamhatchd/src/controllers/follow/mod.rs
@@ -17,5 +17,5 @@
 pub use configuration::follow_configuration;
 pub use departures::{ask_departures, remember_departure};
 pub use discovery::discover;
-pub use freshness::keep_fresh;
+pub use freshness::{ProofKeeper, keep_fresh};
 pub use quota_shards::{holder_of, keep_quota_shards};
--- a/crates/seamhatchd/src/controllers/follow/own_record.rs
+++ b/crates/seamhatchd/src/controllers/follow/own_record.rs
@@ -4,31 +4,33 @@
 //! arrive, and a daemon that has just started may not know yet what earlier incarnations have written.
 
 use super::store_calls::{Backoff, STORE_TIMEOUT};
+use crate::base::metrics::Metrics;
 use crate::ports::FollowedStore;
-use crate::shared::Shared;
 use crate::store::{DaemonRecord, Revision, StoreError, Write, WriteOutcome};
 use log::debug;
+use seamhatch_core::identity::Address;
 
 /// Attempts to write a record that other daemons know already. With the longest pauses they span an outage of about 20 s. Chosen, not
 /// measured.
 const WRITE_ATTEMPTS: u32 = 20;
 
-/// Changes this daemon's record in the store, in up to [`WRITE_ATTEMPTS`] attempts. False when none succeeded.
+/// Changes the record of this daemon, which has the gossip address `gossip`, in the store, in up to [`WRITE_ATTEMPTS`] attempts. False when none succeeded.
 pub async fn change_own_record(
-    shared: &Shared,
+    metrics: &Metrics,
     followed: &FollowedStore,
+    gossip: Address,
     change: impl Fn(&mut DaemonRecord),
 ) -> bool {
     let mut backoff = Backoff::default();
     for _attempt in 0..WRITE_ATTEMPTS {
         // One time-out for the read and the write together.
-        let attempt = tokio::time::timeout(STORE_TIMEOUT, write(shared, followed, &change)).await;
+        let attempt = tokio::time::timeout(STORE_TIMEOUT, write(metrics, followed, gossip, &change)).await;
         match attempt.unwrap_or_else(|_| Err(StoreError::timed_out())) {
             Ok(WriteOutcome::Done(_)) => return true,
             // Another write came in between: the record is read again at once.
             Ok(WriteOutcome::Refused(_)) => {}
             Err(error) => {
-                shared.metrics.store_failures.inc();
+                metrics.store_failures.inc();
                 debug!(error = error.to_string().as_str(); "this daemon's record can't be written yet");
                 backoff.pause().await;
             }
@@ -38,12 +40,13 @@
 }
 
 async fn write(
-    shared: &Shared,
+    metrics: &Metrics,
     followed: &FollowedStore,
+    gossip: Address,
     change: &impl Fn(&mut DaemonRecord),
 ) -> Result<WriteOutcome, StoreError> {
-    let key = DaemonRecord::key(&followed.member_prefix, shared.settings.advertise.gossip);
-    let item = shared.metrics.time_store_call(followed.store.get(&key)).await?.found;
+    let key = DaemonRecord::key(&followed.member_prefix, gossip);
+    let item = metrics.time_store_call(followed.store.get(&key)).await?.found;
     let revision = item.as_ref().map_or(Revision(0), |item| item.revision);
     let mut record = item.as_ref().map(DaemonRecord::read).unwrap_or_default();
     change(&mut record);
@@ -52,5 +55,5 @@
         put: vec![(key, record.to_bytes())],
         ..Write::default()
     };
-    shared.metrics.time_store_call(followed.store.write(&write)).await
+    metrics.time_store_call(followed.store.write(&write)).await
 }
--- a/crates/seamhatchd/src/controllers/publish.rs
+++ b/crates/seamhatchd/src/controllers/publish.rs
@@ -3,7 +3,7 @@
 //! Pure functions over the controllers' state, called by the control thread.
 
 use crate::base::clock;
-use crate::shared::Shared;
+use crate::peer::PeerPool;
 use crate::snapshot::{Server, Snapshot};
 use seamhatch_core::generation::Generation;
 use seamhatch_core::identity::Address;
@@ -42,7 +42,7 @@
 /// Servers that the policy's `stop_sending` takes out of use, by their peer address. A service keeps at least half of its servers,
 /// whatever the policy says.
 pub fn stopped_servers(
-    shared: &Shared,
+    pool: &PeerPool,
     configuration: &Configuration,
     members: &[MemberRecord],
 ) -> BTreeSet<Address> {
@@ -50,7 +50,7 @@
     for record in members.iter().filter(|record| record.takes_work()) {
         let servers = by_service.entry(&record.info.service).or_default();
         servers.total += 1;
-        if let Some(view) = server_view(shared, record)
+        if let Some(view) = server_view(pool, record)
             && configuration.policy().stop_sending(&view)
         {
             servers.stopped.push(record.info.peer);
@@ -61,8 +61,8 @@
 }
 
 /// What the policy sees of a server; none where its daemon isn't connected or is silent.
-fn server_view(shared: &Shared, record: &MemberRecord) -> Option<ServerView> {
-    let connection = shared.pool.existing(record.info.peer)?;
+fn server_view(pool: &PeerPool, record: &MemberRecord) -> Option<ServerView> {
+    let connection = pool.existing(record.info.peer)?;
     let view = connection.view();
     if view.should_avoid(clock::now()) {
         return None;
