--- a/crates/seamhatchd/src/controllers/control_thread/followed.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/followed.rs
@@ -9,7 +9,7 @@
 use crate::control::ConfigurationEvent;
 use crate::controllers::ask::ask_generation;
 use crate::controllers::follow::{
-    ProofKeeper, discover, follow_configuration, keep_fresh, keep_quota_shards,
+    ProofKeeper, ShardKeeper, ShardOwner, discover, follow_configuration, keep_fresh, keep_quota_shards,
 };
 use crate::ports::{Backing, FollowedStore};
 use log::info;
@@ -79,10 +79,28 @@
             control: control.clone(),
             metrics: metrics.clone(),
         }));
-        tokio::spawn(keep_quota_shards(self.shared.clone(), followed.clone()));
+        let keeper = ShardKeeper::new(
+            self.shard_owner(),
+            followed.clone(),
+            self.shared.limits.clone(),
+            control.clone(),
+            metrics.clone(),
+        );
+        tokio::spawn(keep_quota_shards(keeper));
         tokio::spawn(discover(followed, gossip, control, metrics));
     }
 
+    /// This daemon as the holder of shards.
+    fn shard_owner(&self) -> ShardOwner {
+        let settings = &self.shared.settings;
+        ShardOwner {
+            gossip: settings.advertise.gossip,
+            peer: settings.advertise.peer,
+            zone: settings.zone.clone(),
+            incarnation: self.shared.incarnation,
+        }
+    }
+
     pub(super) fn tick_followed(&mut self, now: Instant) {
         self.pull_missing(now);
         self.verify_followed(now);
--- a/crates/seamhatchd/src/controllers/follow/mod.rs
+++ b/crates/seamhatchd/src/controllers/follow/mod.rs
@@ -18,4 +18,4 @@
 pub use departures::{ask_departures, remember_departure};
 pub use discovery::discover;
 pub use freshness::{ProofKeeper, keep_fresh};
-pub use quota_shards::{holder_of, keep_quota_shards};
+pub use quota_shards::{ShardKeeper, ShardOwner, holder_of, keep_quota_shards};
--- a/crates/seamhatchd/src/controllers/follow/quota_shards.rs
+++ b/crates/seamhatchd/src/controllers/follow/quota_shards.rs
@@ -7,13 +7,15 @@
 
 use super::store_calls::{Backoff, call_store};
 use crate::base::clock;
-use crate::control::ControlEvent;
+use crate::base::metrics::Metrics;
+use crate::control::{ControlEvent, ControlHandle};
+use crate::limits::SharedLimits;
 use crate::ports::FollowedStore;
-use crate::shared::Shared;
 use crate::store::{Item, LeaseId, Revision, ShardRecord, StoreError, Write, WriteOutcome};
 use log::{debug, info, warn};
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, Microseconds, SECOND};
+use seamhatch_core::identity::{Address, Incarnation};
 use seamhatch_core::quota::{ShardHolder, ShardNumber};
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -40,20 +42,44 @@
     ShardHolder { peer: record.peer, zone: record.zone.clone() }
 }
 
+/// The daemon that takes shards, as its records in the store name it.
+pub struct ShardOwner {
+    /// Its gossip address.
+    pub gossip: Address,
+    /// Its peer address.
+    pub peer: Address,
+    /// Its zone.
+    pub zone: String,
+    /// This run of the process.
+    pub incarnation: Incarnation,
+}
+
+/// What this task uses.
+pub struct ShardKeeper {
+    owner: ShardOwner,
+    followed: FollowedStore,
+    limits: Arc<SharedLimits>,
+    control: ControlHandle,
+    metrics: Arc<Metrics>,
+    lease: Option<LeaseId>,
+    /// When the call that made or last renewed the lease was sent.
+    renewed: Instant,
+    /// Shards that seem vacant, each with the instant at which this daemon may try next.
+    noticed: BTreeMap<ShardNumber, Instant>,
+}
+
 /// Keeps the shards that this daemon holds, and takes those that it may take, until the process ends.
-pub async fn keep_quota_shards(shared: Arc<Shared>, followed: FollowedStore) {
-    let mut keeper =
-        ShardKeeper { shared, followed, lease: None, renewed: Instant::default(), noticed: BTreeMap::new() };
+pub async fn keep_quota_shards(mut keeper: ShardKeeper) {
     let mut backoff = Backoff::default();
     loop {
         tokio::time::sleep(POLL).await;
-        if !keeper.shared.limits.quota.is_needed() {
+        if !keeper.limits.quota.is_needed() {
             continue;
         }
         match keeper.step().await {
             Ok(()) => backoff.succeeded(),
             Err(error) => {
-                keeper.shared.metrics.store_failures.inc();
+                keeper.metrics.store_failures.inc();
                 debug!(error = error.to_string().as_str(); "shards can't be taken or kept");
                 if keeper.lease.is_some() {
                     // Few daemons hold shards, and their leases run out.
@@ -66,23 +92,25 @@
     }
 }
 
-struct ShardKeeper {
-    shared: Arc<Shared>,
-    followed: FollowedStore,
-    lease: Option<LeaseId>,
-    /// When the call that made or last renewed the lease was sent.
-    renewed: Instant,
-    /// Shards that seem vacant, each with the instant at which this daemon may try next.
-    noticed: BTreeMap<ShardNumber, Instant>,
-}
-
 impl ShardKeeper {
+    /// Holds nothing yet; `limits` shows which shards may be taken, and `control` learns of those that are.
+    pub fn new(
+        owner: ShardOwner,
+        followed: FollowedStore,
+        limits: Arc<SharedLimits>,
+        control: ControlHandle,
+        metrics: Arc<Metrics>,
+    ) -> Self {
+        let (lease, renewed, noticed) = (None, Instant::default(), BTreeMap::new());
+        Self { owner, followed, limits, control, metrics, lease, renewed, noticed }
+    }
+
     /// Renews the lease and tries the shards that are due.
     async fn step(&mut self) -> Result<(), StoreError> {
         self.drop_ended_lease();
         self.renew().await?;
-        let held = self.shared.limits.quota.held.mask();
-        let mut vacant = self.shared.limits.quota.directory.vacant();
+        let held = self.limits.quota.held.mask();
+        let mut vacant = self.limits.quota.directory.vacant();
         vacant.retain(|(shard, _)| held & (1 << shard) == 0);
         self.noticed.retain(|shard, _| vacant.iter().any(|(vacant, _)| vacant == shard));
         for (shard, place) in vacant {
@@ -98,12 +126,12 @@
 
     /// Gives up all shards where the lease has ended.
     fn drop_ended_lease(&mut self) {
-        let held = &self.shared.limits.quota.held;
+        let held = &self.limits.quota.held;
         if self.lease.is_some() && !held.holds() {
             warn!(shards = held.mask().count_ones(); "the lease of this daemon's shards has ended");
             self.lease = None;
             held.give_up();
-            self.shared.control.send(ControlEvent::QuotaShardsChanged);
+            self.control.send(ControlEvent::QuotaShardsChanged);
         }
     }
 
@@ -116,9 +144,9 @@
         let kept = self.call(self.followed.store.keep_lease(lease)).await?;
         if kept {
             self.renewed = sent;
-            self.shared.limits.quota.held.renewed(sent, LEASE.as_micros() as Microseconds);
+            self.limits.quota.held.renewed(sent, LEASE.as_micros() as Microseconds);
         } else {
-            self.shared.limits.quota.held.give_up();
+            self.limits.quota.held.give_up();
             self.drop_ended_lease();
         }
         Ok(())
@@ -132,7 +160,7 @@
         let sent = clock::now();
         let lease = self.call(self.followed.store.make_lease(LEASE)).await?;
         self.renewed = sent;
-        self.shared.limits.quota.held.renewed(sent, LEASE.as_micros() as Microseconds);
+        self.limits.quota.held.renewed(sent, LEASE.as_micros() as Microseconds);
         self.lease = Some(lease);
         Ok(lease)
     }
@@ -140,14 +168,11 @@
     async fn try_to_take(&mut self, shard: ShardNumber) -> Result<(), StoreError> {
         let lease = self.lease().await?;
         let Some(found) = self.write(shard, Revision(0), lease).await? else { return Ok(()) };
-        let settings = &self.shared.settings;
         let record = ShardRecord::read(&self.followed.member_prefix, &found).map(|(_, record)| record);
         match record {
             // The answer to an earlier attempt was lost.
             Some(record) if record == self.record(lease) => self.take(shard),
-            Some(record)
-                if record.is_of_earlier_incarnation(settings.advertise.gossip, self.shared.incarnation) =>
-            {
+            Some(record) if record.is_of_earlier_incarnation(self.owner.gossip, self.owner.incarnation) => {
                 self.write(shard, found.revision, lease).await?;
             }
             Some(record) => self.pass_over(shard, &record),
@@ -184,29 +209,29 @@
     }
 
     fn record(&self, LeaseId(lease): LeaseId) -> ShardRecord {
-        let settings = &self.shared.settings;
+        let owner = &self.owner;
         ShardRecord {
-            holder: settings.advertise.gossip,
-            incarnation: self.shared.incarnation.0,
+            holder: owner.gossip,
+            incarnation: owner.incarnation.0,
             lease,
-            peer: settings.advertise.peer,
-            zone: settings.zone.clone(),
+            peer: owner.peer,
+            zone: owner.zone.clone(),
         }
     }
 
     fn take(&self, shard: ShardNumber) {
         info!(shard = shard; "this daemon holds a shard of the tenants' limits");
-        self.shared.limits.quota.held.take(shard);
-        self.shared.control.send(ControlEvent::QuotaShardsChanged);
+        self.limits.quota.held.take(shard);
+        self.control.send(ControlEvent::QuotaShardsChanged);
     }
 
     /// Leaves a shard that another daemon holds alone for a while.
     fn pass_over(&mut self, shard: ShardNumber, record: &ShardRecord) {
-        self.shared.limits.quota.directory.learn(shard, holder_of(record));
+        self.limits.quota.directory.learn(shard, holder_of(record));
         self.noticed.insert(shard, clock::now().plus(HELD_ELSEWHERE_PAUSE));
     }
 
     async fn call<T>(&self, call: impl Future<Output = Result<T, StoreError>>) -> Result<T, StoreError> {
-        call_store(&self.shared.metrics, call).await
+        call_store(&self.metrics, call).await
     }
 }
