--- a/crates/seamhatchd/src/controllers/control_thread/configuration.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/configuration.rs
@@ -3,7 +3,7 @@
 use super::ControlThread;
 use crate::base::clock;
 use crate::control::{ConfigurationEvent, SubmitError, SubmitRequest};
-use crate::controllers::ask::{ask_daemon, ask_generation};
+use crate::controllers::ask::ask_generation;
 use crate::controllers::submission::Submission;
 use crate::ports::Backing;
 use log::warn;
@@ -132,7 +132,7 @@
     pub(super) fn send_to_peer(&self, peer: Address, request: ControlRequest) {
         let shared = self.shared.clone();
         tokio::spawn(async move {
-            if let Some(ControlReply::Configuration(newer)) = ask_daemon(&shared, peer, request).await {
+            if let Some(ControlReply::Configuration(newer)) = shared.pool.ask(peer, request).await {
                 shared.control.send(ConfigurationEvent::Offered(newer));
             }
         });
@@ -148,7 +148,7 @@
         let Some(peer) = peer.filter(|peer| self.exchanges.begin_to_ask(*peer)) else { return };
         let shared = self.shared.clone();
         tokio::spawn(async move {
-            if let Some(ControlReply::Configuration(newer)) = ask_generation(&shared, peer, have).await {
+            if let Some(ControlReply::Configuration(newer)) = ask_generation(&shared.pool, peer, have).await {
                 shared.control.send(ConfigurationEvent::Offered(newer));
             }
         });
--- a/crates/seamhatchd/src/controllers/control_thread/departures.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/departures.rs
@@ -106,10 +106,10 @@
         }
         self.departures.next_poll = now.plus(DEPARTURE_POLL);
         self.departures.asking = true;
-        let shared = self.shared.clone();
+        let (pool, control) = (self.shared.pool.clone(), self.shared.control.clone());
+        let gossip = self.shared.settings.advertise.gossip;
         tokio::spawn(async move {
-            let control = shared.control.clone();
-            control.send(match ask_departures(shared, peers).await {
+            control.send(match ask_departures(pool, gossip, peers).await {
                 Some(instances) => InstanceEvent::DeparturesLearned(DepartureSource::Holders, instances),
                 None => InstanceEvent::DeparturesNotLearned,
             });
@@ -155,11 +155,13 @@
         let peers = self.departure_peers(DEPARTURE_HOLDERS);
         let shared = self.shared.clone();
         tokio::spawn(async move {
-            let control = shared.control.clone();
-            let remembered = remember_departure(shared, followed, instance.clone(), peers).await;
+            let (pool, metrics) = (shared.pool.clone(), shared.metrics.clone());
+            let gossip = shared.settings.advertise.gossip;
+            let remembered =
+                remember_departure(pool, metrics, followed, gossip, instance.clone(), peers).await;
             info!(instance = instance.name.as_str(), remembered = remembered; "departure of an instance");
             let answer = if remembered {
-                control.send(InstanceEvent::DepartureRemembered(instance));
+                shared.control.send(InstanceEvent::DepartureRemembered(instance));
                 InstanceAnswer::Acknowledged
             } else {
                 InstanceAnswer::NotRemembered
--- a/crates/seamhatchd/src/controllers/control_thread/followed.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/followed.rs
@@ -159,7 +159,7 @@
         let have = self.configuration.generation();
         let shared = self.shared.clone();
         tokio::spawn(async move {
-            if let Some(ControlReply::Configuration(newer)) = ask_generation(&shared, peer, have).await {
+            if let Some(ControlReply::Configuration(newer)) = ask_generation(&shared.pool, peer, have).await {
                 info!(generation = newer.generation.0, waited_ms = clock::now().since(missing.since) / MILLISECOND; "configuration learnt from a peer");
                 shared.control.send(ConfigurationEvent::Offered(newer));
             }
--- a/crates/seamhatchd/src/controllers/control_thread/roster.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/roster.rs
@@ -4,7 +4,6 @@
 use super::configuration::FANOUT;
 use crate::base::clock;
 use crate::control::{RosterEvent, TransitionResult};
-use crate::controllers::ask::ask_daemon;
 use crate::controllers::roster_change::Transition;
 use crate::ports::Backing;
 use crate::store::{ROSTER_KEY, StoreError, Stored, Swap};
@@ -46,7 +45,7 @@
         let members = self.all_members();
         for (shard, target) in self.roster.start_transitions() {
             let transition = Transition {
-                shared: self.shared.clone(),
+                pool: self.shared.pool.clone(),
                 shard,
                 ended: self.roster.ended(&target, &members),
                 target,
@@ -121,7 +120,7 @@
         let Some(peer) = self.membership.random_peers(1).first().copied() else { return };
         let shared = self.shared.clone();
         tokio::spawn(async move {
-            let reply = ask_daemon(&shared, peer, ControlRequest::GetRoster).await;
+            let reply = shared.pool.ask(peer, ControlRequest::GetRoster).await;
             if let Some(ControlReply::Roster(roster)) = reply {
                 shared.control.send(RosterEvent::Offered(roster));
             }
--- a/crates/seamhatchd/src/controllers/follow/departures.rs
+++ b/crates/seamhatchd/src/controllers/follow/departures.rs
@@ -4,9 +4,9 @@
 //! before it is acknowledged, and a starting daemon asks both.
 
 use super::own_record::change_own_record;
-use crate::controllers::ask::ask_daemon;
+use crate::base::metrics::Metrics;
+use crate::peer::PeerPool;
 use crate::ports::FollowedStore;
-use crate::shared::Shared;
 use crate::store::DaemonRecord;
 use futures_util::future::join_all;
 use log::warn;
@@ -26,16 +26,20 @@
 
 /// Has the store and `peers` remember that an instance of this daemon's back end has departed. True when the
 /// store or at least one peer has done so in time. The write to the store goes on all the same until it has succeeded.
+///
+/// `gossip` is this daemon's gossip address.
 pub async fn remember_departure(
-    shared: Arc<Shared>,
+    pool: Arc<PeerPool>,
+    metrics: Arc<Metrics>,
     followed: FollowedStore,
+    gossip: Address,
     instance: InstanceId,
     peers: Vec<Address>,
 ) -> bool {
     let (done, written) = oneshot::channel();
-    tokio::spawn(write_until_done(shared.clone(), followed, instance.clone(), done));
+    tokio::spawn(write_until_done(metrics, followed, gossip, instance.clone(), done));
     let stored = tokio::time::timeout(REMEMBER_TIMEOUT, written);
-    let held = tokio::time::timeout(REMEMBER_TIMEOUT, ask_to_hold(&shared, &instance, peers));
+    let held = tokio::time::timeout(REMEMBER_TIMEOUT, ask_to_hold(&pool, gossip, &instance, peers));
     tokio::pin!(stored, held);
     // Whichever succeeds first is enough; where it fails, the other one decides. A time-out counts as a failure.
     tokio::select! {
@@ -45,14 +49,14 @@
 }
 
 async fn write_until_done(
-    shared: Arc<Shared>,
+    metrics: Arc<Metrics>,
     followed: FollowedStore,
+    gossip: Address,
     instance: InstanceId,
     done: oneshot::Sender<()>,
 ) {
-    let gossip = shared.settings.advertise.gossip;
     let change = |record: &mut DaemonRecord| record.departures.add(&instance);
-    if change_own_record(&shared.metrics, &followed, gossip, change).await {
+    if change_own_record(&metrics, &followed, gossip, change).await {
         // Nobody waits any more where other daemons hold it.
         let _ = done.send(());
     } else {
@@ -61,19 +65,26 @@
 }
 
 /// Asks `peers` to hold a departure; true when at least one does.
-async fn ask_to_hold(shared: &Arc<Shared>, instance: &InstanceId, peers: Vec<Address>) -> bool {
-    let request = ControlRequest::RememberDeparture {
-        member: shared.settings.advertise.gossip,
-        instance: instance.clone(),
-    };
-    let replies = join_all(peers.iter().map(|peer| ask_daemon(shared, *peer, request.clone()))).await;
+async fn ask_to_hold(
+    pool: &Arc<PeerPool>,
+    gossip: Address,
+    instance: &InstanceId,
+    peers: Vec<Address>,
+) -> bool {
+    let request = ControlRequest::RememberDeparture { member: gossip, instance: instance.clone() };
+    let replies = join_all(peers.iter().map(|peer| pool.ask(*peer, request.clone()))).await;
     replies.contains(&Some(ControlReply::Done))
 }
 
-/// Asks `peers` which instances of this daemon's back end have departed. None when no peer answers.
-pub async fn ask_departures(shared: Arc<Shared>, peers: Vec<Address>) -> Option<Vec<InstanceId>> {
-    let request = ControlRequest::GetDepartures { member: shared.settings.advertise.gossip };
-    let ask = |peer| tokio::time::timeout(HOLDER_TIMEOUT, ask_daemon(&shared, peer, request.clone()));
+/// Asks `peers` which instances of the back end of this daemon, which has the gossip address `gossip`, have departed. None when no peer
+/// answers.
+pub async fn ask_departures(
+    pool: Arc<PeerPool>,
+    gossip: Address,
+    peers: Vec<Address>,
+) -> Option<Vec<InstanceId>> {
+    let request = ControlRequest::GetDepartures { member: gossip };
+    let ask = |peer| tokio::time::timeout(HOLDER_TIMEOUT, pool.ask(peer, request.clone()));
     let replies = join_all(peers.into_iter().map(ask)).await;
     let mut answered = false;
     let mut departed = Vec::new();
--- a/crates/seamhatchd/src/controllers/mod.rs
+++ b/crates/seamhatchd/src/controllers/mod.rs
@@ -16,5 +16,4 @@
 mod status;
 mod submission;
 
-pub use ask::ask_daemon;
 pub use control_thread::ControlThread;
--- a/crates/seamhatchd/src/controllers/registration.rs
+++ b/crates/seamhatchd/src/controllers/registration.rs
@@ -32,7 +32,7 @@
 pub async fn register(shared: &Arc<Shared>, stored: &StoredConfiguration) -> bool {
     let Some(assignment) = holders(shared) else { return true };
     let request = ControlRequest::HoldConfiguration { epoch: assignment.epoch, stored: stored.clone() };
-    let replies = ask_witnesses(shared, &assignment.witnesses, &request).await;
+    let replies = ask_witnesses(&shared.pool, &assignment.witnesses, &request).await;
     let held = replies.iter().flatten().filter(|reply| **reply == ControlReply::Done).count();
     if held <= assignment.witnesses.len() / 2 {
         shared.control.check_roster();
@@ -56,7 +56,7 @@
 pub async fn ask_held(shared: &Arc<Shared>, have: Generation) -> Held {
     let Some(assignment) = holders(shared) else { return Held::NoRoster };
     let request = ControlRequest::GetHeld { epoch: assignment.epoch, have };
-    let replies = ask_witnesses(shared, &assignment.witnesses, &request).await;
+    let replies = ask_witnesses(&shared.pool, &assignment.witnesses, &request).await;
     let answers: Vec<Option<StoredConfiguration>> = replies
         .into_iter()
         .flatten()
--- a/crates/seamhatchd/src/controllers/roster_change.rs
+++ b/crates/seamhatchd/src/controllers/roster_change.rs
@@ -6,7 +6,7 @@
 use crate::control::TransitionResult;
 use crate::controllers::ask::ask_witnesses;
 use crate::controllers::registration::newer;
-use crate::shared::Shared;
+use crate::peer::PeerPool;
 use log::info;
 use seamhatch_core::claims::{Claim, Epoch};
 use seamhatch_core::roster::{
@@ -19,8 +19,8 @@
 
 /// One shard's change in progress.
 pub struct Transition {
-    /// The daemon's shared parts.
-    pub shared: Arc<Shared>,
+    /// Links to the witnesses.
+    pub pool: Arc<PeerPool>,
     /// Number of the shard.
     pub shard: usize,
     /// What it is to become, and what came before.
@@ -74,7 +74,7 @@
     async fn missing_witnesses(&self) -> Vec<WitnessId> {
         let current = &self.target.current;
         let request = ControlRequest::WitnessStatus { shard: self.shard as u32 };
-        let replies = ask_witnesses(&self.shared, &current.witnesses, &request).await;
+        let replies = ask_witnesses(&self.pool, &current.witnesses, &request).await;
         let serving = Some(ControlReply::Serving(current.epoch));
         let pairs = current.witnesses.iter().zip(replies);
         pairs.filter(|(_, reply)| *reply != serving).map(|(id, _)| *id).collect()
@@ -103,7 +103,7 @@
 
     async fn seal(&self, assignment: &Assignment) -> BTreeMap<WitnessId, WitnessMemory> {
         let request = ControlRequest::Seal { shard: self.shard as u32, epoch: assignment.epoch };
-        let replies = ask_witnesses(&self.shared, &assignment.witnesses, &request).await;
+        let replies = ask_witnesses(&self.pool, &assignment.witnesses, &request).await;
         let pairs = assignment.witnesses.iter().zip(replies);
         pairs
             .filter_map(|(id, reply)| match reply {
@@ -120,7 +120,7 @@
             claims: sealed.claims,
             held: sealed.held.filter(|_| self.shard == CONFIGURATION_SHARD),
         };
-        let replies = ask_witnesses(&self.shared, missing, &request).await;
+        let replies = ask_witnesses(&self.pool, missing, &request).await;
         replies.iter().filter(|reply| **reply == Some(ControlReply::Done)).count()
     }
 }
--- a/crates/seamhatchd/src/controllers/status.rs
+++ b/crates/seamhatchd/src/controllers/status.rs
@@ -3,7 +3,7 @@
 //! A task of the control thread, as it waits for other daemons. It keeps nothing.
 
 use crate::control::{MemberStatus, ShardStatus, StatusReport};
-use crate::controllers::ask::{ask_daemon, ask_generation};
+use crate::controllers::ask::ask_generation;
 use crate::shared::Shared;
 use futures_util::StreamExt;
 use futures_util::future::join_all;
@@ -56,7 +56,7 @@
     if !record.is_live() {
         return member_status(&record, None);
     }
-    let reply = ask_generation(&shared, record.info.peer, Generation(u64::MAX)).await;
+    let reply = ask_generation(&shared.pool, record.info.peer, Generation(u64::MAX)).await;
     let generation = match reply {
         Some(ControlReply::Generation(generation)) => Some(generation.0),
         _ => None,
@@ -80,7 +80,7 @@
 async fn ask_witnesses(shared: &Arc<Shared>, index: usize, shard: &ShardRoster) -> ShardStatus {
     let current = &shard.current;
     let request = ControlRequest::WitnessStatus { shard: index as u32 };
-    let asking = current.witnesses.iter().map(|witness| ask_daemon(shared, witness.daemon, request.clone()));
+    let asking = current.witnesses.iter().map(|witness| shared.pool.ask(witness.daemon, request.clone()));
     let replies = join_all(asking).await;
     let serving = Some(ControlReply::Serving(current.epoch));
     ShardStatus {
