--- a/crates/seamhatchd/src/lib.rs
+++ b/crates/seamhatchd/src/lib.rs
@@ -5,16 +5,18 @@
 //! thread of their own, which publish an immutable [`snapshot`] to the threads
 //! that carry traffic.
 //!
-//! The modules form layers; each uses only those above it in this list:
+//! The modules form layers; each uses only those above it in this list (`tests/layers.rs`):
 //!
-//! 1. [`settings`] and [`base`]: clock, logs, metrics
+//! 1. [`settings`], and [`base`]: clock, HTTP clients, logs, metrics
 //! 2. [`conventions`], [`store`], [`ports`]: what a platform plugs in
-//! 3. [`server`]: the back end beside this daemon
-//! 4. [`peer`]: connections to other daemons
-//! 5. [`limits`] and [`claims`]: what daemons bound together
-//! 6. [`filters`], [`dispatch`], [`listeners`]: the path of a request; `peer_server`: calls of other daemons to the back end;
-//!    [`controllers`] beside them
-//! 7. [`startup`]
+//! 3. [`lifecycle`], [`snapshot`], [`control`]: the state of the process, what the control thread publishes, how it is reached
+//! 4. [`server`]: the back end beside this daemon
+//! 5. [`peer`]: connections on which this daemon calls others
+//! 6. [`limits`] and [`claims`]: what daemons decide together
+//! 7. [`shared`]: all of these, as the layers below get them
+//! 8. [`filters`], [`dispatch`], [`listeners`]: the path of a request; `peer_server`: calls of other daemons to the back end;
+//!    [`controllers`]: the control thread
+//! 9. [`startup`], `reload`, `stop`
 
 pub mod base;
 pub mod claims;
