--- a/crates/seamhatchd/src/peer_server/call/execute.rs
+++ b/crates/seamhatchd/src/peer_server/call/execute.rs
@@ -1,8 +1,8 @@
 //! Running an admitted call on the back end.
 //!
-//! The permit is held until the answer or the refusal is on its way. The order of the steps matters: what may have
-//! changed while the call waited is checked last, right before the request is written, and the daemon checks
-//! for a crash only after the sender has got the end of the answer, unless a refusal depends on it.
+//! The order of the steps matters. What may have changed while the call waited is checked last, right before the request is
+//! written. The permit is held until the body of the answer, or the refusal, has been sent. After an answer that broke off the
+//! sender gets the end first and the check for a crash follows; a refusal waits for that check, as its reason depends on it.
 
 use super::ServerCall;
 use super::answer::AnswerStart;
