--- /dev/null
+++ b/crates/seamhatchd/tests/log_messages.rs
@@ -0,0 +1,94 @@
+//! docs/OPERATIONS.md lists every log message of the daemon with its level and keys; whoever reads a log finds it there.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::path::{Path, PathBuf};
+
+const LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
+
+/// Keys of each message, by level and message.
+type Messages = BTreeMap<(String, String), BTreeSet<String>>;
+
+fn repository() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
+}
+
+fn sources(folder: &Path) -> Vec<PathBuf> {
+    let entries = std::fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path());
+    entries.flat_map(|path| if path.is_dir() { sources(&path) } else { vec![path] }).collect()
+}
+
+/// The arguments of a macro call that begins right before `text`: up to its closing bracket, split at semicolons and commas
+/// outside of brackets and literals; each with the sign that ends it.
+fn arguments(text: &str) -> Vec<(String, char)> {
+    let (mut depth, mut in_text, mut escaped) = (0, false, false);
+    let (mut found, mut current) = (Vec::new(), String::new());
+    for letter in text.chars() {
+        if in_text {
+            in_text = letter != '"' || escaped;
+            escaped = letter == '\\' && !escaped;
+        } else {
+            match letter {
+                '"' => in_text = true,
+                '(' | '[' | '{' => depth += 1,
+                ')' if depth == 0 => break,
+                ')' | ']' | '}' => depth -= 1,
+                ',' | ';' if depth == 0 => {
+                    found.push((std::mem::take(&mut current), letter));
+                    continue;
+                }
+                _ => {}
+            }
+        }
+        current.push(letter);
+    }
+    found.push((current, ')'));
+    found
+}
+
+fn messages_of(text: &str) -> Messages {
+    let mut messages = Messages::new();
+    for level in LEVELS {
+        for call in text.split(&format!("{level}!(")).skip(1) {
+            let arguments = arguments(call);
+            let fields = arguments.iter().position(|(_, end)| *end == ';').map_or(0, |last| last + 1);
+            let key = |(field, _): &(String, char)| {
+                field.split(['=', ':']).next().unwrap_or_default().trim().to_owned()
+            };
+            let keys = arguments[..fields].iter().map(key).collect();
+            let message = arguments[fields].0.trim().trim_matches('"').to_owned();
+            messages.insert((level.to_owned(), message), keys);
+        }
+    }
+    messages
+}
+
+/// The rows `| level | message | keys | file |` of the page.
+fn messages_of_page(page: &str) -> Messages {
+    let rows = page.lines().filter_map(|line| {
+        let cells: Vec<&str> = line.trim_matches('|').split(" | ").map(str::trim).collect();
+        let [level, message, keys, _file] = cells[..] else { return None };
+        let keys = if keys == "none" { "" } else { keys.trim_matches('`') };
+        let keys = keys.split_whitespace().map(str::to_owned).collect();
+        LEVELS.contains(&level).then(|| ((level.to_owned(), message.trim_matches('`').to_owned()), keys))
+    });
+    rows.collect()
+}
+
+#[test]
+fn the_page_lists_the_messages_of_the_code() {
+    let folders = ["crates/seamhatchd/src", "platform/src"];
+    let files = folders.iter().flat_map(|folder| sources(&repository().join(folder)));
+    let texts = files.map(|file| std::fs::read_to_string(file).expect("reads"));
+    let in_code: Messages = texts.flat_map(|text| messages_of(&text)).collect();
+    let page = std::fs::read_to_string(repository().join("docs/OPERATIONS.md")).expect("reads");
+    let on_page = messages_of_page(&page);
+    assert!(!in_code.is_empty());
+    let missing: Vec<_> =
+        in_code.iter().filter(|(message, keys)| on_page.get(*message) != Some(*keys)).collect();
+    let gone: Vec<_> =
+        on_page.iter().filter(|(message, keys)| in_code.get(*message) != Some(*keys)).collect();
+    assert!(
+        missing.is_empty() && gone.is_empty(),
+        "not on the page as in the code: {missing:#?}\nnot in the code: {gone:#?}"
+    );
+}
