--- a/crates/seamhatchd/src/peer_server/call/mod.rs
+++ b/crates/seamhatchd/src/peer_server/call/mod.rs
@@ -83,7 +83,6 @@
         self.check_intake(running)?;
         let trial = self.admit_suspect(running).await?;
         let request = GateRequest {
-            root: running.root,
             priority: running.priority,
             root_admitted: running.root_admitted,
             expiry: running.expiry,
--- a/crates/seamhatchd/src/server/gate.rs
+++ b/crates/seamhatchd/src/server/gate.rs
@@ -12,7 +12,6 @@
     Admission, AdmissionPolicy, AdmissionQueue, AdmissionRequest, BackEndLoad, CallKind, Dequeued, Ticket,
 };
 use seamhatch_core::clock::Microseconds;
-use seamhatch_core::identity::RootId;
 use seamhatch_core::outcome::Reason;
 use seamhatch_core::priority::Priority;
 use seamhatch_wire::ServerReport;
@@ -24,8 +23,6 @@
 /// A call that asks for a slot.
 #[derive(Debug, Clone, Copy)]
 pub struct GateRequest {
-    /// Its request, for logs.
-    pub root: RootId,
     /// Order of shedding.
     pub priority: Priority,
     /// When the root request was admitted.
--- a/crates/seamhatchd/tests/gate.rs
+++ b/crates/seamhatchd/tests/gate.rs
@@ -21,14 +21,7 @@
     let root = RootId(1);
     let priority = Priority::new(PriorityClass::Normal, root);
     let expiry = now.plus(lifetime);
-    GateRequest {
-        root,
-        priority,
-        root_admitted: now,
-        expiry,
-        objective_end: expiry,
-        kind: CallKind::default(),
-    }
+    GateRequest { priority, root_admitted: now, expiry, objective_end: expiry, kind: CallKind::default() }
 }
 
 /// Seen behind a link that was reset: a call was cancelled at the moment in
