--- a/crates/seamhatchd/src/controllers/follow/own_record.rs
+++ b/crates/seamhatchd/src/controllers/follow/own_record.rs
@@ -14,7 +14,8 @@
 /// measured.
 const WRITE_ATTEMPTS: u32 = 20;
 
-/// Changes the record of this daemon, which has the gossip address `gossip`, in the store, in up to [`WRITE_ATTEMPTS`] attempts. False when none succeeded.
+/// Changes the record of this daemon, which has the gossip address `gossip`, in the store, in up to [`WRITE_ATTEMPTS`] attempts.
+/// False when none succeeded.
 pub async fn change_own_record(
     metrics: &Metrics,
     followed: &FollowedStore,
