--- a/crates/seamhatch-core/src/crashes/work.rs
+++ b/crates/seamhatch-core/src/crashes/work.rs
@@ -1,8 +1,8 @@
 //! The calls that run on one back end, and which of its instances have ended in a crash.
 //!
 //! Decides which requests become suspects of a crash: each that ran on the instance when it ended, once, and each whose
-//! connection broke shortly before while something listened at the back end's address. It is told of crashes, it doesn't
-//! detect them: `seamhatchd::server::crashes` does, locks this table and reports the suspects.
+//! connection broke shortly before while something listened at the back end's address. It does not detect crashes:
+//! `seamhatchd::server::crashes` does, locks this table and reports the suspects.
 
 use super::InstanceDigest;
 use crate::clock::{Instant, Microseconds, SECOND};
--- a/crates/seamhatch-core/src/generation.rs
+++ b/crates/seamhatch-core/src/generation.rs
@@ -29,7 +29,7 @@
     pub struct SubmissionId(pub u64);
 }
 
-/// A generation with what tells its content apart.
+/// A generation with the digest of its content.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
--- a/crates/seamhatch-core/src/membership/spreading.rs
+++ b/crates/seamhatch-core/src/membership/spreading.rs
@@ -40,7 +40,7 @@
     /// Messages that report suspects to the members that need them.
     ///
     /// A crash leaves dozens of suspects, nearly all by accident. The daemons beside the servers of the service have to know of
-    /// these, as the next crash may happen there; the others are told too where there are few. A suspect of two crashes is rare
+    /// these, as the next crash may happen there; the other members get them too where the members are few. A suspect of two crashes is rare
     /// and reported to all.
     #[must_use]
     pub fn spread_suspects(&self, reports: &[SuspectReport]) -> Vec<Outgoing> {
--- a/crates/seamhatch-core/src/refusal.rs
+++ b/crates/seamhatch-core/src/refusal.rs
@@ -1,6 +1,6 @@
 //! Refusals: what each [`Reason`] means, one row a reason.
 //!
-//! Decides, from the reason and who says it, what the caller is told (status, return time) and whether the sender may
+//! Decides, from the reason and who says it, what the caller gets (status, return time) and whether the sender may
 //! try another server. It protects two promises: what is called not run was not run anywhere, and only what the entry
 //! itself finds wrong with a request is held against its caller, since a peer knows only the sender's view of the
 //! request, which may be out of date. There are no constants here but statuses of HTTP (RFC 9110, RFC 6585).
@@ -45,7 +45,7 @@
     FewTimes,
 }
 
-/// Which return time the caller is told.
+/// Which return time the caller gets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReturnTime {
     /// None: coming back does not help.
@@ -71,7 +71,7 @@
     pub unknown: u16,
 }
 
-/// Whose verdict the caller is told.
+/// Whose verdict the caller gets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VerdictSource {
     /// The daemon that took the request from its caller.
@@ -261,7 +261,7 @@
         if outcome == Outcome::Unknown { statuses.unknown } else { statuses.not_run }
     }
 
-    /// The return time that the entry tells unless it knows better; none where coming back does not help.
+    /// The return time that the entry sends unless it knows better; none where coming back does not help.
     #[must_use]
     pub fn usual_return(&self) -> Option<Microseconds> {
         match self.return_time {
--- a/crates/seamhatch-core/src/return_time.rs
+++ b/crates/seamhatch-core/src/return_time.rs
@@ -1,44 +1,44 @@
-//! Return times: when a refused caller is told to come back.
+//! Return times: when a refused caller should come back.
 //!
 //! Decides the span of `Retry-After` for each refusal; which rule a reason follows stands in [`crate::refusal`]. All
 //! spans are in microseconds and before jitter, which the listener adds last by [`jittered`]. The inputs are read at the
 //! moment of the refusal.
 //!
 //! It protects a service under overload from meeting the same callers again at once, and callers from staying away
-//! longer than the overload lasts. An overload that has lasted for a while is taken to last about as long again; the
-//! drain time of the entry's own queue, which was told before, has nothing to do with a bottleneck further down.
+//! longer than the overload lasts. An overload that has lasted for a while is expected to last about as long again; the
+//! drain time of the entry's own queue has nothing to do with a bottleneck further down.
 //! Alternatives: docs/DESIGN.md#when-to-come-back.
 
 use crate::clock::{MILLISECOND, Microseconds, SECOND};
 
-/// Told by the daemon that took the request where the reason has nothing to do with load. Chosen, not measured.
+/// Sent by the daemon that took the request where the reason has nothing to do with load. Chosen, not measured.
 pub const USUAL_RETURN: Microseconds = 500 * MILLISECOND;
 
-/// Shortest span that is told: sooner, little will have changed. Chosen, not measured.
+/// Shortest span that is sent: sooner, little will have changed. Chosen, not measured.
 pub const SHORTEST_RETURN: Microseconds = 200 * MILLISECOND;
 
 /// Longest span after a refusal at the entry: callers have a few seconds in all, and an overload may end at any
 /// moment. Chosen, not measured.
 pub const LONGEST_RETURN: Microseconds = 2 * SECOND;
 
-/// Told by the daemon beside the server where the reason has nothing to do with load.
+/// Sent by the daemon beside the server where the reason has nothing to do with load.
 pub const SERVER_RETURN: Microseconds = SHORTEST_RETURN;
 
-/// Told where no daemon that holds a shard of the tenant's limit answers. Chosen, not measured: a lost shard is taken
+/// Sent where no daemon that holds a shard of the tenant's limit answers. Chosen, not measured: a lost shard is taken
 /// over by another daemon within seconds.
 pub const SHARD_RETURN: Microseconds = 500 * MILLISECOND;
 
-/// Told where the daemon can't prove that its keys are the newest. Chosen, not measured: it asks the store again
+/// Sent where the daemon can't prove that its keys are the newest. Chosen, not measured: it asks the store again
 /// within about this time.
 pub const PROOF_RETURN: Microseconds = 500 * MILLISECOND;
 
-/// Told near the end of a planned stop. Chosen, not measured: a restarted daemon usually serves again by then.
+/// Sent near the end of a planned stop. Chosen, not measured: a restarted daemon usually serves again by then.
 pub const RESTART_RETURN: Microseconds = 800 * MILLISECOND;
 
-/// Shortest span that the gate of a server tells. Chosen, not measured.
+/// Shortest span that the gate of a server sends. Chosen, not measured.
 const SHORTEST_QUEUE_RETURN: Microseconds = 100 * MILLISECOND;
 
-/// Longest span that the gate of a server tells. Chosen, not measured.
+/// Longest span that the gate of a server sends. Chosen, not measured.
 const LONGEST_QUEUE_RETURN: Microseconds = 10 * SECOND;
 
 /// Part of the span that is added at random at most, so that callers refused together come back apart. Chosen, not
@@ -55,7 +55,7 @@
 /// within which the answer counts as early.
 ///
 /// A caller comes back sooner than the overload suggests where its answer can then still be early. Where no return could
-/// make it early, it is told the expected time.
+/// make it early, it gets the expected time.
 #[must_use]
 pub fn after_overload(
     closed_for: Microseconds,
--- a/crates/seamhatch-core/tests/admission.rs
+++ b/crates/seamhatch-core/tests/admission.rs
@@ -338,8 +338,8 @@
     ticks: std::ops::RangeInclusive<u32>,
 }
 
-/// Nobody is let in while the floor rises through a class that nobody uses: a server whose surge had ended
-/// stood half idle for two seconds (further/lupaing-valuation, scale-2, journal 367d19ba).
+/// No call is admitted while the floor rises through a class without calls: without this rule, a server stood half
+/// idle for two seconds after a surge had ended.
 #[test]
 fn the_floor_passes_over_classes_that_nobody_uses() {
     use PriorityClass::{Bulk, Critical, Normal};
@@ -499,8 +499,8 @@
     free: usize,
 }
 
-/// A server finished calls whose answers were lost without a word; until their callers gave up, they held all
-/// slots of the gate, and a tenth of a day's requests was refused (recorded day inc-f556, journal cc1f0fec).
+/// A server finishes calls whose answers are lost without an error. If they kept their slots until their callers gave up,
+/// they would take all slots of the gate: a tenth of a day's requests was refused that way.
 #[test]
 fn calls_whose_answers_are_lost_hold_no_slot() {
     const LONG: u64 = 100 * MILLISECOND;
--- a/crates/seamhatch-core/tests/service_floors.rs
+++ b/crates/seamhatch-core/tests/service_floors.rs
@@ -22,8 +22,8 @@
     level: Option<u16>,
 }
 
-/// The lowest floor of any server closed the whole service: behind one that was cold and slow, two others
-/// used a quarter of their slots for three seconds (further/lupaing-valuation, trouble-1, journal c5f5af70).
+/// The lowest floor of any server must not close the whole service: with it, two servers beside a cold and slow one
+/// used a quarter of their slots for three seconds.
 #[test]
 fn one_server_under_pressure_does_not_close_its_service() {
     let cases = [
