--- a/crates/seamhatch-core/src/balance/measure.rs
+++ b/crates/seamhatch-core/src/balance/measure.rs
@@ -4,7 +4,7 @@
 //! the expected completion time decides, in units of the mean service time of the candidates, so that with equal servers the margins mean
 //! the same in both.
 
-use super::{Candidate, CandidateStanding, KnownPace};
+use super::{Candidate, CandidateStatus, KnownPace};
 use crate::clock::{MILLISECOND, Microseconds};
 
 /// Calls of one request that usually go to one service, one after the other; the request fails with any of them, so a
@@ -49,7 +49,7 @@
     /// The measure for these candidates. Those that fail or are silent don't count.
     pub(super) fn of(candidates: &[Candidate]) -> Self {
         let usable =
-            || candidates.iter().filter(|candidate| candidate.standing != CandidateStanding::Ejected);
+            || candidates.iter().filter(|candidate| candidate.status != CandidateStatus::Ejected);
         if usable().any(|candidate| candidate.pace == KnownPace::NotTold) {
             return Self::Load;
         }
--- a/crates/seamhatch-core/src/balance/mod.rs
+++ b/crates/seamhatch-core/src/balance/mod.rs
@@ -3,7 +3,7 @@
 //! Decides by power of two random choices: two candidates are drawn and the one with less load for its slots is taken
 //! (M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 1996). Inputs for each candidate: the calls
 //! that this daemon has in flight there, its load by its last answer or heartbeat (at most 0.75 s old, else the server is
-//! [silent](standing)), and the share of its answers that arrived in the last seconds.
+//! [silent](candidate_status)), and the share of its answers that arrived in the last seconds.
 //!
 //! Where servers tell their pace, the one that is expected to complete the call sooner is taken instead: `pace` has what is known of
 //! that, `measure` decides which of the two rules holds.
@@ -20,7 +20,7 @@
 
 pub use outlier::{CallEnd, Ejection, SuccessRate};
 pub use pace::{KnownPace, PaceRecord, ServerPace, read_time_percent};
-pub use silence::{silent_at, standing};
+pub use silence::{candidate_status, silent_at};
 pub use turn::{NextTurn, SenderRound, TurnReport};
 
 use crate::clock::Microseconds;
@@ -28,9 +28,9 @@
 
 /// Whether a candidate is used while others are there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CandidateStanding {
+pub enum CandidateStatus {
     /// It takes calls.
-    Usual,
+    Available,
     /// Its daemon stops in this time; its server stays.
     Leaving(Microseconds),
     /// It is left out while any other is there: it fails or is silent, or accepts no calls.
@@ -55,7 +55,7 @@
     /// How long work takes there.
     pub pace: KnownPace,
     /// Whether it is used while others are there.
-    pub standing: CandidateStanding,
+    pub status: CandidateStatus,
 }
 
 /// Picks the index of a server, or none when `candidates` is empty.
@@ -64,7 +64,7 @@
 /// nearly full or none is left, and ejected ones only where there is no other, so that a whole pool is never given up.
 pub fn pick(candidates: &[Candidate], mut random: impl FnMut(usize) -> usize) -> Option<usize> {
     let measure = Measure::of(candidates);
-    let usual = indices(candidates, |candidate| candidate.standing == CandidateStanding::Usual);
+    let usual = indices(candidates, |candidate| candidate.status == CandidateStatus::Available);
     let usual = nearest(&measure, candidates, &usual, &mut random);
     if usual.is_some_and(|usual| measure.starts_at_once(&candidates[usual])) {
         return usual;
@@ -80,9 +80,9 @@
 /// Servers whose daemons stop, without the next one to end where there are several: given nothing more, it ends first, is back
 /// first and takes over. If all went on until their ends, all would be away at the same time.
 fn leaving_but_the_next(candidates: &[Candidate]) -> Vec<usize> {
-    let time_left = |index: &usize| match candidates[*index].standing {
-        CandidateStanding::Leaving(left) => Some(left),
-        CandidateStanding::Usual | CandidateStanding::Ejected => None,
+    let time_left = |index: &usize| match candidates[*index].status {
+        CandidateStatus::Leaving(left) => Some(left),
+        CandidateStatus::Available | CandidateStatus::Ejected => None,
     };
     let mut leaving: Vec<usize> = (0..candidates.len()).filter(|index| time_left(index).is_some()).collect();
     leaving.sort_by_key(time_left);
--- a/crates/seamhatch-core/src/balance/silence.rs
+++ b/crates/seamhatch-core/src/balance/silence.rs
@@ -1,6 +1,6 @@
 //! When a silent or leaving server is left out of the choice.
 
-use super::CandidateStanding;
+use super::CandidateStatus;
 use crate::clock::{Instant, MILLISECOND, Microseconds};
 use crate::drain::CallIntake;
 
@@ -14,14 +14,14 @@
     last_heard.plus(SILENCE_TO_AVOID)
 }
 
-/// The standing of a server at `now`: `avoided` says that its daemon is silent or ejected, `leaves_at` when the daemon
+/// The status of a server at `now`: `avoided` says that its daemon is silent or ejected, `leaves_at` when the daemon
 /// ends where its intake says that it stops.
 #[must_use]
-pub fn standing(intake: CallIntake, avoided: bool, leaves_at: Instant, now: Instant) -> CandidateStanding {
+pub fn candidate_status(intake: CallIntake, avoided: bool, leaves_at: Instant, now: Instant) -> CandidateStatus {
     match intake {
-        _ if avoided => CandidateStanding::Ejected,
-        CallIntake::Open => CandidateStanding::Usual,
-        CallIntake::FallbackOnly { .. } => CandidateStanding::Leaving(leaves_at.since(now)),
-        CallIntake::Closed => CandidateStanding::Ejected,
+        _ if avoided => CandidateStatus::Ejected,
+        CallIntake::Open => CandidateStatus::Available,
+        CallIntake::FallbackOnly { .. } => CandidateStatus::Leaving(leaves_at.since(now)),
+        CallIntake::Closed => CandidateStatus::Ejected,
     }
 }
--- a/crates/seamhatch-core/tests/decisions.rs
+++ b/crates/seamhatch-core/tests/decisions.rs
@@ -2,7 +2,7 @@
 
 use seamhatch_core::Instant;
 use seamhatch_core::balance::{
-    CallEnd, Candidate, CandidateStanding, Ejection, KnownPace, SuccessRate, pick,
+    CallEnd, Candidate, CandidateStatus, Ejection, KnownPace, SuccessRate, pick,
 };
 use seamhatch_core::claims::{
     CLAIM_MEMORY, Claim, ClaimHolder, ClaimKey, ClaimReply, Epoch, LONGEST_REQUEST, Witness,
@@ -145,9 +145,9 @@
 }
 
 fn server(in_flight: u32, same_zone: bool, ejected: bool) -> Candidate {
-    let standing = if ejected { CandidateStanding::Ejected } else { CandidateStanding::Usual };
+    let status = if ejected { CandidateStatus::Ejected } else { CandidateStatus::Available };
     let (reported_load, success, turn_in, pace) = (0, 1.0, None, KnownPace::NotTold);
-    Candidate { same_zone, slots: 10, in_flight, reported_load, success, turn_in, pace, standing }
+    Candidate { same_zone, slots: 10, in_flight, reported_load, success, turn_in, pace, status }
 }
 
 #[test]
@@ -164,60 +164,60 @@
     assert_eq!(pick(&[], first), None);
 }
 
-/// Standings of servers, and the ones that may be picked.
-struct StandingCase {
+/// Statuses of servers, and the ones that may be picked.
+struct StatusCase {
     name: &'static str,
     /// Those that have as many calls as slots; the others have none.
     full: &'static [usize],
-    standings: &'static [CandidateStanding],
+    statuses: &'static [CandidateStatus],
     picked: &'static [usize],
 }
 
 #[test]
 fn servers_whose_daemons_stop_are_used_where_no_other_is_left() {
-    use CandidateStanding::{Ejected, Leaving, Usual};
+    use CandidateStatus::{Ejected, Leaving, Available};
     let cases = [
-        StandingCase {
+        StatusCase {
             name: "one stays and is full",
             full: &[1],
-            standings: &[Leaving(9), Usual, Leaving(5)],
+            statuses: &[Leaving(9), Available, Leaving(5)],
             picked: &[0],
         },
-        StandingCase {
+        StatusCase {
             name: "one stays",
             full: &[],
-            standings: &[Leaving(9), Usual, Leaving(5)],
+            statuses: &[Leaving(9), Available, Leaving(5)],
             picked: &[1],
         },
-        StandingCase { name: "the only one leaves", full: &[], standings: &[Leaving(5)], picked: &[0] },
-        StandingCase {
+        StatusCase { name: "the only one leaves", full: &[], statuses: &[Leaving(5)], picked: &[0] },
+        StatusCase {
             name: "the next to go rests",
             full: &[],
-            standings: &[Leaving(9), Leaving(5), Leaving(7)],
+            statuses: &[Leaving(9), Leaving(5), Leaving(7)],
             picked: &[0, 2],
         },
-        StandingCase {
+        StatusCase {
             name: "two go at once",
             full: &[],
-            standings: &[Leaving(5), Leaving(5)],
+            statuses: &[Leaving(5), Leaving(5)],
             picked: &[1],
         },
-        StandingCase {
+        StatusCase {
             name: "the other one fails",
             full: &[],
-            standings: &[Ejected, Leaving(5)],
+            statuses: &[Ejected, Leaving(5)],
             picked: &[1],
         },
-        StandingCase { name: "all fail", full: &[], standings: &[Ejected, Ejected], picked: &[0, 1] },
+        StatusCase { name: "all fail", full: &[], statuses: &[Ejected, Ejected], picked: &[0, 1] },
     ];
     for case in cases {
         let candidates: Vec<Candidate> = case
-            .standings
+            .statuses
             .iter()
             .enumerate()
-            .map(|(index, &standing)| {
+            .map(|(index, &status)| {
                 let in_flight = if case.full.contains(&index) { 10 } else { 0 };
-                Candidate { standing, ..server(in_flight, true, false) }
+                Candidate { status, ..server(in_flight, true, false) }
             })
             .collect();
         let mut picked: Vec<usize> =
--- a/crates/seamhatch-core/tests/held_admission.rs
+++ b/crates/seamhatch-core/tests/held_admission.rs
@@ -4,7 +4,7 @@
 use seamhatch_core::admission::{
     Admission, AdmissionPolicy, AdmissionQueue, AdmissionRequest, CallKind, Dequeued, Ticket,
 };
-use seamhatch_core::balance::{Candidate, CandidateStanding, KnownPace, NextTurn, SenderRound, pick};
+use seamhatch_core::balance::{Candidate, CandidateStatus, KnownPace, NextTurn, SenderRound, pick};
 use seamhatch_core::clock::{MILLISECOND, Microseconds, SECOND};
 use seamhatch_core::identity::Address;
 use seamhatch_core::outcome::Reason;
@@ -225,7 +225,7 @@
         success: 1.0,
         turn_in,
         pace: KnownPace::NotTold,
-        standing: CandidateStanding::Usual,
+        status: CandidateStatus::Available,
     }
 }
 
--- a/crates/seamhatch-core/tests/server_choice/main.rs
+++ b/crates/seamhatch-core/tests/server_choice/main.rs
@@ -4,7 +4,7 @@
 
 use seamhatch_core::Instant;
 use seamhatch_core::balance::{
-    Candidate, CandidateStanding, KnownPace, PaceRecord, ServerPace, pick, read_time_percent,
+    Candidate, CandidateStatus, KnownPace, PaceRecord, ServerPace, pick, read_time_percent,
 };
 use seamhatch_core::clock::{MILLISECOND, Microseconds, SECOND};
 use simulation::{Figure, Load, Outcome, Server, run};
@@ -125,7 +125,7 @@
         success: 1.0,
         turn_in: None,
         pace,
-        standing: CandidateStanding::Usual,
+        status: CandidateStatus::Available,
     }
 }
 
@@ -146,7 +146,7 @@
 fn the_server_that_answers_first_is_taken() {
     let (near, far) = (|load, pace| server(true, load, pace), |load, pace| server(false, load, pace));
     let unheard = KnownPace::Unheard;
-    let ejected = |candidate| Candidate { standing: CandidateStanding::Ejected, ..candidate };
+    let ejected = |candidate| Candidate { status: CandidateStatus::Ejected, ..candidate };
     let cases = [
         ChoiceCase {
             name: "the fast one, though busy",
--- a/crates/seamhatch-core/tests/server_choice/simulation.rs
+++ b/crates/seamhatch-core/tests/server_choice/simulation.rs
@@ -2,7 +2,7 @@
 //! answers and heartbeats reported to it.
 
 use seamhatch_core::Instant;
-use seamhatch_core::balance::{Candidate, CandidateStanding, KnownPace, PaceRecord, ServerPace, pick};
+use seamhatch_core::balance::{Candidate, CandidateStatus, KnownPace, PaceRecord, ServerPace, pick};
 use seamhatch_core::clock::{MILLISECOND, SECOND};
 use std::collections::VecDeque;
 
@@ -235,7 +235,7 @@
             success: 1.0,
             turn_in: None,
             pace,
-            standing: CandidateStanding::Usual,
+            status: CandidateStatus::Available,
         }
     }
 }
--- a/crates/seamhatch-core/tests/silence.rs
+++ b/crates/seamhatch-core/tests/silence.rs
@@ -1,7 +1,7 @@
 //! When a server is left out because its daemon is silent or stops.
 
 use seamhatch_core::Instant;
-use seamhatch_core::balance::{CandidateStanding, silent_at, standing};
+use seamhatch_core::balance::{CandidateStatus, candidate_status, silent_at};
 use seamhatch_core::clock::{MILLISECOND, SECOND};
 use seamhatch_core::drain::CallIntake;
 
@@ -17,13 +17,13 @@
     let stops = CallIntake::FallbackOnly { left: 3 * SECOND };
     let leaves_at = NOW.plus(2 * SECOND);
     let cases = [
-        (CallIntake::Open, false, CandidateStanding::Usual),
-        (stops, false, CandidateStanding::Leaving(2 * SECOND)),
-        (CallIntake::Closed, false, CandidateStanding::Ejected),
-        (CallIntake::Open, true, CandidateStanding::Ejected),
-        (stops, true, CandidateStanding::Ejected),
+        (CallIntake::Open, false, CandidateStatus::Available),
+        (stops, false, CandidateStatus::Leaving(2 * SECOND)),
+        (CallIntake::Closed, false, CandidateStatus::Ejected),
+        (CallIntake::Open, true, CandidateStatus::Ejected),
+        (stops, true, CandidateStatus::Ejected),
     ];
     for (intake, avoided, expected) in cases {
-        assert_eq!(standing(intake, avoided, leaves_at, NOW), expected, "{intake:?}, avoided: {avoided}");
+        assert_eq!(candidate_status(intake, avoided, leaves_at, NOW), expected, "{intake:?}, avoided: {avoided}");
     }
 }
--- a/crates/seamhatchd/src/dispatch/candidates.rs
+++ b/crates/seamhatchd/src/dispatch/candidates.rs
@@ -6,7 +6,7 @@
 use crate::peer::{PeerConnection, PoolReader};
 use crate::snapshot::Server;
 use seamhatch_core::Instant;
-use seamhatch_core::balance::{Candidate, CandidateStanding, KnownPace, pick};
+use seamhatch_core::balance::{Candidate, CandidateStatus, KnownPace, pick};
 use seamhatch_core::clock::Microseconds;
 use seamhatch_core::identity::Address;
 use seamhatch_core::outcome::Reason;
@@ -65,7 +65,7 @@
             success: 1.0,
             turn_in: None,
             pace: KnownPace::Unheard,
-            standing: if failing { CandidateStanding::Ejected } else { standing_by_record(server) },
+            status: if failing { CandidateStatus::Ejected } else { standing_by_record(server) },
         };
     };
     connection.with_view(|view| {
@@ -79,13 +79,13 @@
             success: view.success(now),
             turn_in,
             pace: view.pace(now),
-            standing: view.standing(now),
+            status: view.standing(now),
         }
     })
 }
 
-/// The standing of a server whose daemon this one has no connection to. When a draining one ends is known only after its
+/// The status of a server whose daemon this one has no connection to. When a draining one ends is known only after its
 /// first heartbeat, so it counts as the last to end.
-fn standing_by_record(server: &Server) -> CandidateStanding {
-    if server.leaving { CandidateStanding::Leaving(Microseconds::MAX) } else { CandidateStanding::Usual }
+fn standing_by_record(server: &Server) -> CandidateStatus {
+    if server.leaving { CandidateStatus::Leaving(Microseconds::MAX) } else { CandidateStatus::Available }
 }
--- a/crates/seamhatchd/src/dispatch/suspects.rs
+++ b/crates/seamhatchd/src/dispatch/suspects.rs
@@ -7,7 +7,7 @@
 use crate::filters::Rejection;
 use crate::peer::PeerConnection;
 use crate::snapshot::Server;
-use seamhatch_core::balance::{Candidate, CandidateStanding};
+use seamhatch_core::balance::{Candidate, CandidateStatus};
 use seamhatch_core::crashes::{LostRun, SuspectStanding, ends_try, home_of, runs_isolated};
 use seamhatch_core::outcome::Reason;
 use seamhatch_wire::{PeerMessage, Refusal};
@@ -64,7 +64,7 @@
     /// copies and lets one run at a time.
     pub(super) fn home_of_suspect(&self, servers: &[&Server], candidates: &[Candidate]) -> Option<usize> {
         let SuspectStanding::Suspect { .. } = self.shared.suspects.standing(self.digest) else { return None };
-        let usable = candidates.iter().map(|candidate| candidate.standing == CandidateStanding::Usual);
+        let usable = candidates.iter().map(|candidate| candidate.status == CandidateStatus::Available);
         let indices: Vec<usize> =
             (0..servers.len()).zip(usable).filter(|(_, usable)| *usable).map(|(i, _)| i).collect();
         let key = |index: &usize| servers[*index].peer.to_string().into_bytes();
--- a/crates/seamhatchd/src/peer/view.rs
+++ b/crates/seamhatchd/src/peer/view.rs
@@ -5,7 +5,7 @@
 use crate::base::clock;
 use seamhatch_core::Instant;
 use seamhatch_core::balance::{
-    self, CallEnd, CandidateStanding, Ejection, KnownPace, NextTurn, ServerPace, SuccessRate, TurnReport,
+    self, CallEnd, CandidateStatus, Ejection, KnownPace, NextTurn, ServerPace, SuccessRate, TurnReport,
 };
 use seamhatch_core::clock::{Microseconds, PeerClock};
 use seamhatch_wire::{CallIntake, Farewell, ServerReport};
@@ -117,8 +117,8 @@
 
     /// Whether it is used while other servers are there.
     #[must_use]
-    pub fn standing(&self, now: Instant) -> CandidateStanding {
-        balance::standing(self.intake, self.should_avoid(now), self.leaves_at, now)
+    pub fn standing(&self, now: Instant) -> CandidateStatus {
+        balance::candidate_status(self.intake, self.should_avoid(now), self.leaves_at, now)
     }
 
     /// Share of its answers that arrived recently, 0 to 1.
