--- a/crates/seamhatch-core/src/balance/measure.rs
+++ b/crates/seamhatch-core/src/balance/measure.rs
@@ -48,19 +48,18 @@
 impl Measure {
     /// The measure for these candidates. Those that fail or are silent don't count.
     pub(super) fn of(candidates: &[Candidate]) -> Self {
-        let usable =
-            || candidates.iter().filter(|candidate| candidate.status != CandidateStatus::Ejected);
-        if usable().any(|candidate| candidate.pace == KnownPace::NotTold) {
+        let usable = || candidates.iter().filter(|candidate| candidate.status != CandidateStatus::Ejected);
+        if usable().any(|candidate| candidate.pace == KnownPace::NotReported) {
             return Self::Load;
         }
         let told = || {
             usable().filter_map(|candidate| match candidate.pace {
-                KnownPace::Told { work, factor } => Some((work, factor)),
-                KnownPace::Unheard | KnownPace::NotTold => None,
+                KnownPace::Reported { usual_ms, factor } => Some((usual_ms, factor)),
+                KnownPace::Unknown | KnownPace::NotReported => None,
             })
         };
-        let mean_work = mean(told().filter_map(|(work, _)| work)).unwrap_or(1.0);
-        let times = told().map(|(work, factor)| work.unwrap_or(mean_work) * factor);
+        let mean_work = mean(told().filter_map(|(usual_ms, _)| usual_ms)).unwrap_or(1.0);
+        let times = told().map(|(usual_ms, factor)| usual_ms.unwrap_or(mean_work) * factor);
         mean(times).map_or(Self::Load, |mean_time| Self::Completion { mean_work, mean_time })
     }
 
@@ -94,12 +93,12 @@
 
     /// Service time in units of the mean of all. A server of which nothing was heard counts as an average one.
     fn time(&self, candidate: &Candidate) -> f64 {
-        let (Self::Completion { mean_work, mean_time }, KnownPace::Told { work, factor }) =
+        let (Self::Completion { mean_work, mean_time }, KnownPace::Reported { usual_ms, factor }) =
             (self, candidate.pace)
         else {
             return 1.0;
         };
-        (work.unwrap_or(*mean_work) * factor / mean_time).clamp(LEAST_TIME, MOST_TIME)
+        (usual_ms.unwrap_or(*mean_work) * factor / mean_time).clamp(LEAST_TIME, MOST_TIME)
     }
 }
 
--- a/crates/seamhatch-core/src/balance/pace.rs
+++ b/crates/seamhatch-core/src/balance/pace.rs
@@ -141,13 +141,13 @@
 pub enum KnownPace {
     /// Nothing was reported of the server yet.
     #[default]
-    Unheard,
+    Unknown,
     /// Its daemon reports none.
-    NotTold,
+    NotReported,
     /// Its daemon reports this.
-    Told {
+    Reported {
         /// Usual service time in milliseconds; none before the first.
-        work: Option<f64>,
+        usual_ms: Option<f64>,
         /// How long work takes at this moment, 1 for the usual.
         factor: f64,
     },
@@ -156,10 +156,10 @@
 impl KnownPace {
     /// By the last report, which came at `heard`.
     #[must_use]
-    pub fn reported(report: Option<ServerPace>, heard: Instant, now: Instant) -> Self {
-        let Some(pace) = report.filter(|pace| is_figure(pace.time_percent)) else { return Self::NotTold };
+    pub fn from_report(report: Option<ServerPace>, heard: Instant, now: Instant) -> Self {
+        let Some(pace) = report.filter(|pace| is_figure(pace.time_percent)) else { return Self::NotReported };
         let age = Microseconds::from(pace.age_ms) * MILLISECOND + now.since(heard);
-        let work = (pace.work_ms > 0).then_some(f64::from(pace.work_ms));
-        Self::Told { work, factor: factor_of(pace.time_percent, age) }
+        let usual_ms = (pace.work_ms > 0).then_some(f64::from(pace.work_ms));
+        Self::Reported { usual_ms, factor: factor_of(pace.time_percent, age) }
     }
 }
--- a/crates/seamhatch-core/src/balance/silence.rs
+++ b/crates/seamhatch-core/src/balance/silence.rs
@@ -17,7 +17,12 @@
 /// The status of a server at `now`: `avoided` says that its daemon is silent or ejected, `leaves_at` when the daemon
 /// ends where its intake says that it stops.
 #[must_use]
-pub fn candidate_status(intake: CallIntake, avoided: bool, leaves_at: Instant, now: Instant) -> CandidateStatus {
+pub fn candidate_status(
+    intake: CallIntake,
+    avoided: bool,
+    leaves_at: Instant,
+    now: Instant,
+) -> CandidateStatus {
     match intake {
         _ if avoided => CandidateStatus::Ejected,
         CallIntake::Open => CandidateStatus::Available,
--- a/crates/seamhatch-core/src/balance/turn.rs
+++ b/crates/seamhatch-core/src/balance/turn.rs
@@ -64,7 +64,7 @@
 impl NextTurn {
     /// By a report that came at `now`.
     #[must_use]
-    pub fn reported(report: TurnReport, now: Instant) -> Self {
+    pub fn from_report(report: TurnReport, now: Instant) -> Self {
         Self { at: now.plus(report.turn_in), round: report.round }
     }
 
--- a/crates/seamhatch-core/tests/decisions.rs
+++ b/crates/seamhatch-core/tests/decisions.rs
@@ -1,9 +1,7 @@
 //! Clocks, claims, rosters, server choice and retry ratios, step by step.
 
 use seamhatch_core::Instant;
-use seamhatch_core::balance::{
-    CallEnd, Candidate, CandidateStatus, Ejection, KnownPace, SuccessRate, pick,
-};
+use seamhatch_core::balance::{CallEnd, Candidate, CandidateStatus, Ejection, KnownPace, SuccessRate, pick};
 use seamhatch_core::claims::{
     CLAIM_MEMORY, Claim, ClaimHolder, ClaimKey, ClaimReply, Epoch, LONGEST_REQUEST, Witness,
 };
@@ -146,7 +144,7 @@
 
 fn server(in_flight: u32, same_zone: bool, ejected: bool) -> Candidate {
     let status = if ejected { CandidateStatus::Ejected } else { CandidateStatus::Available };
-    let (reported_load, success, turn_in, pace) = (0, 1.0, None, KnownPace::NotTold);
+    let (reported_load, success, turn_in, pace) = (0, 1.0, None, KnownPace::NotReported);
     Candidate { same_zone, slots: 10, in_flight, reported_load, success, turn_in, pace, status }
 }
 
@@ -175,7 +173,7 @@
 
 #[test]
 fn servers_whose_daemons_stop_are_used_where_no_other_is_left() {
-    use CandidateStatus::{Ejected, Leaving, Available};
+    use CandidateStatus::{Available, Ejected, Leaving};
     let cases = [
         StatusCase {
             name: "one stays and is full",
@@ -196,18 +194,8 @@
             statuses: &[Leaving(9), Leaving(5), Leaving(7)],
             picked: &[0, 2],
         },
-        StatusCase {
-            name: "two go at once",
-            full: &[],
-            statuses: &[Leaving(5), Leaving(5)],
-            picked: &[1],
-        },
-        StatusCase {
-            name: "the other one fails",
-            full: &[],
-            statuses: &[Ejected, Leaving(5)],
-            picked: &[1],
-        },
+        StatusCase { name: "two go at once", full: &[], statuses: &[Leaving(5), Leaving(5)], picked: &[1] },
+        StatusCase { name: "the other one fails", full: &[], statuses: &[Ejected, Leaving(5)], picked: &[1] },
         StatusCase { name: "all fail", full: &[], statuses: &[Ejected, Ejected], picked: &[0, 1] },
     ];
     for case in cases {
--- a/crates/seamhatch-core/tests/held_admission.rs
+++ b/crates/seamhatch-core/tests/held_admission.rs
@@ -210,7 +210,7 @@
     assert_eq!(round.report(sender(9), rate(10.0), 0, now).turn_in, 0);
     let later = NOW.plus(10 * SECOND);
     assert_eq!(round.report(sender(4), rate(10.0), 0, later).turn_in, 0);
-    let mut next = NextTurn::reported(turns[1], now);
+    let mut next = NextTurn::from_report(turns[1], now);
     assert_eq!(next.wait(now), TICK);
     next.note_sent(now.plus(TICK));
     assert_eq!(next.wait(now.plus(TICK)), 4 * TICK);
@@ -224,7 +224,7 @@
         reported_load: load,
         success: 1.0,
         turn_in,
-        pace: KnownPace::NotTold,
+        pace: KnownPace::NotReported,
         status: CandidateStatus::Available,
     }
 }
--- a/crates/seamhatch-core/tests/server_choice/main.rs
+++ b/crates/seamhatch-core/tests/server_choice/main.rs
@@ -46,7 +46,7 @@
 #[test]
 fn what_counts_of_a_report() {
     let report = |time_percent, age_ms| Some(ServerPace { time_percent, age_ms, work_ms: 40 });
-    let told = |factor| KnownPace::Told { work: Some(40.0), factor };
+    let told = |factor| KnownPace::Reported { usual_ms: Some(40.0), factor };
     let unsampled = Some(ServerPace { time_percent: 200, age_ms: 0, work_ms: 0 });
     let cases = [
         ReportCase { name: "fresh", report: report(250, 0), since: 0, known: told(2.5) },
@@ -60,18 +60,18 @@
         ReportCase { name: "frozen", report: report(20, u16::MAX), since: 0, known: told(1.0) },
         ReportCase { name: "ten times faster", report: report(10, 0), since: 0, known: told(0.5) },
         ReportCase { name: "greatest", report: report(10_000, 0), since: 0, known: told(100.0) },
-        ReportCase { name: "zero", report: report(0, 0), since: 0, known: KnownPace::NotTold },
-        ReportCase { name: "too great", report: report(10_001, 0), since: 0, known: KnownPace::NotTold },
-        ReportCase { name: "none", report: None, since: 0, known: KnownPace::NotTold },
+        ReportCase { name: "zero", report: report(0, 0), since: 0, known: KnownPace::NotReported },
+        ReportCase { name: "too great", report: report(10_001, 0), since: 0, known: KnownPace::NotReported },
+        ReportCase { name: "none", report: None, since: 0, known: KnownPace::NotReported },
         ReportCase {
             name: "no call has succeeded",
             report: unsampled,
             since: 0,
-            known: KnownPace::Told { work: None, factor: 2.0 },
+            known: KnownPace::Reported { usual_ms: None, factor: 2.0 },
         },
     ];
     for case in cases {
-        let known = KnownPace::reported(case.report, NOW, NOW.plus(case.since));
+        let known = KnownPace::from_report(case.report, NOW, NOW.plus(case.since));
         assert_eq!(known, case.known, "{}", case.name);
     }
 }
@@ -89,7 +89,9 @@
             record.note_success(Some(service_ms * MILLISECOND), NOW);
         }
         let report = record.report(NOW).expect("told");
-        let KnownPace::Told { work: Some(work), factor } = KnownPace::reported(Some(report), NOW, NOW) else {
+        let KnownPace::Reported { usual_ms: Some(work), factor } =
+            KnownPace::from_report(Some(report), NOW, NOW)
+        else {
             panic!("{report:?}");
         };
         assert_eq!((report.time_percent, work * factor), (percent, f64::from(product)), "{percent}");
@@ -130,7 +132,7 @@
 }
 
 fn told(work: f64, factor: f64) -> KnownPace {
-    KnownPace::Told { work: Some(work), factor }
+    KnownPace::Reported { usual_ms: Some(work), factor }
 }
 
 /// Two servers in a zone or in two, and the one that is taken.
@@ -145,7 +147,7 @@
 #[test]
 fn the_server_that_answers_first_is_taken() {
     let (near, far) = (|load, pace| server(true, load, pace), |load, pace| server(false, load, pace));
-    let unheard = KnownPace::Unheard;
+    let unheard = KnownPace::Unknown;
     let ejected = |candidate| Candidate { status: CandidateStatus::Ejected, ..candidate };
     let cases = [
         ChoiceCase {
@@ -170,14 +172,18 @@
         },
         ChoiceCase {
             name: "one of the earlier release: load decides for all",
-            servers: vec![near(3, told(40.0, 1.0)), near(2, KnownPace::NotTold), near(0, told(400.0, 1.0))],
+            servers: vec![
+                near(3, told(40.0, 1.0)),
+                near(2, KnownPace::NotReported),
+                near(0, told(400.0, 1.0)),
+            ],
             taken: 2,
         },
         ChoiceCase {
             name: "one of the earlier release that fails decides nothing",
             servers: vec![
                 near(0, told(400.0, 1.0)),
-                ejected(near(2, KnownPace::NotTold)),
+                ejected(near(2, KnownPace::NotReported)),
                 near(5, told(100.0, 1.0)),
             ],
             taken: 2,
--- a/crates/seamhatch-core/tests/server_choice/simulation.rs
+++ b/crates/seamhatch-core/tests/server_choice/simulation.rs
@@ -224,9 +224,9 @@
     }
 
     fn candidate(&self, view: &View, step: u64) -> Candidate {
-        let pace = view
-            .report
-            .map_or(KnownPace::Unheard, |(_, pace, heard)| KnownPace::reported(pace, heard, instant(step)));
+        let pace = view.report.map_or(KnownPace::Unknown, |(_, pace, heard)| {
+            KnownPace::from_report(pace, heard, instant(step))
+        });
         Candidate {
             same_zone: true,
             slots: self.load.slots,
--- a/crates/seamhatch-core/tests/silence.rs
+++ b/crates/seamhatch-core/tests/silence.rs
@@ -24,6 +24,10 @@
         (stops, true, CandidateStatus::Ejected),
     ];
     for (intake, avoided, expected) in cases {
-        assert_eq!(candidate_status(intake, avoided, leaves_at, NOW), expected, "{intake:?}, avoided: {avoided}");
+        assert_eq!(
+            candidate_status(intake, avoided, leaves_at, NOW),
+            expected,
+            "{intake:?}, avoided: {avoided}"
+        );
     }
 }
--- a/crates/seamhatchd/src/dispatch/candidates.rs
+++ b/crates/seamhatchd/src/dispatch/candidates.rs
@@ -64,7 +64,7 @@
             reported_load: 0,
             success: 1.0,
             turn_in: None,
-            pace: KnownPace::Unheard,
+            pace: KnownPace::Unknown,
             status: if failing { CandidateStatus::Ejected } else { standing_by_record(server) },
         };
     };
--- a/crates/seamhatchd/src/peer/view.rs
+++ b/crates/seamhatchd/src/peer/view.rs
@@ -69,13 +69,13 @@
 
     /// Records what it reports of this daemon's next turn.
     pub(super) fn note_turn(&mut self, turn: Option<TurnReport>, now: Instant) {
-        self.turn = turn.map(|turn| NextTurn::reported(turn, now));
+        self.turn = turn.map(|turn| NextTurn::from_report(turn, now));
     }
 
     /// How long work takes at its server.
     #[must_use]
     pub fn pace(&self, now: Instant) -> KnownPace {
-        self.pace.map_or(KnownPace::Unheard, |(pace, heard)| KnownPace::reported(pace, heard, now))
+        self.pace.map_or(KnownPace::Unknown, |(pace, heard)| KnownPace::from_report(pace, heard, now))
     }
 
     /// Records what it reports of its server's pace.
