--- a/crates/seamhatch-core/src/balance/pace.rs
+++ b/crates/seamhatch-core/src/balance/pace.rs
@@ -42,7 +42,7 @@
 
 /// The figure in a field; none where it is no whole number from 1 to 10,000.
 #[must_use]
-pub fn read_time_percent(text: &str) -> Option<u16> {
+pub fn parse_time_percent(text: &str) -> Option<u16> {
     let text = text.trim();
     let is_plain = text.bytes().all(|byte| byte.is_ascii_digit());
     text.parse().ok().filter(|percent| is_plain && is_figure(*percent))
--- a/crates/seamhatch-core/tests/server_choice/main.rs
+++ b/crates/seamhatch-core/tests/server_choice/main.rs
@@ -4,7 +4,7 @@
 
 use seamhatch_core::Instant;
 use seamhatch_core::balance::{
-    Candidate, CandidateStatus, KnownPace, PaceRecord, ServerPace, pick, read_time_percent,
+    Candidate, CandidateStatus, KnownPace, PaceRecord, ServerPace, pick, parse_time_percent,
 };
 use seamhatch_core::clock::{MILLISECOND, Microseconds, SECOND};
 use simulation::{Figure, Load, Outcome, Server, run};
@@ -30,7 +30,7 @@
         ("fast", None),
     ];
     for (text, expected) in cases {
-        assert_eq!(read_time_percent(text), expected, "{text:?}");
+        assert_eq!(parse_time_percent(text), expected, "{text:?}");
     }
 }
 
--- a/crates/seamhatchd/src/conventions/own.rs
+++ b/crates/seamhatchd/src/conventions/own.rs
@@ -9,7 +9,7 @@
 use http::header::{CONTENT_TYPE, RETRY_AFTER};
 use http::{HeaderMap, HeaderValue, Response, StatusCode};
 use seamhatch_core::admission::BackEndLoad;
-use seamhatch_core::balance::read_time_percent;
+use seamhatch_core::balance::parse_time_percent;
 use seamhatch_core::clock::SECOND;
 use seamhatch_core::notice::AnswerNotice;
 use seamhatch_wire::HeaderField;
@@ -75,7 +75,7 @@
     }
 
     fn back_end_load(&self, headers: &HeaderMap) -> Option<BackEndLoad> {
-        let percent = text(headers, headers::BACKEND_PACE).and_then(read_time_percent)?;
+        let percent = text(headers, headers::BACKEND_PACE).and_then(parse_time_percent)?;
         Some(BackEndLoad { calls: None, time_percent: Some(percent) })
     }
 
