--- a/crates/seamhatch-core/src/balance/mod.rs
+++ b/crates/seamhatch-core/src/balance/mod.rs
@@ -21,7 +21,7 @@
 pub use outlier::{CallEnd, Ejection, SuccessRate};
 pub use pace::{KnownPace, PaceRecord, ServerPace, parse_time_percent};
 pub use silence::{candidate_status, silent_at};
-pub use turn::{NextTurn, SenderRound, TurnReport};
+pub use turn::{NextTurn, SenderRoundRobin, TurnReport};
 
 use crate::clock::Microseconds;
 use measure::Measure;
--- a/crates/seamhatch-core/src/balance/turn.rs
+++ b/crates/seamhatch-core/src/balance/turn.rs
@@ -23,13 +23,13 @@
 
 /// The daemons that send calls to a server, by when they last did.
 #[derive(Debug, Default)]
-pub struct SenderRound {
+pub struct SenderRoundRobin {
     last_sent: HashMap<Address, Instant>,
 }
 
-impl SenderRound {
+impl SenderRoundRobin {
     /// A daemon has sent a call.
-    pub fn note(&mut self, sender: Address, now: Instant) {
+    pub fn record_call(&mut self, sender: Address, now: Instant) {
         self.last_sent.retain(|_, last| now.since(*last) < SENDER_LIFETIME);
         self.last_sent.insert(sender, now);
     }
--- a/crates/seamhatch-core/tests/held_admission.rs
+++ b/crates/seamhatch-core/tests/held_admission.rs
@@ -4,7 +4,7 @@
 use seamhatch_core::admission::{
     Admission, AdmissionPolicy, AdmissionQueue, AdmissionRequest, CallKind, Dequeued, Ticket,
 };
-use seamhatch_core::balance::{Candidate, CandidateStatus, KnownPace, NextTurn, SenderRound, pick};
+use seamhatch_core::balance::{Candidate, CandidateStatus, KnownPace, NextTurn, SenderRoundRobin, pick};
 use seamhatch_core::clock::{MILLISECOND, Microseconds, SECOND};
 use seamhatch_core::identity::Address;
 use seamhatch_core::outcome::Reason;
@@ -198,9 +198,9 @@
 
 #[test]
 fn senders_have_their_turns_one_after_the_other() {
-    let mut round = SenderRound::default();
+    let mut round = SenderRoundRobin::default();
     for number in 1..=4 {
-        round.note(sender(number), NOW.plus(u64::from(number)));
+        round.record_call(sender(number), NOW.plus(u64::from(number)));
     }
     let now = NOW.plus(MILLISECOND);
     let turns = [1, 2, 3, 4].map(|number| round.report(sender(number), rate(10.0), 0, now));
--- a/crates/seamhatchd/src/server/notices.rs
+++ b/crates/seamhatchd/src/server/notices.rs
@@ -10,7 +10,7 @@
 use crate::server::gate::AdmissionGate;
 use log::{info, warn};
 use seamhatch_core::Instant;
-use seamhatch_core::balance::{SenderRound, TurnReport};
+use seamhatch_core::balance::{SenderRoundRobin, TurnReport};
 use seamhatch_core::clock::{Microseconds, SECOND};
 use seamhatch_core::identity::Address;
 use seamhatch_core::instance::InstanceId;
@@ -27,7 +27,7 @@
     book: RateBook,
     /// The instance that said last that it leaves, until another one opens.
     leaving: Option<InstanceId>,
-    senders: SenderRound,
+    senders: SenderRoundRobin,
     /// When a change of the rate was last logged.
     logged: Instant,
     /// A field that can't be read has been logged; later ones are counted only.
@@ -101,7 +101,7 @@
     /// A daemon has sent a call for the back end.
     pub fn note_sender(&self, sender: Address) {
         if self.is_held.load(Ordering::Relaxed) {
-            lock(&self.state).senders.note(sender, clock::now());
+            lock(&self.state).senders.record_call(sender, clock::now());
         }
     }
 
