--- a/crates/seamhatch-core/src/admission/queue/held.rs
+++ b/crates/seamhatch-core/src/admission/queue/held.rs
@@ -11,7 +11,7 @@
 
 impl AdmissionQueue {
     /// Holds calls to a rate that the back end names.
-    pub fn hold_to(&mut self, rate: RequestRate, now: Instant) {
+    pub fn set_rate_limit(&mut self, rate: RequestRate, now: Instant) {
         let learnt = || LearntTimes { limit: self.limit.clone(), service_times: self.service_times.clone() };
         match &mut self.held {
             Some(held) => held.set_rate(rate, learnt, now),
@@ -21,7 +21,7 @@
     }
 
     /// The back end names no rate any more: calls come faster from now on, but not all at once.
-    pub fn lift_rate(&mut self, now: Instant) {
+    pub fn end_rate_limit(&mut self, now: Instant) {
         let full = self.full_rate();
         let Some(before) = self.held.as_mut().and_then(|held| held.lift(full, now)) else { return };
         if before.limit.has_samples() {
@@ -31,7 +31,7 @@
     }
 
     /// Lets the rate rise after its end; to be called at a steady pace (every 100 ms).
-    pub fn raise_rate(&mut self, now: Instant) {
+    pub fn ramp_up_rate(&mut self, now: Instant) {
         let full = self.full_rate();
         if self.held.as_mut().is_some_and(|held| held.rise(full, now)) {
             self.held = None;
--- a/crates/seamhatch-core/tests/held_admission.rs
+++ b/crates/seamhatch-core/tests/held_admission.rs
@@ -50,7 +50,7 @@
 #[test]
 fn turns_go_by_importance_and_not_by_arrival() {
     let mut queue = warm();
-    queue.hold_to(rate(10.0), NOW);
+    queue.set_rate_limit(rate(10.0), NOW);
     let arriving = [
         (1, PriorityClass::Bulk),
         (2, PriorityClass::Bulk),
@@ -107,7 +107,7 @@
     ];
     for WaitCase { name, waiting, patience, admission } in cases {
         let mut queue = warm();
-        queue.hold_to(rate(10.0), NOW);
+        queue.set_rate_limit(rate(10.0), NOW);
         for ticket in 0..=waiting {
             queue.offer(request(ticket, PriorityClass::Normal, NOW, 60 * SECOND), NOW);
         }
@@ -123,7 +123,7 @@
     let mut queue = warm();
     let (usual_limit, worthwhile) = (queue.limit(), queue.worthwhile_slots());
     assert_eq!(queue.reported_limit(), usual_limit);
-    queue.hold_to(rate(10.0), NOW);
+    queue.set_rate_limit(rate(10.0), NOW);
     assert_eq!(queue.reported_limit(), 1);
     // In need it takes thirty times as long.
     let mut now = NOW;
@@ -135,7 +135,7 @@
         );
         queue.finish(Ticket(ticket), now.plus(30 * SERVICE_TIME), true);
     }
-    queue.lift_rate(now);
+    queue.end_rate_limit(now);
     assert_eq!((queue.limit(), queue.worthwhile_slots()), (usual_limit, worthwhile));
     let late = request(999, PriorityClass::Normal, now, SERVICE_TIME + MILLISECOND);
     assert!(queue.latest_start(&late) >= now, "its service time is the usual one again");
@@ -145,8 +145,8 @@
 #[test]
 fn the_rate_rises_step_by_step_after_its_end_and_then_is_gone() {
     let mut queue = warm();
-    queue.hold_to(rate(2.0), NOW);
-    queue.lift_rate(NOW);
+    queue.set_rate_limit(rate(2.0), NOW);
+    queue.end_rate_limit(NOW);
     let mut before = queue.rate().expect("rises").as_per_second();
     assert!(before <= 0.05 * f64::from(SLOTS) * 10.0, "{before} at once");
     let mut ticks = 0;
@@ -154,11 +154,11 @@
         assert!(rate.as_per_second() <= 1.1 * before, "{rate:?} after {before}");
         before = rate.as_per_second();
         ticks += 1;
-        queue.raise_rate(NOW.plus(ticks * TICK));
+        queue.ramp_up_rate(NOW.plus(ticks * TICK));
     }
     assert!((20..100).contains(&ticks), "back after {ticks} ticks");
     let lifted_again = queue.rate();
-    queue.lift_rate(NOW);
+    queue.end_rate_limit(NOW);
     assert_eq!((lifted_again, queue.rate()), (None, None));
 }
 
@@ -166,7 +166,7 @@
 #[test]
 fn the_turn_at_a_server_without_a_free_slot_waits_for_one() {
     let mut queue = warm();
-    queue.hold_to(rate(1_000.0), NOW);
+    queue.set_rate_limit(rate(1_000.0), NOW);
     let mut now = NOW;
     for ticket in 0..u64::from(SLOTS) {
         now = now.plus(MILLISECOND);
@@ -181,7 +181,7 @@
 #[test]
 fn a_call_that_was_never_sent_gives_its_turn_back_once() {
     let mut queue = warm();
-    queue.hold_to(rate(1.0), NOW);
+    queue.set_rate_limit(rate(1.0), NOW);
     assert_eq!(queue.offer(request(1, PriorityClass::Normal, NOW, 10 * SECOND), NOW), Admission::Run);
     queue.offer(request(2, PriorityClass::Normal, NOW, 10 * SECOND), NOW);
     assert_eq!(queue.next(NOW), None);
--- a/crates/seamhatchd/src/server/gate/mod.rs
+++ b/crates/seamhatchd/src/server/gate/mod.rs
@@ -198,7 +198,7 @@
         for ticket in state.queue.give_up_late(now) {
             state.refuse_waiting(ticket, late_reason);
         }
-        state.queue.raise_rate(now);
+        state.queue.ramp_up_rate(now);
         state.queue.tick();
         state.log_slots();
         self.pump(&mut state);
--- a/crates/seamhatchd/src/server/gate/turns.rs
+++ b/crates/seamhatchd/src/server/gate/turns.rs
@@ -11,14 +11,14 @@
     /// Holds calls to a rate that the back end names.
     pub fn hold_to(&self, rate: RequestRate) {
         let mut state = self.lock();
-        state.queue.hold_to(rate, clock::now());
+        state.queue.set_rate_limit(rate, clock::now());
         self.pump(&mut state);
     }
 
     /// The back end names no rate any more.
     pub fn lift_rate(&self) {
         let mut state = self.lock();
-        state.queue.lift_rate(clock::now());
+        state.queue.end_rate_limit(clock::now());
         self.pump(&mut state);
     }
 
