--- a/crates/seamhatch-core/src/admission/queue/lateness.rs
+++ b/crates/seamhatch-core/src/admission/queue/lateness.rs
@@ -24,7 +24,7 @@
     /// Removes the waiting calls whose turn comes too late at the pace at which the queue drains now: their callers do
     /// better elsewhere than held until the last moment. Calls without an objective of their own stay: they are part of
     /// requests that have begun, and all that was done for those would be lost by an estimate that may err.
-    pub fn give_up_late(&mut self, now: Instant) -> Vec<Ticket> {
+    pub fn shed_late_calls(&mut self, now: Instant) -> Vec<Ticket> {
         let mut late = Vec::new();
         for class in PriorityClass::ALL {
             let mut in_line = 0;
--- a/crates/seamhatch-core/tests/admission.rs
+++ b/crates/seamhatch-core/tests/admission.rs
@@ -281,7 +281,7 @@
             assert_eq!(queue.offer(asked, now), Admission::Wait { evicted: None }, "{}", case.name);
         }
         queue.finish(Ticket(100), NOW.plus(SERVICE_TIME), true);
-        let late: Vec<u64> = queue.give_up_late(now).into_iter().map(|ticket| ticket.0).collect();
+        let late: Vec<u64> = queue.shed_late_calls(now).into_iter().map(|ticket| ticket.0).collect();
         assert_eq!(late, case.late, "{}", case.name);
         assert_eq!(queue.waiting(), case.waiting.len() - late.len(), "{}", case.name);
     }
--- a/crates/seamhatch-core/tests/chain_cost.rs
+++ b/crates/seamhatch-core/tests/chain_cost.rs
@@ -337,7 +337,7 @@
         }
         run.start_waiting();
         if step % 100 == 99 {
-            for late in run.queue.give_up_late(run.now) {
+            for late in run.queue.shed_late_calls(run.now) {
                 run.refuse(late);
             }
             run.queue.tick();
--- a/crates/seamhatch-core/tests/simulation/mod.rs
+++ b/crates/seamhatch-core/tests/simulation/mod.rs
@@ -96,7 +96,7 @@
         run.take_calls(step, &admits);
         run.start_waiting();
         if step % TICK_STEPS == TICK_STEPS - 1 {
-            run.queue.give_up_late(run.now);
+            run.queue.shed_late_calls(run.now);
             run.queue.tick();
             run.floor = run.queue.floor();
         }
--- a/crates/seamhatchd/src/server/gate/mod.rs
+++ b/crates/seamhatchd/src/server/gate/mod.rs
@@ -195,7 +195,7 @@
     pub fn tick(&self) {
         let mut state = self.lock();
         let (now, late_reason) = (clock::now(), state.queue.late_reason());
-        for ticket in state.queue.give_up_late(now) {
+        for ticket in state.queue.shed_late_calls(now) {
             state.refuse_waiting(ticket, late_reason);
         }
         state.queue.ramp_up_rate(now);
