--- a/crates/seamhatch-core/src/admission/queue/lateness.rs
+++ b/crates/seamhatch-core/src/admission/queue/lateness.rs
@@ -8,7 +8,7 @@
 impl AdmissionQueue {
     /// How long calls of this kind usually take from their slot to their answer; none before the first.
     #[must_use]
-    pub fn usual_time(&self, kind: CallKind) -> Option<Microseconds> {
+    pub fn median_service_time(&self, kind: CallKind) -> Option<Microseconds> {
         self.service_times.usual(kind)
     }
 
--- a/crates/seamhatchd/src/server/gate/mod.rs
+++ b/crates/seamhatchd/src/server/gate/mod.rs
@@ -150,7 +150,7 @@
     /// How long calls of this kind usually take from their slot to their answer; none before the first.
     #[must_use]
     pub fn usual_time(&self, kind: CallKind) -> Option<Microseconds> {
-        self.lock().queue.usual_time(kind)
+        self.lock().queue.median_service_time(kind)
     }
 
     /// Refuses all waiting calls, as the back end takes no more.
