--- a/crates/seamhatch-core/src/admission/queue/mod.rs
+++ b/crates/seamhatch-core/src/admission/queue/mod.rs
@@ -203,12 +203,12 @@
     }
 
     /// A running call makes calls of its own: its service time depends on other back ends too.
-    pub fn makes_calls(&mut self, ticket: Ticket) {
+    pub fn note_calls_made(&mut self, ticket: Ticket) {
         self.slots.note_calls_made(ticket);
     }
 
     /// The back end answers a running call with a failure: how soon it fails does not show how fast it works.
-    pub fn fails(&mut self, ticket: Ticket) {
+    pub fn note_failure(&mut self, ticket: Ticket) {
         self.slots.note_failure(ticket);
     }
 
--- a/crates/seamhatch-core/tests/knee.rs
+++ b/crates/seamhatch-core/tests/knee.rs
@@ -84,7 +84,7 @@
         while let Some(&(ended, ticket)) = ends.first().filter(|(ended, _)| *ended <= now) {
             ends.remove(&(ended, ticket));
             if with_calls {
-                queue.makes_calls(ticket);
+                queue.note_calls_made(ticket);
             }
             queue.finish(ticket, ended, true);
         }
--- a/crates/seamhatchd/src/server/gate/permit.rs
+++ b/crates/seamhatchd/src/server/gate/permit.rs
@@ -44,12 +44,12 @@
 
     /// The call has made calls of its own, so that its service time depends on other back ends too.
     pub fn mark_calls_made(&mut self) {
-        self.gate.lock().queue.makes_calls(self.ticket);
+        self.gate.lock().queue.note_calls_made(self.ticket);
     }
 
     /// The back end answers the call with a failure.
     pub fn mark_failed(&mut self) {
-        self.gate.lock().queue.fails(self.ticket);
+        self.gate.lock().queue.note_failure(self.ticket);
     }
 }
 
