--- a/crates/seamhatch-core/src/admission/lost.rs
+++ b/crates/seamhatch-core/src/admission/lost.rs
@@ -12,14 +12,14 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct BackEndLoad {
     /// Calls there; none where the field is missing or malformed.
-    pub calls: Option<CallsThere>,
+    pub calls: Option<BackEndCalls>,
     /// How long work takes there at this moment, in percent of the usual; none where the figure is missing or not valid.
     pub time_percent: Option<u16>,
 }
 
 /// Calls at a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CallsThere {
+pub struct BackEndCalls {
     /// Calls that run there.
     pub running: u32,
     /// Calls that wait there.
@@ -41,7 +41,7 @@
 impl LostCalls {
     /// Records a report while `held` calls are taken to be at the back end, the answered one included. Returns how many of
     /// them are surely not there, by this report and those before it.
-    pub(super) fn report(&mut self, calls: CallsThere, held: u32) -> u32 {
+    pub(super) fn report(&mut self, calls: BackEndCalls, held: u32) -> u32 {
         let there = calls.running.saturating_add(calls.waiting);
         self.excess.push_back(held.saturating_sub(there.saturating_add(1)));
         if self.excess.len() < AGREEING_REPORTS {
--- a/crates/seamhatch-core/src/admission/mod.rs
+++ b/crates/seamhatch-core/src/admission/mod.rs
@@ -33,7 +33,7 @@
 
 pub use knee::{CallKind, KneeFinder, ProbeMark};
 pub use limit::ConcurrencyLimit;
-pub use lost::{BackEndLoad, CallsThere};
+pub use lost::{BackEndLoad, BackEndCalls};
 pub use queue::AdmissionQueue;
 pub use request::{Admission, AdmissionPolicy, AdmissionRequest, Dequeued, Ticket};
 pub use shares::{ClassShares, share_of};
--- a/crates/seamhatch-core/src/admission/slots.rs
+++ b/crates/seamhatch-core/src/admission/slots.rs
@@ -3,7 +3,7 @@
 //! Owns the table of running calls and what each class has used. A call whose answer seems to be lost keeps its entry, so
 //! that its end is not counted twice, but frees its slot. Used by [`super::AdmissionQueue`] alone.
 
-use super::lost::{CallsThere, LostCalls, OVERDUE_SERVICE_TIMES};
+use super::lost::{BackEndCalls, LostCalls, OVERDUE_SERVICE_TIMES};
 use super::{AdmissionRequest, CallKind, ClassShares, ProbeMark, Ticket};
 use crate::clock::{Instant, Microseconds};
 use crate::priority::PriorityClass;
@@ -125,7 +125,7 @@
 
     /// Records the load that the back end reports beside an answer. The oldest calls that are overdue, as many as are
     /// surely not at the back end, lose their slot. `typical` is the typical service time.
-    pub(super) fn note_load(&mut self, calls: CallsThere, typical: Microseconds, now: Instant) {
+    pub(super) fn note_load(&mut self, calls: BackEndCalls, typical: Microseconds, now: Instant) {
         let sure = self.lost_calls.report(calls, self.taken() as u32);
         if sure == 0 {
             return;
--- a/crates/seamhatch-core/tests/admission.rs
+++ b/crates/seamhatch-core/tests/admission.rs
@@ -2,7 +2,7 @@
 
 use seamhatch_core::Instant;
 use seamhatch_core::admission::{
-    Admission, AdmissionPolicy, AdmissionQueue, AdmissionRequest, BackEndLoad, CallKind, CallsThere,
+    Admission, AdmissionPolicy, AdmissionQueue, AdmissionRequest, BackEndLoad, CallKind, BackEndCalls,
     Dequeued, Ticket,
 };
 use seamhatch_core::clock::{MILLISECOND, SECOND};
@@ -528,7 +528,7 @@
             queue.offer(request(ticket, PriorityClass::Normal, NOW), NOW);
         }
         let now = NOW.plus(case.age);
-        let calls = CallsThere { running: case.running, waiting: case.waiting };
+        let calls = BackEndCalls { running: case.running, waiting: case.waiting };
         let load = BackEndLoad { calls: Some(calls), time_percent: None };
         (0..case.reports).for_each(|_| queue.note_back_end_load(load, now));
         assert_eq!(8 - queue.running(), case.free, "{}", case.name);
