--- a/crates/seamhatch-core/src/admission/request.rs
+++ b/crates/seamhatch-core/src/admission/request.rs
@@ -53,13 +53,13 @@
     pub kind: CallKind,
     /// It belongs to a chain that has begun at another server, and goes before first calls of its class: refusing it
     /// wastes what the chain has used. Set only where the deployment orders by cost.
-    pub begun: bool,
+    pub continues_chain: bool,
 }
 
 impl AdmissionRequest {
     /// Position in the order of eviction: class, then calls of begun chains, then bucket. Smaller is more important.
     pub(super) fn rank(&self) -> (usize, bool, u8) {
-        (self.priority.class.rank(), !self.begun, self.priority.bucket)
+        (self.priority.class.rank(), !self.continues_chain, self.priority.bucket)
     }
 }
 
--- a/crates/seamhatch-core/src/admission/waiting.rs
+++ b/crates/seamhatch-core/src/admission/waiting.rs
@@ -100,5 +100,5 @@
 }
 
 fn place(request: &AdmissionRequest) -> Place {
-    (!request.begun, request.priority.bucket, request.root_admitted, request.ticket)
+    (!request.continues_chain, request.priority.bucket, request.root_admitted, request.ticket)
 }
--- a/crates/seamhatch-core/tests/admission.rs
+++ b/crates/seamhatch-core/tests/admission.rs
@@ -26,7 +26,7 @@
         expiry,
         objective_end: Instant::NEVER,
         kind: CallKind::default(),
-        begun: false,
+        continues_chain: false,
     }
 }
 
--- a/crates/seamhatch-core/tests/chain_cost.rs
+++ b/crates/seamhatch-core/tests/chain_cost.rs
@@ -218,7 +218,7 @@
 }
 
 /// A call of a begun chain, or a first call, in a bucket.
-fn call(ticket: u64, begun: bool, bucket: u8) -> AdmissionRequest {
+fn call(ticket: u64, continues_chain: bool, bucket: u8) -> AdmissionRequest {
     AdmissionRequest {
         ticket: Ticket(ticket),
         priority: Priority { class: CLASS, bucket },
@@ -226,7 +226,7 @@
         expiry: after(60),
         objective_end: Instant::NEVER,
         kind: CallKind::default(),
-        begun,
+        continues_chain,
     }
 }
 
@@ -377,7 +377,7 @@
             expiry: request.admitted.plus(700 * MILLISECOND),
             objective_end: if kind.first { objective_end } else { Instant::NEVER },
             kind: CallKind(request.kind as u32),
-            begun: self.by_cost && !kind.first,
+            continues_chain: self.by_cost && !kind.first,
         };
         match self.queue.offer(offered, self.now) {
             Admission::Run => self.start(ticket),
--- a/crates/seamhatch-core/tests/held_admission.rs
+++ b/crates/seamhatch-core/tests/held_admission.rs
@@ -28,7 +28,7 @@
         expiry: now.plus(60 * SECOND),
         objective_end: now.plus(patience),
         kind: CallKind::default(),
-        begun: false,
+        continues_chain: false,
     }
 }
 
--- a/crates/seamhatch-core/tests/knee.rs
+++ b/crates/seamhatch-core/tests/knee.rs
@@ -98,7 +98,7 @@
                 expiry: now.plus(5 * SECOND),
                 objective_end: now.plus(SECOND),
                 kind: CallKind::default(),
-                begun: false,
+                continues_chain: false,
             };
             if queue.offer(offered, now) == Admission::Run {
                 started.push(Ticket(next));
--- a/crates/seamhatch-core/tests/service_admission.rs
+++ b/crates/seamhatch-core/tests/service_admission.rs
@@ -88,7 +88,7 @@
                 expiry: now.plus(700 * MILLISECOND),
                 objective_end: now.plus(600 * MILLISECOND),
                 kind: CallKind::default(),
-                begun: false,
+                continues_chain: false,
             };
             let server_speed = servers[server].speed_at(step / 1000);
             if running[server].queue.offer(offered, now) == Admission::Run {
--- a/crates/seamhatch-core/tests/simulation/mod.rs
+++ b/crates/seamhatch-core/tests/simulation/mod.rs
@@ -167,7 +167,7 @@
             expiry: self.now.plus(stream.service_time * 2 + SPARE_TIME),
             objective_end: self.now.plus(stream.patience + stream.service_time),
             kind: CallKind(index as u32),
-            begun: false,
+            continues_chain: false,
         };
         if self.queue.offer(offered, self.now) == Admission::Run {
             self.start(ticket);
--- a/crates/seamhatchd/src/server/gate/mod.rs
+++ b/crates/seamhatchd/src/server/gate/mod.rs
@@ -112,7 +112,7 @@
             expiry: request.expiry,
             objective_end: request.objective_end,
             kind: request.kind,
-            begun: request.begun,
+            continues_chain: request.begun,
         };
         let Some(turn) = self.offer(offered, arrived)? else {
             return Ok(self.permit(ticket));
