--- a/crates/seamhatch-core/src/admission/lost.rs
+++ b/crates/seamhatch-core/src/admission/lost_answers.rs
@@ -34,16 +34,16 @@
 
 /// By how many calls a gate holds more than its back end works on.
 #[derive(Debug, Default)]
-pub(super) struct LostCalls {
+pub(super) struct LostAnswerDetector {
     excess: VecDeque<u32>,
 }
 
-impl LostCalls {
-    /// Records a report while `held` calls are taken to be at the back end, the answered one included. Returns how many of
+impl LostAnswerDetector {
+    /// Records a report while `with_slot` calls are taken to be at the back end, the answered one included. Returns how many of
     /// them are surely not there, by this report and those before it.
-    pub(super) fn report(&mut self, calls: BackEndCalls, held: u32) -> u32 {
+    pub(super) fn report(&mut self, calls: BackEndCalls, with_slot: u32) -> u32 {
         let there = calls.running.saturating_add(calls.waiting);
-        self.excess.push_back(held.saturating_sub(there.saturating_add(1)));
+        self.excess.push_back(with_slot.saturating_sub(there.saturating_add(1)));
         if self.excess.len() < AGREEING_REPORTS {
             return 0;
         }
--- a/crates/seamhatch-core/src/admission/mod.rs
+++ b/crates/seamhatch-core/src/admission/mod.rs
@@ -10,7 +10,7 @@
 //! | [`ClassShares`] | which class goes first |
 //! | `slots` | which calls hold a slot, and which have lost their answer |
 //! | `waiting` | who waits, in which order |
-//! | `held` | at which rate calls begin, where the back end names one |
+//! | `rate_limited` | at which rate calls begin, where the back end names one |
 //! | `service_times` | how long a call of a kind usually takes |
 //! | `floor` | the level of the admission floor that the server publishes |
 //! | `kept` | the buckets of each class that are admitted whatever the level |
@@ -19,12 +19,12 @@
 //! from waiting for a turn that comes too late. Alternatives: docs/DESIGN.md#queue-and-slots.
 
 mod floor;
-mod held;
 mod kept;
 mod knee;
 mod limit;
-mod lost;
+mod lost_answers;
 mod queue;
+mod rate_limited;
 mod request;
 mod service_times;
 mod shares;
@@ -33,7 +33,7 @@
 
 pub use knee::{CallKind, KneeFinder, ProbeMark};
 pub use limit::ConcurrencyLimit;
-pub use lost::{BackEndLoad, BackEndCalls};
+pub use lost_answers::{BackEndCalls, BackEndLoad};
 pub use queue::AdmissionQueue;
 pub use request::{Admission, AdmissionPolicy, AdmissionRequest, Dequeued, Ticket};
 pub use shares::{ClassShares, share_of};
--- a/crates/seamhatch-core/src/admission/queue/lateness.rs
+++ b/crates/seamhatch-core/src/admission/queue/lateness.rs
@@ -61,7 +61,7 @@
     pub(super) fn estimated_wait(&self, ahead: usize, now: Instant) -> Microseconds {
         let service_time = self.limit.typical_service_time();
         let for_slot = service_time * (ahead as u64 + 1) / u64::from(self.limit().max(1));
-        let for_turn = self.held.as_ref().map_or(0, |held| held.limiter().turn_in(ahead, now));
+        let for_turn = self.rate_limited.as_ref().map_or(0, |limited| limited.limiter().turn_in(ahead, now));
         for_slot.max(for_turn)
     }
 }
--- a/crates/seamhatch-core/src/admission/queue/mod.rs
+++ b/crates/seamhatch-core/src/admission/queue/mod.rs
@@ -7,11 +7,11 @@
 //! calls of chains that have begun elsewhere go before first calls of their class. A back end that names a rate gets calls at that
 //! rate, in the same order; what it shows then is not remembered.
 
-mod held;
 mod lateness;
+mod rate_limited;
 
 use super::floor::{FloorController, HIGH_FILL, Pressure};
-use super::held::HeldBackEnd;
+use super::rate_limited::RateLimitedBackEnd;
 use super::service_times::ServiceTimes;
 use super::slots::SlotTable;
 use super::waiting::WaitingLines;
@@ -37,7 +37,7 @@
     service_times: ServiceTimes,
     pace: PaceRecord,
     /// Set while the back end names a rate, and for a while after.
-    held: Option<HeldBackEnd>,
+    rate_limited: Option<RateLimitedBackEnd>,
 }
 
 impl AdmissionQueue {
@@ -53,7 +53,7 @@
             floor: FloorController::default(),
             service_times: ServiceTimes::default(),
             pace: PaceRecord::default(),
-            held: None,
+            rate_limited: None,
         }
     }
 
@@ -230,7 +230,7 @@
 
     /// Places in the queue.
     fn capacity(&self) -> u32 {
-        match self.held {
+        match self.rate_limited {
             None => self.policy.slots * self.policy.queue_per_slot,
             Some(_) => (self.usable_slots().max(1.0) * f64::from(self.policy.queue_per_slot)).ceil() as u32,
         }
@@ -242,14 +242,14 @@
     }
 
     fn start(&mut self, request: &AdmissionRequest, now: Instant) {
-        let mark = match &mut self.held {
+        let mark = match &mut self.rate_limited {
             None => self.knee.begin(self.running() as u32 + 1, request.kind, now),
-            Some(held) => {
-                held.limiter_mut().take(now);
+            Some(limited) => {
+                limited.limiter_mut().take(now);
                 None
             }
         };
-        self.slots.start(request, mark, self.held.is_some(), now);
+        self.slots.start(request, mark, self.rate_limited.is_some(), now);
     }
 
     fn below_share(&self, class: PriorityClass) -> bool {
@@ -268,7 +268,7 @@
         if self.waiting.len() < self.capacity() as usize {
             return Ok(None);
         }
-        let full = if self.held.is_some() { Reason::BackendRate } else { Reason::QueueFull };
+        let full = if self.rate_limited.is_some() { Reason::BackendRate } else { Reason::QueueFull };
         let victim = self.victim(request).ok_or(full)?;
         self.expire(victim);
         Ok(Some(victim))
--- a/crates/seamhatch-core/src/admission/held.rs
+++ b/crates/seamhatch-core/src/admission/rate_limited.rs
@@ -16,33 +16,38 @@
 
 /// What is learnt of a back end from its answers.
 #[derive(Debug, Clone)]
-pub(super) struct LearntTimes {
+pub(super) struct ServiceEstimates {
     pub(super) limit: ConcurrencyLimit,
     pub(super) service_times: ServiceTimes,
 }
 
 /// A back end that is held to a rate.
 #[derive(Debug)]
-pub(super) struct HeldBackEnd {
+pub(super) struct RateLimitedBackEnd {
     limiter: RateLimiter,
     /// What was known before it named a rate; none once it names none any more.
-    before: Option<LearntTimes>,
+    before: Option<ServiceEstimates>,
 }
 
-impl HeldBackEnd {
+impl RateLimitedBackEnd {
     /// It names a rate, with this known of it.
-    pub(super) fn new(rate: RequestRate, before: LearntTimes, now: Instant) -> Self {
+    pub(super) fn new(rate: RequestRate, before: ServiceEstimates, now: Instant) -> Self {
         Self { limiter: RateLimiter::new(rate, now), before: Some(before) }
     }
 
     /// It names a rate again, or another one.
-    pub(super) fn set_rate(&mut self, rate: RequestRate, learnt: impl FnOnce() -> LearntTimes, now: Instant) {
+    pub(super) fn set_rate(
+        &mut self,
+        rate: RequestRate,
+        learnt: impl FnOnce() -> ServiceEstimates,
+        now: Instant,
+    ) {
         self.limiter.set_rate(rate, now);
         self.before.get_or_insert_with(learnt);
     }
 
     /// It names no rate any more: the rate rises from now on, up to `full`, which its slots can do. Returns what was known before.
-    pub(super) fn lift(&mut self, full: RequestRate, now: Instant) -> Option<LearntTimes> {
+    pub(super) fn lift(&mut self, full: RequestRate, now: Instant) -> Option<ServiceEstimates> {
         let before = self.before.take()?;
         let first = self.limiter.rate().max(full.times(FIRST_SHARE));
         self.limiter.set_rate(first, now);
--- a/crates/seamhatch-core/src/admission/slots.rs
+++ b/crates/seamhatch-core/src/admission/slots.rs
@@ -3,7 +3,7 @@
 //! Owns the table of running calls and what each class has used. A call whose answer seems to be lost keeps its entry, so
 //! that its end is not counted twice, but frees its slot. Used by [`super::AdmissionQueue`] alone.
 
-use super::lost::{BackEndCalls, LostCalls, OVERDUE_SERVICE_TIMES};
+use super::lost_answers::{BackEndCalls, LostAnswerDetector, OVERDUE_SERVICE_TIMES};
 use super::{AdmissionRequest, CallKind, ClassShares, ProbeMark, Ticket};
 use crate::clock::{Instant, Microseconds};
 use crate::priority::PriorityClass;
@@ -43,7 +43,7 @@
     running: HashMap<Ticket, RunningSlot>,
     /// Running calls whose answer seems to be lost.
     lost: usize,
-    lost_calls: LostCalls,
+    lost_calls: LostAnswerDetector,
     shares: ClassShares,
 }
 
--- a/crates/seamhatch-core/src/balance/measure.rs
+++ b/crates/seamhatch-core/src/balance/cost.rs
@@ -33,7 +33,7 @@
 const MOST_TIME: f64 = 4.0;
 
 /// How candidates are compared.
-pub(super) enum Measure {
+pub(super) enum CostMetric {
     /// By load over slots.
     Load,
     /// By expected completion time.
@@ -45,7 +45,7 @@
     },
 }
 
-impl Measure {
+impl CostMetric {
     /// The measure for these candidates. Those that fail or are silent don't count.
     pub(super) fn of(candidates: &[Candidate]) -> Self {
         let usable = || candidates.iter().filter(|candidate| candidate.status != CandidateStatus::Ejected);
--- a/crates/seamhatch-core/src/balance/mod.rs
+++ b/crates/seamhatch-core/src/balance/mod.rs
@@ -6,13 +6,13 @@
 //! [silent](candidate_status)), and the share of its answers that arrived in the last seconds.
 //!
 //! Where servers tell their pace, the one that is expected to complete the call sooner is taken instead: `pace` has what is known of
-//! that, `measure` decides which of the two rules holds.
+//! that, `cost` decides which of the two rules holds.
 //!
 //! It protects servers from more work than they have slots, and the bytes between zones from being spent without need.
 //! Loss of answers makes a server costlier; [ejection](Ejection) leaves it out for a while; neither gives up a whole pool.
 //! Alternatives and figures: docs/DESIGN.md#server-choice. Who calls it: `seamhatchd::dispatch`.
 
-mod measure;
+mod cost;
 mod outlier;
 mod pace;
 mod silence;
@@ -24,7 +24,7 @@
 pub use turn::{NextTurn, SenderRoundRobin, TurnReport};
 
 use crate::clock::Microseconds;
-use measure::Measure;
+use cost::CostMetric;
 
 /// Whether a candidate is used while others are there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -63,16 +63,16 @@
 /// `random` draws a number below its argument. Servers whose daemons are about to stop are used only where those that stay are
 /// nearly full or none is left, and ejected ones only where there is no other, so that a whole pool is never given up.
 pub fn pick(candidates: &[Candidate], mut random: impl FnMut(usize) -> usize) -> Option<usize> {
-    let measure = Measure::of(candidates);
+    let metric = CostMetric::of(candidates);
     let usual = indices(candidates, |candidate| candidate.status == CandidateStatus::Available);
-    let usual = nearest(&measure, candidates, &usual, &mut random);
-    if usual.is_some_and(|usual| measure.starts_at_once(&candidates[usual])) {
+    let usual = nearest(&metric, candidates, &usual, &mut random);
+    if usual.is_some_and(|usual| metric.starts_at_once(&candidates[usual])) {
         return usual;
     }
-    let leaving = nearest(&measure, candidates, &leaving_but_the_next(candidates), &mut random);
+    let leaving = nearest(&metric, candidates, &leaving_but_the_next(candidates), &mut random);
     match (usual, leaving) {
-        (Some(usual), Some(leaving)) => Some(cheaper(&measure, candidates, usual, leaving)),
-        (None, None) => nearest(&measure, candidates, &indices(candidates, |_| true), &mut random),
+        (Some(usual), Some(leaving)) => Some(cheaper(&metric, candidates, usual, leaving)),
+        (None, None) => nearest(&metric, candidates, &indices(candidates, |_| true), &mut random),
         (usual, leaving) => usual.or(leaving),
     }
 }
@@ -94,25 +94,25 @@
 
 /// Picks from `pool`: servers in the caller's zone go first, until those of other zones are clearly better.
 fn nearest(
-    measure: &Measure,
+    metric: &CostMetric,
     candidates: &[Candidate],
     pool: &[usize],
     random: &mut impl FnMut(usize) -> usize,
 ) -> Option<usize> {
     let (near, far): (Vec<usize>, Vec<usize>) = pool.iter().partition(|index| candidates[**index].same_zone);
-    let near = cheaper_of_two(measure, candidates, &near, random);
-    if !measure.compares_speed() && near.is_some_and(|near| measure.starts_at_once(&candidates[near])) {
+    let near = cheaper_of_two(metric, candidates, &near, random);
+    if !metric.compares_speed() && near.is_some_and(|near| metric.starts_at_once(&candidates[near])) {
         return near;
     }
-    let far = cheaper_of_two(measure, candidates, &far, random);
+    let far = cheaper_of_two(metric, candidates, &far, random);
     let (Some(nearer), Some(farther)) = (near, far) else { return near.or(far) };
-    let spills = measure.spills(&candidates[nearer], &candidates[farther]);
+    let spills = metric.spills(&candidates[nearer], &candidates[farther]);
     if spills { far } else { near }
 }
 
 /// The cheaper one of two that are drawn from `pool`.
 fn cheaper_of_two(
-    measure: &Measure,
+    metric: &CostMetric,
     candidates: &[Candidate],
     pool: &[usize],
     random: &mut impl FnMut(usize) -> usize,
@@ -123,7 +123,7 @@
         count => {
             let first = random(count);
             let second = (first + 1 + random(count - 1)) % count;
-            Some(cheaper(measure, candidates, pool[first], pool[second]))
+            Some(cheaper(metric, candidates, pool[first], pool[second]))
         }
     }
 }
@@ -132,7 +132,7 @@
     (0..candidates.len()).filter(|&index| keep(&candidates[index])).collect()
 }
 
-fn cheaper(measure: &Measure, candidates: &[Candidate], first: usize, second: usize) -> usize {
-    let is_second = measure.cost(&candidates[second]) < measure.cost(&candidates[first]);
+fn cheaper(metric: &CostMetric, candidates: &[Candidate], first: usize, second: usize) -> usize {
+    let is_second = metric.cost(&candidates[second]) < metric.cost(&candidates[first]);
     if is_second { second } else { first }
 }
--- a/crates/seamhatch-core/tests/admission.rs
+++ b/crates/seamhatch-core/tests/admission.rs
@@ -2,7 +2,7 @@
 
 use seamhatch_core::Instant;
 use seamhatch_core::admission::{
-    Admission, AdmissionPolicy, AdmissionQueue, AdmissionRequest, BackEndLoad, CallKind, BackEndCalls,
+    Admission, AdmissionPolicy, AdmissionQueue, AdmissionRequest, BackEndCalls, BackEndLoad, CallKind,
     Dequeued, Ticket,
 };
 use seamhatch_core::clock::{MILLISECOND, SECOND};
--- a/crates/seamhatch-core/tests/server_choice/main.rs
+++ b/crates/seamhatch-core/tests/server_choice/main.rs
@@ -4,7 +4,7 @@
 
 use seamhatch_core::Instant;
 use seamhatch_core::balance::{
-    Candidate, CandidateStatus, KnownPace, PaceRecord, ServerPace, pick, parse_time_percent,
+    Candidate, CandidateStatus, KnownPace, PaceRecord, ServerPace, parse_time_percent, pick,
 };
 use seamhatch_core::clock::{MILLISECOND, Microseconds, SECOND};
 use simulation::{Figure, Load, Outcome, Server, run};
