--- a/crates/seamhatch-core/src/admission/queue/mod.rs
+++ b/crates/seamhatch-core/src/admission/queue/mod.rs
@@ -19,7 +19,7 @@
     Admission, AdmissionPolicy, AdmissionRequest, BackEndLoad, ConcurrencyLimit, Dequeued, KneeFinder,
     Ticket, share_of,
 };
-use crate::balance::{PaceRecord, ServerPace};
+use crate::balance::{PaceTracker, ServerPace};
 use crate::clock::{Instant, Microseconds};
 use crate::outcome::Reason;
 use crate::priority::{AdmissionFloor, PriorityClass};
@@ -35,7 +35,7 @@
     waiting: WaitingLines,
     floor: FloorController,
     service_times: ServiceTimes,
-    pace: PaceRecord,
+    pace: PaceTracker,
     /// Set while the back end names a rate, and for a while after.
     rate_limited: Option<RateLimitedBackEnd>,
 }
@@ -52,7 +52,7 @@
             waiting: WaitingLines::default(),
             floor: FloorController::default(),
             service_times: ServiceTimes::default(),
-            pace: PaceRecord::default(),
+            pace: PaceTracker::default(),
             rate_limited: None,
         }
     }
@@ -111,7 +111,7 @@
         self.policy.initial_slots = initial_slots;
         self.limit = self.limit.restarted(self.policy);
         self.knee = KneeFinder::new(slots);
-        self.pace.forget_work();
+        self.pace.reset_service_time();
     }
 
     /// Removes all waiting calls, as nothing will run here any more.
@@ -180,7 +180,7 @@
             self.limit.observe(finished.service_time);
             self.service_times.observe(finished.kind, finished.service_time);
             let is_own_work = !finished.makes_calls && !finished.failed;
-            self.pace.note_success(is_own_work.then_some(finished.service_time), now);
+            self.pace.record_success(is_own_work.then_some(finished.service_time), now);
             finished.mark.into_iter().for_each(|mark| self.knee.observe(mark, finished.service_time));
         }
     }
@@ -192,7 +192,7 @@
             self.slots.note_load(calls, self.limit.typical_service_time(), now);
         }
         if let Some(percent) = load.time_percent {
-            self.pace.note_figure(percent, now);
+            self.pace.record_time_percent(percent, now);
         }
     }
 
--- a/crates/seamhatch-core/src/balance/mod.rs
+++ b/crates/seamhatch-core/src/balance/mod.rs
@@ -19,7 +19,7 @@
 mod turn;
 
 pub use outlier::{CallEnd, Ejection, SuccessRate};
-pub use pace::{KnownPace, PaceRecord, ServerPace, parse_time_percent};
+pub use pace::{KnownPace, PaceTracker, ServerPace, parse_time_percent};
 pub use silence::{candidate_status, silent_at};
 pub use turn::{NextTurn, SenderRoundRobin, TurnReport};
 
--- a/crates/seamhatch-core/src/balance/pace.rs
+++ b/crates/seamhatch-core/src/balance/pace.rs
@@ -1,7 +1,7 @@
 //! How long work takes at a server, as its own figure and its observed service times show.
 //!
 //! A server tells in its answers how long work takes there at this moment, in percent of the usual. The daemon beside it keeps the last
-//! figure with its age ([`PaceRecord`]) and reports it with the usual service time ([`ServerPace`]); a daemon that sends calls compares
+//! figure with its age ([`PaceTracker`]) and reports it with the usual service time ([`ServerPace`]); a daemon that sends calls compares
 //! servers by both ([`KnownPace`]). Reports are hints: an old figure counts as the usual, and one that is too good is bounded.
 
 use crate::clock::{Instant, MILLISECOND, Microseconds, SECOND};
@@ -60,7 +60,7 @@
 
 /// What the daemon beside a server knows of its pace.
 #[derive(Debug, Clone, Default)]
-pub struct PaceRecord {
+pub struct PaceTracker {
     /// The last figure and when it came; none where the server tells none.
     figure: Option<(u16, Instant)>,
     /// Calls that succeeded since then.
@@ -92,9 +92,9 @@
     }
 }
 
-impl PaceRecord {
+impl PaceTracker {
     /// Records the figure beside an answer.
-    pub fn note_figure(&mut self, percent: u16, now: Instant) {
+    pub fn record_time_percent(&mut self, percent: u16, now: Instant) {
         if is_figure(percent) {
             self.figure = Some((percent, now));
             self.answers_since = 0;
@@ -105,7 +105,7 @@
     ///
     /// The figure is taken out of it, so that a slow phase doesn't count twice, and a server that always claims the same looks as fast as
     /// it is.
-    pub fn note_success(&mut self, service_time: Option<Microseconds>, now: Instant) {
+    pub fn record_success(&mut self, service_time: Option<Microseconds>, now: Instant) {
         self.answers_since = self.answers_since.saturating_add(1);
         let Some((percent, heard)) = self.figure else { return };
         let age = now.since(heard);
@@ -131,7 +131,7 @@
     }
 
     /// Forgets the usual service time, as another instance of the server runs now. The figure stays until that tells one.
-    pub fn forget_work(&mut self) {
+    pub fn reset_service_time(&mut self) {
         self.work = None;
     }
 }
--- a/crates/seamhatch-core/tests/server_choice/main.rs
+++ b/crates/seamhatch-core/tests/server_choice/main.rs
@@ -4,7 +4,7 @@
 
 use seamhatch_core::Instant;
 use seamhatch_core::balance::{
-    Candidate, CandidateStatus, KnownPace, PaceRecord, ServerPace, parse_time_percent, pick,
+    Candidate, CandidateStatus, KnownPace, PaceTracker, ServerPace, parse_time_percent, pick,
 };
 use seamhatch_core::clock::{MILLISECOND, Microseconds, SECOND};
 use simulation::{Figure, Load, Outcome, Server, run};
@@ -83,10 +83,10 @@
     // Figure told, service time of its calls, and the product of what is reported.
     let cases = [(100, 40, 40), (250, 100, 100), (50, 40, 40), (10, 40, 40), (1_000, 40, 40)];
     for (percent, service_ms, product) in cases {
-        let mut record = PaceRecord::default();
+        let mut record = PaceTracker::default();
         for _call in 0..100 {
-            record.note_figure(percent, NOW);
-            record.note_success(Some(service_ms * MILLISECOND), NOW);
+            record.record_time_percent(percent, NOW);
+            record.record_success(Some(service_ms * MILLISECOND), NOW);
         }
         let report = record.report(NOW).expect("told");
         let KnownPace::Reported { usual_ms: Some(work), factor } =
@@ -101,20 +101,20 @@
 /// Guards against a server that has stopped telling its pace, as another program runs there, and is compared by its old figures.
 #[test]
 fn a_server_that_tells_no_figure_any_more_is_one_that_tells_none() {
-    let mut record = PaceRecord::default();
+    let mut record = PaceTracker::default();
     assert_eq!(record.report(NOW), None);
-    record.note_success(Some(40 * MILLISECOND), NOW);
+    record.record_success(Some(40 * MILLISECOND), NOW);
     assert_eq!(record.report(NOW), None, "no figure yet");
-    record.note_figure(120, NOW);
+    record.record_time_percent(120, NOW);
     // Calls that make calls of their own say nothing of the server's speed.
-    record.note_success(None, NOW);
+    record.record_success(None, NOW);
     assert_eq!(record.report(NOW), Some(ServerPace { time_percent: 120, age_ms: 0, work_ms: 0 }));
-    record.note_figure(0, NOW);
-    record.note_figure(10_001, NOW);
+    record.record_time_percent(0, NOW);
+    record.record_time_percent(10_001, NOW);
     let later = NOW.plus(600 * SECOND);
     let idle = ServerPace { time_percent: 120, age_ms: u16::MAX, work_ms: 0 };
     assert_eq!(record.report(later), Some(idle), "an idle server tells nothing");
-    (0..8).for_each(|_| record.note_success(Some(40 * MILLISECOND), later));
+    (0..8).for_each(|_| record.record_success(Some(40 * MILLISECOND), later));
     assert_eq!(record.report(later), None);
 }
 
--- a/crates/seamhatch-core/tests/server_choice/simulation.rs
+++ b/crates/seamhatch-core/tests/server_choice/simulation.rs
@@ -2,7 +2,7 @@
 //! answers and heartbeats reported to it.
 
 use seamhatch_core::Instant;
-use seamhatch_core::balance::{Candidate, CandidateStatus, KnownPace, PaceRecord, ServerPace, pick};
+use seamhatch_core::balance::{Candidate, CandidateStatus, KnownPace, PaceTracker, ServerPace, pick};
 use seamhatch_core::clock::{MILLISECOND, SECOND};
 use std::collections::VecDeque;
 
@@ -97,7 +97,7 @@
 struct State {
     waiting: VecDeque<Call>,
     running: Vec<Call>,
-    pace: PaceRecord,
+    pace: PaceTracker,
 }
 
 /// What a sender knows of a server.
@@ -188,14 +188,17 @@
         let shape = &self.load.servers[server];
         let pace = &mut self.states[server].pace;
         match shape.figure {
-            Figure::True => pace.note_figure(shape.percent_at(step), instant(step)),
-            Figure::Always(percent) => pace.note_figure(percent, instant(step)),
+            Figure::True => pace.record_time_percent(shape.percent_at(step), instant(step)),
+            Figure::Always(percent) => pace.record_time_percent(percent, instant(step)),
             Figure::LateBySecond => {
-                pace.note_figure(shape.percent_at(step.saturating_sub(1_000)), instant(step).minus(SECOND));
+                pace.record_time_percent(
+                    shape.percent_at(step.saturating_sub(1_000)),
+                    instant(step).minus(SECOND),
+                );
             }
             Figure::None => {}
         }
-        pace.note_success(Some((step - call.started) * MILLISECOND), instant(step));
+        pace.record_success(Some((step - call.started) * MILLISECOND), instant(step));
         self.views[call.sender][server].in_flight -= 1;
         self.report(server, call.sender, step);
         if call.sent >= WARM_UP {
