--- a/crates/seamhatch-core/src/answer_times.rs
+++ b/crates/seamhatch-core/src/answer_times.rs
@@ -1,6 +1,6 @@
 //! How long requests of each kind take from their arrival to a good answer.
 //!
-//! Follows the time that [`EARLY_SHARE`] of each kind stay within, in microseconds. Used for return times ([`crate::entry`]), and by a daemon
+//! Follows the time that [`EARLY_SHARE`] of each kind stay within, in microseconds. Used for return times ([`crate::entry_floor`]), and by a daemon
 //! that stops for the calls that it still takes ([`crate::drain`]).
 
 use crate::clock::Microseconds;
--- a/crates/seamhatch-core/src/lib.rs
+++ b/crates/seamhatch-core/src/lib.rs
@@ -13,7 +13,7 @@
 //! | May the tenant's key be trusted, or may the configuration be out of date? | [`freshness`] |
 //! | How important is the request? | [`priority`] |
 //! | What does it cost where a service sheds? | [`chain_cost`] |
-//! | Would a service further down refuse it? | [`entry`], from what [`service_floor`] reports |
+//! | Would a service further down refuse it? | [`entry_floor`], from what [`service_floor`] reports |
 //! | Is the tenant within its limit? | [`quota`] |
 //! | Has it crashed servers, so that it runs alone or not at all? | [`crashes`] |
 //! | Has another attempt with its idempotency key run? | [`claims`], by the witnesses of [`roster`] |
@@ -46,7 +46,7 @@
 pub mod crashes;
 pub mod departure;
 pub mod drain;
-pub mod entry;
+pub mod entry_floor;
 pub mod freshness;
 pub mod generation;
 pub mod heartbeat;
