--- a/crates/seamhatch-core/src/crashes/mod.rs
+++ b/crates/seamhatch-core/src/crashes/mod.rs
@@ -13,13 +13,13 @@
 mod policy;
 mod quarantine;
 mod record;
-mod work;
+mod runs;
 
 pub use ledger::{CrashLedger, EvidenceEffect, SuspectStanding};
 pub use policy::CrashPolicy;
 pub use quarantine::{ends_try, home_of, runs_isolated};
 pub use record::{CondemnedRecord, CrashMark, MOST_MARKS, SuspectRecord, SuspectReport};
-pub use work::{CrashedWork, GOOD_END, LostRun, RunEnd, RunMode, Suspect, WorkNumber, WorkTable};
+pub use runs::{CrashedRuns, GOOD_END, LostRun, RunEnd, RunMode, Suspect, RunNumber, RunTable};
 
 use crate::identity::{Address, Incarnation, RequestDigest};
 use crate::instance::InstanceId;
--- a/crates/seamhatch-core/src/crashes/work.rs
+++ b/crates/seamhatch-core/src/crashes/runs.rs
@@ -48,7 +48,7 @@
 
 /// What was at work on an instance when it crashed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct CrashedWork {
+pub struct CrashedRuns {
     /// Calls that ran then, copies of a request included.
     pub calls: usize,
     /// The requests that may have crashed it, each once.
@@ -77,12 +77,12 @@
     BrokenOff,
 }
 
-/// Names a running call in its [`WorkTable`].
+/// Names a running call in its [`RunTable`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct WorkNumber(u64);
+pub struct RunNumber(u64);
 
 #[derive(Debug, Clone, Copy)]
-struct WorkEntry {
+struct RunEntry {
     instance: InstanceDigest,
     request: RequestDigest,
     mode: RunMode,
@@ -91,15 +91,15 @@
 /// A run that is over.
 #[derive(Debug, Clone, Copy)]
 struct PastRun {
-    entry: WorkEntry,
+    entry: RunEntry,
     ended: Instant,
     is_answered: bool,
 }
 
 /// The calls that run on one back end, and those that did so lately.
 #[derive(Debug, Default)]
-pub struct WorkTable {
-    running: HashMap<WorkNumber, WorkEntry>,
+pub struct RunTable {
+    running: HashMap<RunNumber, RunEntry>,
     last: u64,
     /// Crashes of a back end that has no name.
     unnamed_crashes: u64,
@@ -109,7 +109,7 @@
     past: VecDeque<PastRun>,
 }
 
-impl WorkTable {
+impl RunTable {
     /// Adds a call that is about to be sent to the back end beside the daemon `incarnation`. Returns its number and the
     /// instance that runs it.
     pub fn begin(
@@ -118,19 +118,19 @@
         instance: Option<&InstanceId>,
         request: RequestDigest,
         mode: RunMode,
-    ) -> (WorkNumber, InstanceDigest) {
+    ) -> (RunNumber, InstanceDigest) {
         let instance = match instance {
             Some(instance) => InstanceDigest::of_instance(instance),
             None => InstanceDigest::of_unnamed(incarnation, self.unnamed_crashes),
         };
         self.last += 1;
-        let number = WorkNumber(self.last);
-        self.running.insert(number, WorkEntry { instance, request, mode });
+        let number = RunNumber(self.last);
+        self.running.insert(number, RunEntry { instance, request, mode });
         (number, instance)
     }
 
     /// Records how a call has ended.
-    pub fn finish(&mut self, number: WorkNumber, end: RunEnd, now: Instant) {
+    pub fn finish(&mut self, number: RunNumber, end: RunEnd, now: Instant) {
         let Some(entry) = self.running.remove(&number) else { return };
         if end == RunEnd::NotRun {
             return;
@@ -149,8 +149,8 @@
 
     /// Records that an instance has ended in a crash, as nothing listens at its address any more; `is_unnamed` says that the
     /// back end's instances have no names. Returns what ran on it.
-    pub fn end(&mut self, instance: InstanceDigest, is_unnamed: bool, now: Instant) -> CrashedWork {
-        let crashed = self.take_work(instance, now);
+    pub fn end(&mut self, instance: InstanceDigest, is_unnamed: bool, now: Instant) -> CrashedRuns {
+        let crashed = self.take_runs(instance, now);
         // A back end without a name that is still away, and on which nothing ran since, hasn't crashed again.
         if !(is_unnamed && crashed.suspects.is_empty()) {
             self.unnamed_crashes += u64::from(is_unnamed);
@@ -161,13 +161,13 @@
 
     /// Another instance has taken the place of this one, which had not reported that it leaves. Returns what ran on it when
     /// it ended, where that was not known before.
-    pub fn replace(&mut self, instance: &InstanceId, now: Instant) -> CrashedWork {
+    pub fn replace(&mut self, instance: &InstanceId, now: Instant) -> CrashedRuns {
         let instance = InstanceDigest::of_instance(instance);
         if self.has_ended(instance) {
-            return CrashedWork::default();
+            return CrashedRuns::default();
         }
         self.note_ended(instance);
-        self.take_work(instance, now)
+        self.take_runs(instance, now)
     }
 
     fn note_ended(&mut self, instance: InstanceDigest) {
@@ -178,7 +178,7 @@
     }
 
     /// What ran on an instance that has ended by `now`; runs that are over count for one crash only.
-    fn take_work(&mut self, instance: InstanceDigest, now: Instant) -> CrashedWork {
+    fn take_runs(&mut self, instance: InstanceDigest, now: Instant) -> CrashedRuns {
         let running = self.running.values().filter(|entry| entry.instance == instance);
         let calls = running.clone().count();
         let past = self.past.iter().filter(|run| run.entry.instance == instance);
@@ -190,12 +190,12 @@
             is_recent && (!run.is_answered || lived_until.since(run.ended) <= GOOD_END)
         };
         let there = running.chain(past.filter(counts).map(|run| &run.entry));
-        let suspect = |entry: &WorkEntry| Suspect { request: entry.request, mode: entry.mode };
+        let suspect = |entry: &RunEntry| Suspect { request: entry.request, mode: entry.mode };
         let mut suspects: Vec<Suspect> = there.map(suspect).collect();
         // A copy on trial comes before one that is not.
         suspects.sort_unstable_by_key(|suspect| (suspect.request, std::cmp::Reverse(suspect.mode)));
         suspects.dedup_by_key(|suspect| suspect.request);
         self.past.retain(|run| run.entry.instance != instance);
-        CrashedWork { calls, suspects }
+        CrashedRuns { calls, suspects }
     }
 }
--- a/crates/seamhatch-core/tests/quarantine.rs
+++ b/crates/seamhatch-core/tests/quarantine.rs
@@ -3,7 +3,7 @@
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, SECOND};
 use seamhatch_core::crashes::{
-    CrashedWork, InstanceDigest, RunEnd, RunMode, Suspect, WorkTable, ends_try, home_of, runs_isolated,
+    CrashedRuns, InstanceDigest, RunEnd, RunMode, Suspect, RunTable, ends_try, home_of, runs_isolated,
 };
 use seamhatch_core::identity::{Incarnation, RequestDigest};
 use seamhatch_core::instance::InstanceId;
@@ -43,7 +43,7 @@
 
 #[test]
 fn each_request_that_ran_on_the_instance_is_a_suspect_once() {
-    let mut table = WorkTable::default();
+    let mut table = RunTable::default();
     let (first, second) = (InstanceId::named("a"), InstanceId::named("b"));
     let (_, instance) = table.begin(DAEMON, Some(&first), request(1), RunMode::Usual);
     table.begin(DAEMON, Some(&first), request(1), RunMode::Isolated);
@@ -52,13 +52,13 @@
     table.finish(done, RunEnd::NotRun, NOW);
     assert!(!table.has_ended(instance));
     let suspects = vec![Suspect { request: request(1), mode: RunMode::Isolated }];
-    assert_eq!(table.end(instance, false, NOW), CrashedWork { calls: 2, suspects });
+    assert_eq!(table.end(instance, false, NOW), CrashedRuns { calls: 2, suspects });
     assert!(table.has_ended(instance) && !table.has_ended(InstanceDigest::of_instance(&second)));
 }
 
 #[test]
 fn an_unnamed_back_end_is_another_instance_after_each_crash() {
-    let mut table = WorkTable::default();
+    let mut table = RunTable::default();
     let (_, before) = table.begin(DAEMON, None, request(1), RunMode::Usual);
     table.end(before, true, NOW);
     let (_, after) = table.begin(DAEMON, None, request(1), RunMode::Usual);
@@ -69,13 +69,13 @@
 /// A back end that was away was reported as crashed once more by each call that did not reach it.
 #[test]
 fn an_unnamed_back_end_that_is_away_has_crashed_once() {
-    let mut table = WorkTable::default();
+    let mut table = RunTable::default();
     let (_, instance) = table.begin(DAEMON, None, request(1), RunMode::Usual);
     assert_eq!(table.end(instance, true, NOW).suspects.len(), 1);
     let (first, away) = table.begin(DAEMON, None, request(2), RunMode::Usual);
     table.finish(first, RunEnd::NotRun, NOW);
     for _ in 0..3 {
-        assert_eq!(table.end(away, true, NOW), CrashedWork::default());
+        assert_eq!(table.end(away, true, NOW), CrashedRuns::default());
     }
     let (_, back) = table.begin(DAEMON, None, request(3), RunMode::Usual);
     assert_eq!(back, away);
@@ -166,7 +166,7 @@
         },
     ];
     for case in cases {
-        let mut table = WorkTable::default();
+        let mut table = RunTable::default();
         let instance = InstanceId::named("a");
         let (number, life) = table.begin(DAEMON, Some(&instance), request(1), RunMode::Usual);
         let ended = NOW.minus(case.ended_before);
@@ -207,7 +207,7 @@
         BrokenCase { name: "it still waits", broke_before: 4 * SECOND, still_waits: true, is_suspect: true },
     ];
     for case in cases {
-        let mut table = WorkTable::default();
+        let mut table = RunTable::default();
         let instance = InstanceId::named("a");
         let (number, _) = table.begin(DAEMON, Some(&instance), request(1), RunMode::Usual);
         if !case.still_waits {
@@ -215,6 +215,6 @@
         }
         let work = table.replace(&instance, NOW);
         assert_eq!(!work.suspects.is_empty(), case.is_suspect, "{}", case.name);
-        assert_eq!(table.replace(&instance, NOW), CrashedWork::default(), "{}: known", case.name);
+        assert_eq!(table.replace(&instance, NOW), CrashedRuns::default(), "{}: known", case.name);
     }
 }
--- a/crates/seamhatchd/src/server/crashes/at_work.rs
+++ b/crates/seamhatchd/src/server/crashes/at_work.rs
@@ -1,12 +1,12 @@
 //! The calls that run on the back end beside this daemon, shared by the calls themselves.
 //!
-//! Locks the table of [`seamhatch_core::crashes::WorkTable`], which decides who becomes a suspect; a call leaves it when its
+//! Locks the table of [`seamhatch_core::crashes::RunTable`], which decides who becomes a suspect; a call leaves it when its
 //! [`CallAtWork`] is dropped.
 
 use crate::base::clock;
 use crate::base::lock::lock;
 use seamhatch_core::Instant;
-use seamhatch_core::crashes::{CrashedWork, InstanceDigest, RunEnd, RunMode, WorkNumber, WorkTable};
+use seamhatch_core::crashes::{CrashedRuns, InstanceDigest, RunEnd, RunMode, RunNumber, RunTable};
 use seamhatch_core::identity::{Incarnation, RequestDigest};
 use seamhatch_core::instance::InstanceId;
 use std::sync::{Arc, Mutex};
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub struct CrashWatch {
     incarnation: Incarnation,
-    calls: Arc<Mutex<WorkTable>>,
+    calls: Arc<Mutex<RunTable>>,
     /// When the last look that found the back end alive began; held by the call that looks.
     pub(super) seen_alive: tokio::sync::Mutex<Instant>,
 }
@@ -27,8 +27,8 @@
     pub instance: InstanceDigest,
     /// The back end's instances have no names.
     is_unnamed: bool,
-    calls: Arc<Mutex<WorkTable>>,
-    number: WorkNumber,
+    calls: Arc<Mutex<RunTable>>,
+    number: RunNumber,
 }
 
 impl CallAtWork {
@@ -65,13 +65,13 @@
     }
 
     /// Records that the instance that runs the call has ended in a crash. Returns what ran on it.
-    pub(super) fn end_instance(&self, work: &CallAtWork) -> CrashedWork {
+    pub(super) fn end_instance(&self, work: &CallAtWork) -> CrashedRuns {
         lock(&self.calls).end(work.instance, work.is_unnamed, clock::now())
     }
 
     /// Another instance has taken the place of this one, which had not reported that it leaves. Returns what ran on it when
     /// it ended, where that was not known before.
-    pub(super) fn replace_instance(&self, instance: &InstanceId) -> CrashedWork {
+    pub(super) fn replace_instance(&self, instance: &InstanceId) -> CrashedRuns {
         lock(&self.calls).replace(instance, clock::now())
     }
 }
--- a/crates/seamhatchd/src/server/crashes/mod.rs
+++ b/crates/seamhatchd/src/server/crashes/mod.rs
@@ -20,7 +20,7 @@
 use crate::control::ControlHandle;
 use crate::server::ServerSide;
 use log::warn;
-use seamhatch_core::crashes::{CrashedWork, InstanceDigest, LostRun, SuspectStanding};
+use seamhatch_core::crashes::{CrashedRuns, InstanceDigest, LostRun, SuspectStanding};
 use seamhatch_core::identity::{Address, Incarnation, RequestDigest};
 use seamhatch_core::instance::InstanceId;
 use seamhatch_core::outcome::Reason;
@@ -104,7 +104,7 @@
     }
 
     /// Records a crash here and has it reported to other daemons.
-    fn report(&self, digest: InstanceDigest, instance: Option<&InstanceId>, crashed: &CrashedWork) {
+    fn report(&self, digest: InstanceDigest, instance: Option<&InstanceId>, crashed: &CrashedRuns) {
         let suspects = crashed.suspects.as_slice();
         self.suspects.report_crash(digest, suspects);
         self.log_crash(instance, crashed);
@@ -115,7 +115,7 @@
         self.control.remember_evidence(requests);
     }
 
-    fn log_crash(&self, instance: Option<&InstanceId>, crashed: &CrashedWork) {
+    fn log_crash(&self, instance: Option<&InstanceId>, crashed: &CrashedRuns) {
         let evidence = self.evidence(crashed.suspects.iter().map(|suspect| suspect.request));
         warn!(
             instance = instance.map_or("", |instance| instance.name.as_str()),
