--- a/crates/seamhatch-core/src/crashes/ledger.rs
+++ b/crates/seamhatch-core/src/crashes/ledger.rs
@@ -182,7 +182,7 @@
 
     /// What is known of the `most` requests with the most crashes, cleared ones included.
     #[must_use]
-    pub fn heaviest(&self, most: usize, now: Instant) -> Vec<SuspectReport> {
+    pub fn with_most_crashes(&self, most: usize, now: Instant) -> Vec<SuspectReport> {
         let mut entries: Vec<&LedgerEntry> = self.entries.values().collect();
         entries.sort_by_key(|entry| std::cmp::Reverse((entry.record.open_crashes(), entry.last_crash)));
         entries.into_iter().take(most).map(|entry| entry.report(now)).collect()
--- a/crates/seamhatch-core/src/crashes/mod.rs
+++ b/crates/seamhatch-core/src/crashes/mod.rs
@@ -17,9 +17,9 @@
 
 pub use ledger::{CrashLedger, EvidenceEffect, SuspectStanding};
 pub use policy::CrashPolicy;
-pub use quarantine::{ends_try, home_of, runs_isolated};
+pub use quarantine::{forbids_resend, server_for_suspect, runs_isolated};
 pub use record::{CondemnedRecord, CrashMark, MOST_MARKS, SuspectRecord, SuspectReport};
-pub use runs::{CrashedRuns, GOOD_END, LostRun, RunEnd, RunMode, Suspect, RunNumber, RunTable};
+pub use runs::{CrashedRuns, SURVIVAL_AFTER_ANSWER, LostRun, RunEnd, RunMode, Suspect, RunNumber, RunTable};
 
 use crate::identity::{Address, Incarnation, RequestDigest};
 use crate::instance::InstanceId;
@@ -41,7 +41,7 @@
 
     /// The server beside a daemon that was lost, as the daemons see it that had calls there.
     #[must_use]
-    pub fn of_lost(daemon: Address, incarnation: Incarnation) -> Self {
+    pub fn beside_lost_daemon(daemon: Address, incarnation: Incarnation) -> Self {
         let daemon = daemon.to_string();
         Self(RequestDigest::of(&[b"lost", daemon.as_bytes(), &incarnation.0.to_le_bytes()]).0)
     }
--- a/crates/seamhatch-core/src/crashes/quarantine.rs
+++ b/crates/seamhatch-core/src/crashes/quarantine.rs
@@ -26,12 +26,12 @@
 
 /// Whether a refusal for `reason`, or the loss of the daemon that was asked, ends the try of a request with this many crashes.
 #[must_use]
-pub fn ends_try(reason: Reason, crashes: u32) -> bool {
+pub fn forbids_resend(reason: Reason, crashes: u32) -> bool {
     matches!(reason, Reason::BackendCrashed | Reason::PeerLost) && crashes >= CRASHES_PER_TRY
 }
 
 /// The server that runs a suspect, the same one at all daemons; `key` names a server the same way everywhere.
-pub fn home_of<'a, T>(
+pub fn server_for_suspect<'a, T>(
     request: RequestDigest,
     servers: impl Iterator<Item = &'a T>,
     key: impl Fn(&T) -> Vec<u8>,
--- a/crates/seamhatch-core/src/crashes/runs.rs
+++ b/crates/seamhatch-core/src/crashes/runs.rs
@@ -21,7 +21,7 @@
 
 /// How long a back end must live on after an answer for it to be a good end: one that ends with its answer's last byte takes
 /// some milliseconds to close its connections.
-pub const GOOD_END: Microseconds = 100 * MILLISECOND;
+pub const SURVIVAL_AFTER_ANSWER: Microseconds = 100 * MILLISECOND;
 
 /// Runs that are over and may still count, the latest ones.
 const REMEMBERED_RUNS: usize = 256;
@@ -187,7 +187,7 @@
         let lived_until = if calls > 0 { now } else { answers.max().unwrap_or(now) };
         let counts = |run: &&PastRun| {
             let is_recent = now.since(run.ended) <= PAST_COUNTS;
-            is_recent && (!run.is_answered || lived_until.since(run.ended) <= GOOD_END)
+            is_recent && (!run.is_answered || lived_until.since(run.ended) <= SURVIVAL_AFTER_ANSWER)
         };
         let there = running.chain(past.filter(counts).map(|run| &run.entry));
         let suspect = |entry: &RunEntry| Suspect { request: entry.request, mode: entry.mode };
--- a/crates/seamhatch-core/tests/quarantine.rs
+++ b/crates/seamhatch-core/tests/quarantine.rs
@@ -3,7 +3,7 @@
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, SECOND};
 use seamhatch_core::crashes::{
-    CrashedRuns, InstanceDigest, RunEnd, RunMode, Suspect, RunTable, ends_try, home_of, runs_isolated,
+    CrashedRuns, InstanceDigest, RunEnd, RunMode, Suspect, RunTable, forbids_resend, server_for_suspect, runs_isolated,
 };
 use seamhatch_core::identity::{Incarnation, RequestDigest};
 use seamhatch_core::instance::InstanceId;
@@ -21,8 +21,8 @@
     let cases = [(0, false), (1, false), (2, true), (9, true)];
     for (crashes, is_strict) in cases {
         assert_eq!(runs_isolated(crashes), is_strict, "{crashes} crashes");
-        assert_eq!(ends_try(Reason::BackendCrashed, crashes), is_strict, "{crashes} crashes");
-        assert!(!ends_try(Reason::BackendFailed, crashes), "{crashes} crashes, but this was none");
+        assert_eq!(forbids_resend(Reason::BackendCrashed, crashes), is_strict, "{crashes} crashes");
+        assert!(!forbids_resend(Reason::BackendFailed, crashes), "{crashes} crashes, but this was none");
     }
 }
 
@@ -31,14 +31,14 @@
     let servers = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"];
     let key = |server: &&str| server.as_bytes().to_vec();
     for number in 0..20 {
-        let home = home_of(request(number), servers.iter(), key).copied();
-        let reversed = home_of(request(number), servers.iter().rev(), key).copied();
+        let home = server_for_suspect(request(number), servers.iter(), key).copied();
+        let reversed = server_for_suspect(request(number), servers.iter().rev(), key).copied();
         assert!(home.is_some() && home == reversed, "{number}");
         // Another server that goes does not move it.
         let left = servers.iter().filter(|server| Some(**server) == home || **server == servers[0]);
-        assert_eq!(home_of(request(number), left, key).copied(), home, "{number}");
+        assert_eq!(server_for_suspect(request(number), left, key).copied(), home, "{number}");
     }
-    assert_eq!(home_of(request(1), servers[..0].iter(), key), None);
+    assert_eq!(server_for_suspect(request(1), servers[..0].iter(), key), None);
 }
 
 #[test]
--- a/crates/seamhatchd/src/dispatch/suspects.rs
+++ b/crates/seamhatchd/src/dispatch/suspects.rs
@@ -8,7 +8,7 @@
 use crate::peer::PeerConnection;
 use crate::snapshot::Server;
 use seamhatch_core::balance::{Candidate, CandidateStanding};
-use seamhatch_core::crashes::{LostRun, SuspectStanding, ends_try, home_of, runs_isolated};
+use seamhatch_core::crashes::{LostRun, SuspectStanding, forbids_resend, server_for_suspect, runs_isolated};
 use seamhatch_core::outcome::Reason;
 use seamhatch_wire::{PeerMessage, Refusal};
 
@@ -51,13 +51,13 @@
 
     /// Whether a lost daemon shows that the request has crashed too many servers to be sent again in this try.
     pub(super) fn loss_ends_try(&self) -> bool {
-        ends_try(Reason::PeerLost, self.shared.suspects.standing(self.digest).crashes())
+        forbids_resend(Reason::PeerLost, self.shared.suspects.standing(self.digest).crashes())
     }
 
     /// Whether a refusal shows that the request has crashed too many servers to be sent again in this try.
     pub(super) fn crashes_too_much(&self, refusal: &Refusal) -> bool {
         let known = self.shared.suspects.standing(self.digest).crashes();
-        ends_try(refusal.reason, known.max(refusal.crashes))
+        forbids_resend(refusal.reason, known.max(refusal.crashes))
     }
 
     /// The index of the server that runs a suspect. All daemons choose the same one, so that the daemon beside it sees all
@@ -68,6 +68,6 @@
         let indices: Vec<usize> =
             (0..servers.len()).zip(usable).filter(|(_, usable)| *usable).map(|(i, _)| i).collect();
         let key = |index: &usize| servers[*index].peer.to_string().into_bytes();
-        home_of(self.digest, indices.iter(), key).copied()
+        server_for_suspect(self.digest, indices.iter(), key).copied()
     }
 }
--- a/crates/seamhatchd/src/peer_server/call/execute.rs
+++ b/crates/seamhatchd/src/peer_server/call/execute.rs
@@ -17,7 +17,7 @@
 use log::info;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::MILLISECOND;
-use seamhatch_core::crashes::{GOOD_END, RunEnd, RunMode};
+use seamhatch_core::crashes::{SURVIVAL_AFTER_ANSWER, RunEnd, RunMode};
 use seamhatch_core::identity::Address;
 use seamhatch_core::instance::InstanceId;
 use seamhatch_core::outcome::{Outcome, Reason};
@@ -234,7 +234,7 @@
         if !self.shared.suspects.is_suspect(request) {
             return run.work.finish(RunEnd::Answered);
         }
-        clock::sleep_until(clock::now().plus(GOOD_END)).await;
+        clock::sleep_until(clock::now().plus(SURVIVAL_AFTER_ANSWER)).await;
         if self.has_crashed(run).await {
             return;
         }
--- a/crates/seamhatchd/src/server/crashes/mod.rs
+++ b/crates/seamhatchd/src/server/crashes/mod.rs
@@ -83,7 +83,7 @@
 
     /// Records that a daemon has ended under these runs, together with the server beside it as far as anybody can tell.
     pub fn daemon_lost(&self, daemon: Address, incarnation: Incarnation, runs: &[LostRun]) {
-        let news = self.suspects.report_loss(InstanceDigest::of_lost(daemon, incarnation), runs);
+        let news = self.suspects.report_loss(InstanceDigest::beside_lost_daemon(daemon, incarnation), runs);
         warn!(
             peer = daemon.to_string().as_str(),
             calls = runs.len(),
--- a/crates/seamhatchd/src/server/crashes/suspects.rs
+++ b/crates/seamhatchd/src/server/crashes/suspects.rs
@@ -183,11 +183,11 @@
 
     /// What is known of the `most` requests with the most crashes.
     #[must_use]
-    pub fn heaviest(&self, most: usize) -> Vec<SuspectReport> {
+    pub fn with_most_crashes(&self, most: usize) -> Vec<SuspectReport> {
         if self.known.load(Ordering::Acquire) == 0 {
             return Vec::new();
         }
-        self.lock().heaviest(most, clock::now())
+        self.lock().with_most_crashes(most, clock::now())
     }
 
     /// Requests with open crashes and what may be done with them.
