--- a/crates/seamhatchd/src/filters/entry_floor.rs
+++ b/crates/seamhatchd/src/filters/entry_floor.rs
@@ -1,6 +1,6 @@
 //! Refuses at the entry what a service further down would refuse.
 //!
-//! The rule is [`seamhatch_core::entry`], its state [`crate::limits::entry_floors`].
+//! The rule is [`seamhatch_core::entry_floor`], its state [`crate::limits::entry_floors`].
 
 use crate::filters::{Entry, Rejection, RequestFilter, RequestState};
 use crate::shared::Shared;
--- a/crates/seamhatchd/src/limits/entry_floors.rs
+++ b/crates/seamhatchd/src/limits/entry_floors.rs
@@ -1,12 +1,12 @@
 //! What is known of the admission floors behind the entry, shared by all threads.
 //!
-//! Locks the table of [`seamhatch_core::entry`], which decides. Answers of the request path and heartbeats of peers write it;
+//! Locks the table of [`seamhatch_core::entry_floor`], which decides. Answers of the request path and heartbeats of peers write it;
 //! the entry floor filter reads it.
 
 use crate::base::clock;
 use crate::base::lock::lock;
 use seamhatch_core::clock::Microseconds;
-use seamhatch_core::entry::EntryFloorTable;
+use seamhatch_core::entry_floor::EntryFloorTable;
 use seamhatch_core::priority::{AdmissionFloor, Priority};
 use seamhatch_wire::ChainFloor;
 use std::sync::{Mutex, MutexGuard};
