--- a/crates/seamhatch-core/src/quota/directory.rs
+++ b/crates/seamhatch-core/src/quota/directory.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 /// A shard whose holder did not answer is not asked for this long. Chosen, not measured.
-const SILENT_FOR: Microseconds = 500 * MILLISECOND;
+const UNAVAILABLE_FOR: Microseconds = 500 * MILLISECOND;
 
 /// Where a shard's holder is.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -27,14 +27,14 @@
     /// Shards that no live member reports to hold, with this daemon's place in the order of those who may take them.
     vacant: Vec<(ShardNumber, usize)>,
     known: BTreeMap<ShardNumber, ShardHolder>,
-    silent_until: BTreeMap<ShardNumber, Instant>,
+    unavailable_until: BTreeMap<ShardNumber, Instant>,
 }
 
 impl ShardDirectory {
     /// Records where a shard is.
-    pub fn learn(&mut self, shard: ShardNumber, holder: ShardHolder) {
+    pub fn set_holder(&mut self, shard: ShardNumber, holder: ShardHolder) {
         if self.known.get(&shard) != Some(&holder) {
-            self.silent_until.remove(&shard);
+            self.unavailable_until.remove(&shard);
             self.known.insert(shard, holder);
         }
     }
@@ -52,18 +52,18 @@
     }
 
     /// Records that a shard's holder did not answer, or that the daemon that was asked doesn't hold it.
-    pub fn note_silent(&mut self, shard: ShardNumber, now: Instant) {
-        self.silent_until.insert(shard, now.plus(SILENT_FOR));
+    pub fn mark_unavailable(&mut self, shard: ShardNumber, now: Instant) {
+        self.unavailable_until.insert(shard, now.plus(UNAVAILABLE_FOR));
     }
 
     /// The shards that may be asked, those of `zone` first, each part from a place drawn by `random` on.
-    pub fn in_order(
+    pub fn shards_to_ask(
         &self,
         zone: &str,
         now: Instant,
         random: impl Fn(usize) -> usize,
     ) -> Vec<(ShardNumber, ShardHolder)> {
-        let usable = |shard: &ShardNumber| self.silent_until.get(shard).is_none_or(|until| *until <= now);
+        let usable = |shard: &ShardNumber| self.unavailable_until.get(shard).is_none_or(|until| *until <= now);
         let shards = self.known.iter().filter(|(shard, _)| usable(shard));
         let (mut near, mut far): (Vec<_>, Vec<_>) = shards
             .map(|(shard, holder)| (*shard, holder.clone()))
--- a/crates/seamhatch-core/tests/shard_directory.rs
+++ b/crates/seamhatch-core/tests/shard_directory.rs
@@ -15,13 +15,13 @@
 fn directory() -> ShardDirectory {
     let mut directory = ShardDirectory::default();
     for shard in 0..4 {
-        directory.learn(shard, holder(shard as u8, if shard % 2 == 0 { "a" } else { "b" }));
+        directory.set_holder(shard, holder(shard as u8, if shard % 2 == 0 { "a" } else { "b" }));
     }
     directory
 }
 
 fn order(directory: &ShardDirectory, zone: &str, now: Instant, first: usize) -> Vec<u32> {
-    directory.in_order(zone, now, |below| first % below).into_iter().map(|(shard, _)| shard).collect()
+    directory.shards_to_ask(zone, now, |below| first % below).into_iter().map(|(shard, _)| shard).collect()
 }
 
 #[test]
@@ -36,12 +36,12 @@
 #[test]
 fn a_silent_holder_is_left_out_for_a_while_or_until_the_shard_moves() {
     let mut directory = directory();
-    directory.note_silent(0, NOW);
-    directory.note_silent(1, NOW);
+    directory.mark_unavailable(0, NOW);
+    directory.mark_unavailable(1, NOW);
     assert_eq!(order(&directory, "a", NOW.plus(499 * MILLISECOND), 0), [2, 3]);
-    directory.learn(0, holder(0, "a"));
+    directory.set_holder(0, holder(0, "a"));
     assert_eq!(order(&directory, "a", NOW, 0), [2, 3], "the same holder");
-    directory.learn(0, holder(9, "a"));
+    directory.set_holder(0, holder(9, "a"));
     assert_eq!(order(&directory, "a", NOW, 0), [0, 2, 3], "another holder");
     assert_eq!(order(&directory, "a", NOW.plus(500 * MILLISECOND), 0), [0, 2, 1, 3]);
 }
--- a/crates/seamhatchd/src/limits/quota/directory.rs
+++ b/crates/seamhatchd/src/limits/quota/directory.rs
@@ -15,7 +15,7 @@
 impl SharedShardDirectory {
     /// Records where a shard is.
     pub fn learn(&self, shard: ShardNumber, holder: ShardHolder) {
-        self.lock().learn(shard, holder);
+        self.lock().set_holder(shard, holder);
     }
 
     /// Records which shards no live member reports to hold, each with this daemon's place in the order of those who may
@@ -32,13 +32,13 @@
 
     /// Records that a shard's holder did not answer, or that the daemon that was asked doesn't hold it.
     pub fn note_silent(&self, shard: ShardNumber) {
-        self.lock().note_silent(shard, clock::now());
+        self.lock().mark_unavailable(shard, clock::now());
     }
 
     /// The shards that may be asked, those of `zone` first.
     #[must_use]
     pub fn in_order(&self, zone: &str) -> Vec<(ShardNumber, ShardHolder)> {
-        self.lock().in_order(zone, clock::now(), |below| rand::random_range(0..below))
+        self.lock().shards_to_ask(zone, clock::now(), |below| rand::random_range(0..below))
     }
 
     fn lock(&self) -> MutexGuard<'_, ShardDirectory> {
