--- a/crates/seamhatch-core/src/quota/cache.rs
+++ b/crates/seamhatch-core/src/quota/cache.rs
@@ -29,22 +29,22 @@
     /// Until when each shard that had no token is not asked again.
     paused: Vec<(ShardNumber, Instant)>,
     rate: f64,
-    seen: Instant,
+    last_used: Instant,
 }
 
 impl TokenCache {
     /// Records that a request has arrived.
     pub fn note_request(&mut self, now: Instant) {
-        let passed = now.since(self.seen) as f64 / SECOND as f64;
+        let passed = now.since(self.last_used) as f64 / SECOND as f64;
         // The mean over about a second.
         self.rate = self.rate * (-passed).exp() + 1.0;
-        self.seen = now;
+        self.last_used = now;
     }
 
     /// When it was last used.
     #[must_use]
-    pub fn seen(&self) -> Instant {
-        self.seen
+    pub fn last_used(&self) -> Instant {
+        self.last_used
     }
 
     /// Takes a token, if there is one that still counts.
@@ -94,7 +94,7 @@
 
     /// When the first shard that had no token may be asked again.
     #[must_use]
-    pub fn room_at(&self, now: Instant) -> Option<Instant> {
+    pub fn next_ask_at(&self, now: Instant) -> Option<Instant> {
         self.paused.iter().map(|(_, until)| *until).filter(|until| *until > now).min()
     }
 }
--- a/crates/seamhatchd/src/limits/quota/admission.rs
+++ b/crates/seamhatchd/src/limits/quota/admission.rs
@@ -158,7 +158,7 @@
         }
         let now = clock::now();
         let caches = self.context.quota.caches();
-        let room_at = caches.get(self.tenant).and_then(|cache| cache.room_at(now));
+        let room_at = caches.get(self.tenant).and_then(|cache| cache.next_ask_at(now));
         QuotaRefusal::AtLimit { return_after: return_time::at_limit(room_at.map(|at| at.since(now))) }
     }
 }
--- a/crates/seamhatchd/src/limits/quota/mod.rs
+++ b/crates/seamhatchd/src/limits/quota/mod.rs
@@ -77,7 +77,7 @@
     /// Forgets the tenants without recent requests.
     pub fn forget_old(&self) {
         let now = clock::now();
-        self.caches().retain(|_, cache| now.since(cache.seen()) < FORGOTTEN_AFTER);
+        self.caches().retain(|_, cache| now.since(cache.last_used()) < FORGOTTEN_AFTER);
     }
 
     fn caches(&self) -> MutexGuard<'_, HashMap<String, TokenCache>> {
