--- a/crates/seamhatch-core/src/notice.rs
+++ b/crates/seamhatch-core/src/notice.rs
@@ -83,7 +83,7 @@
 
 /// Which rate the present instance of a back end names.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct RateBook {
+pub struct RateTracker {
     instance: Option<InstanceId>,
     /// The word that holds, and looser ones that came later in answers which may have been begun before it; each later and looser than the
     /// one before.
@@ -94,7 +94,7 @@
     handed_back: VecDeque<(Option<InstanceId>, RequestRate)>,
 }
 
-impl RateBook {
+impl RateTracker {
     /// The rate that holds.
     #[must_use]
     pub fn rate(&self) -> Option<RequestRate> {
@@ -120,7 +120,7 @@
     }
 
     /// An answer of `instance` has come, to a request that was sent at `sent`.
-    pub fn hear(
+    pub fn observe(
         &mut self,
         instance: Option<&InstanceId>,
         notice: AnswerNotice,
@@ -158,7 +158,7 @@
     /// What other daemons are to hand back, should this one restart. Until an instance has registered, that is what was handed back for
     /// the latest one.
     #[must_use]
-    pub fn to_tell(&self) -> Option<(Option<&InstanceId>, RequestRate)> {
+    pub fn rate_for_peers(&self) -> Option<(Option<&InstanceId>, RequestRate)> {
         if let Some(rate) = self.rate() {
             return Some((self.instance.as_ref(), rate));
         }
--- a/crates/seamhatch-core/tests/notice.rs
+++ b/crates/seamhatch-core/tests/notice.rs
@@ -2,7 +2,7 @@
 
 use seamhatch_core::Instant;
 use seamhatch_core::instance::InstanceId;
-use seamhatch_core::notice::{AnswerNotice, NamedRate, RateBook, RateChange};
+use seamhatch_core::notice::{AnswerNotice, NamedRate, RateTracker, RateChange};
 use seamhatch_core::rate::RequestRate;
 
 fn rate(per_second: f64) -> RequestRate {
@@ -114,13 +114,13 @@
 #[test]
 fn the_tightest_word_that_is_not_out_of_date_counts() {
     for BookCase { name, events, rate: expected } in CASES {
-        let mut book = RateBook::default();
+        let mut book = RateTracker::default();
         for (place, event) in events.iter().enumerate() {
             let now = Instant(place as u64);
             let own = Some(id("i"));
             let mut hear = |rate, proven, sent: &u64| {
                 let notice = AnswerNotice { rate, proven, ..AnswerNotice::default() };
-                book.hear(own.as_ref(), notice, Instant(*sent), now)
+                book.observe(own.as_ref(), notice, Instant(*sent), now)
             };
             match event {
                 Opens(instance) => drop(book.open(Some(&id(instance)))),
@@ -134,7 +134,7 @@
                         proven: true,
                         ..AnswerNotice::default()
                     };
-                    book.hear(Some(&id("other")), notice, Instant(*sent), now);
+                    book.observe(Some(&id("other")), notice, Instant(*sent), now);
                 }
                 HandsBack(instance, named) => drop(book.hand_back(Some(&id(instance)), rate(*named))),
             }
@@ -145,11 +145,11 @@
 
 #[test]
 fn what_others_are_to_hand_back_outlives_a_start_without_an_instance() {
-    let mut book = RateBook::default();
+    let mut book = RateTracker::default();
     assert_eq!(book.hand_back(Some(&id("i")), rate(5.0)), RateChange::Unchanged);
-    assert_eq!(book.to_tell(), Some((Some(&id("i")), rate(5.0))));
+    assert_eq!(book.rate_for_peers(), Some((Some(&id("i")), rate(5.0))));
     assert_eq!(book.open(Some(&id("i"))), RateChange::HoldTo(rate(5.0)));
-    assert_eq!(book.to_tell(), Some((Some(&id("i")), rate(5.0))));
+    assert_eq!(book.rate_for_peers(), Some((Some(&id("i")), rate(5.0))));
     assert_eq!(book.open(Some(&id("j"))), RateChange::Lifted);
-    assert_eq!(book.to_tell(), None);
+    assert_eq!(book.rate_for_peers(), None);
 }
--- a/crates/seamhatch-model/src/notices.rs
+++ b/crates/seamhatch-model/src/notices.rs
@@ -6,7 +6,7 @@
 use crate::search::{Model, SearchResult, Step, action, search};
 use seamhatch_core::Instant;
 use seamhatch_core::instance::InstanceId;
-use seamhatch_core::notice::{AnswerNotice, NamedRate, RateBook};
+use seamhatch_core::notice::{AnswerNotice, NamedRate, RateTracker};
 use seamhatch_core::rate::RequestRate;
 
 /// A rule that is left out.
@@ -77,7 +77,7 @@
     /// When the last request was sent.
     last_sent: Instant,
     restarts: u8,
-    book: RateBook,
+    book: RateTracker,
     is_open: bool,
     senders: [SenderState; SENDERS],
     exchanges: Vec<Exchange>,
@@ -184,7 +184,7 @@
                     if self.fault == NoticesFault::LastAnswerCounts { now.plus(1) } else { exchange.sent };
                 let rate = word.rate.map_or(NamedRate::NotNamed, NamedRate::Named);
                 let notice = AnswerNotice { rate, proven: true, ..AnswerNotice::default() };
-                next.book.hear(Some(&instance()), notice, sent, now);
+                next.book.observe(Some(&instance()), notice, sent, now);
                 let is_only = exchange.alone && exchange.sent == next.last_sent;
                 if is_only && next.book.rate() != word.rate {
                     next.violation = Some("a rate is kept that is not named");
@@ -199,7 +199,7 @@
         if state.restarts < self.restarts {
             Step::add(steps, state, action("the daemon restarts", 0, 0), |next| {
                 next.restarts += 1;
-                next.book = RateBook::default();
+                next.book = RateTracker::default();
                 next.is_open = false;
                 next.exchanges.clear();
                 next.senders.iter_mut().for_each(|sender| sender.is_connected = false);
@@ -216,7 +216,7 @@
 
 impl NoticesState {
     fn tell(&mut self, sender: usize) {
-        self.senders[sender].told = self.book.to_tell().map(|(_, rate)| rate);
+        self.senders[sender].told = self.book.rate_for_peers().map(|(_, rate)| rate);
     }
 
     fn send(&mut self, sender: usize) {
--- a/crates/seamhatchd/src/server/notices.rs
+++ b/crates/seamhatchd/src/server/notices.rs
@@ -14,7 +14,7 @@
 use seamhatch_core::clock::{Microseconds, SECOND};
 use seamhatch_core::identity::Address;
 use seamhatch_core::instance::InstanceId;
-use seamhatch_core::notice::{AnswerNotice, BackEndNotice, NamedRate, RateBook, RateChange};
+use seamhatch_core::notice::{AnswerNotice, BackEndNotice, NamedRate, RateTracker, RateChange};
 use seamhatch_core::rate::RequestRate;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -24,7 +24,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    book: RateBook,
+    book: RateTracker,
     /// The instance that said last that it leaves, until another one opens.
     leaving: Option<InstanceId>,
     senders: SenderRound,
@@ -57,7 +57,7 @@
         if notice.rate == NamedRate::Unreadable {
             self.note_unreadable(&mut state);
         }
-        let change = state.book.hear(instance, notice, sent, clock::now());
+        let change = state.book.observe(instance, notice, sent, clock::now());
         self.apply(&mut state, change, "answer");
     }
 
@@ -85,7 +85,7 @@
     #[must_use]
     pub fn to_tell(&self) -> Option<BackEndNotice> {
         let state = lock(&self.state);
-        if let Some((instance, rate)) = state.book.to_tell() {
+        if let Some((instance, rate)) = state.book.rate_for_peers() {
             return Some(BackEndNotice { instance: instance.cloned(), rate: Some(rate), leaving: false });
         }
         let leaving = state.leaving.clone()?;
