--- a/crates/seamhatch-core/src/refusal.rs
+++ b/crates/seamhatch-core/src/refusal.rs
@@ -245,7 +245,7 @@
 
     /// Whether the refusal comes from pressure at one server only, so that another may have room.
     #[must_use]
-    pub fn is_pressure(self) -> bool {
+    pub fn is_server_overload(self) -> bool {
         self.rule().elsewhere == Elsewhere::FewTimes
     }
 }
--- a/crates/seamhatch-core/src/retry/resend.rs
+++ b/crates/seamhatch-core/src/retry/resend.rs
@@ -10,7 +10,7 @@
 
 /// Servers that may refuse a call under pressure before it is refused as a whole. Chosen; on two days of high load,
 /// none instead of two made no measurable difference (worth 0.454 and 0.645 against 0.451 and 0.651).
-const MOST_PRESSED: u32 = 2;
+const MOST_OVERLOAD_REFUSALS: u32 = 2;
 
 /// An attempt of a call that brought no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     /// The request may run more than once.
     pub repeatable: bool,
     /// Servers that refused the call under pressure, this one included.
-    pub pressed: u32,
+    pub overload_refusals: u32,
     /// The whole body is still there to be sent.
     pub can_replay: bool,
     /// The deadline has not passed.
@@ -46,7 +46,7 @@
     /// Whether the call is sent to another server.
     #[must_use]
     pub fn resend(&self) -> Resend {
-        let room_elsewhere = self.reason.is_pressure() && self.pressed <= MOST_PRESSED;
+        let room_elsewhere = self.reason.is_server_overload() && self.overload_refusals <= MOST_OVERLOAD_REFUSALS;
         let repeat = self.may_have_run && self.repeatable;
         let worth = self.reason.worth_another_server() || room_elsewhere || repeat;
         let safe = !self.may_have_run || self.repeatable;
--- a/crates/seamhatch-core/tests/refusals.rs
+++ b/crates/seamhatch-core/tests/refusals.rs
@@ -72,7 +72,7 @@
         },
         SetCase {
             name: "a few other servers may have room",
-            has: Reason::is_pressure,
+            has: Reason::is_server_overload,
             reasons: &[Reason::QueueFull, Reason::Evicted, Reason::DeadlineExceeded, Reason::BackendRate],
         },
         SetCase {
--- a/crates/seamhatch-core/tests/resend.rs
+++ b/crates/seamhatch-core/tests/resend.rs
@@ -10,7 +10,7 @@
         reached_back_end: reason.reached_back_end(),
         may_have_run: false,
         repeatable: true,
-        pressed: u32::from(reason.is_pressure()),
+        overload_refusals: u32::from(reason.is_server_overload()),
         can_replay: true,
         in_time: true,
     }
@@ -58,12 +58,12 @@
         },
         ResendCase {
             name: "second server under pressure",
-            attempt: FailedAttempt { pressed: 2, ..refused(Reason::Evicted) },
+            attempt: FailedAttempt { overload_refusals: 2, ..refused(Reason::Evicted) },
             resend: Resend::Free,
         },
         ResendCase {
             name: "third server under pressure",
-            attempt: FailedAttempt { pressed: 3, ..refused(Reason::QueueFull) },
+            attempt: FailedAttempt { overload_refusals: 3, ..refused(Reason::QueueFull) },
             resend: Resend::No,
         },
         ResendCase { name: "lost", attempt: lost(Reason::PeerLost, true), resend: Resend::Charged },
--- a/crates/seamhatchd/src/dispatch/mod.rs
+++ b/crates/seamhatchd/src/dispatch/mod.rs
@@ -143,7 +143,7 @@
         let ran = refusal.outcome != Outcome::NotRun;
         self.may_have_run |= ran;
         let reached = ran || refusal.reason.reached_back_end();
-        self.pressed += u32::from(refusal.reason.is_pressure());
+        self.pressed += u32::from(refusal.reason.is_server_overload());
         if self.crashes_too_much(&refusal) || !self.may_send_again(refusal.reason, reached) {
             return Err(Rejection::of_peer(&refusal));
         }
--- a/crates/seamhatchd/src/dispatch/retries.rs
+++ b/crates/seamhatchd/src/dispatch/retries.rs
@@ -15,7 +15,7 @@
             reached_back_end: reached,
             may_have_run: self.may_have_run,
             repeatable: self.request.repeatable,
-            pressed: self.pressed,
+            overload_refusals: self.pressed,
             can_replay: self.body.can_replay(),
             in_time: clock::now() < self.parent.expiry,
         };
