--- a/crates/seamhatch-core/src/refusal.rs
+++ b/crates/seamhatch-core/src/refusal.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::Microseconds;
 use crate::outcome::{Outcome, Reason};
-use crate::return_time::{PROOF_RETURN, SHARD_RETURN, USUAL_RETURN};
+use crate::return_time::{PROOF_RETURN, SHARD_RETURN, DEFAULT_RETURN};
 
 /// Who may say a reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -100,7 +100,7 @@
     /// When to come back.
     pub return_time: ReturnTime,
     /// The verdict is true only while the configuration that decided is the one in force.
-    pub rests_on_configuration: bool,
+    pub depends_on_configuration: bool,
 }
 
 /// The usual failure: 503 promises that nothing ran, 502 promises nothing.
@@ -120,8 +120,8 @@
         counts_as_lost: false,
         entry: FAILURE,
         peer: FAILURE,
-        return_time: ReturnTime::After(USUAL_RETURN),
-        rests_on_configuration: false,
+        return_time: ReturnTime::After(DEFAULT_RETURN),
+        depends_on_configuration: false,
     }
 }
 
@@ -141,7 +141,7 @@
 
 /// The caller's fault by the configuration that decided.
 const fn callers_fault_for_now(status: u16) -> RefusalRule {
-    RefusalRule { rests_on_configuration: true, ..callers_fault(status) }
+    RefusalRule { depends_on_configuration: true, ..callers_fault(status) }
 }
 
 /// A server that can't take the call while others may.
@@ -187,7 +187,7 @@
             Self::BadContext => callers_fault(403),
             Self::KeyMismatch => callers_fault(409),
             // Another attempt with the key runs or has run; its answer can be asked for.
-            Self::KeyHeld => returning(ReturnTime::After(USUAL_RETURN), callers_fault(409)),
+            Self::KeyHeld => returning(ReturnTime::After(DEFAULT_RETURN), callers_fault(409)),
             Self::NoProof => returning(ReturnTime::After(PROOF_RETURN), failure(SENDER, NotRun)),
             Self::OverQuota => RefusalRule {
                 entry: Statuses { not_run: 429, unknown: 502 },
@@ -263,14 +263,14 @@
 
     /// The return time that the entry sends unless it knows better; none where coming back does not help.
     #[must_use]
-    pub fn usual_return(&self) -> Option<Microseconds> {
+    pub fn default_return(&self) -> Option<Microseconds> {
         match self.return_time {
             ReturnTime::Never => None,
             ReturnTime::After(span) => Some(span),
             ReturnTime::AfterQueue
             | ReturnTime::AfterOverload
             | ReturnTime::AtLimit
-            | ReturnTime::UntilTrial => Some(USUAL_RETURN),
+            | ReturnTime::UntilTrial => Some(DEFAULT_RETURN),
         }
     }
 }
--- a/crates/seamhatch-core/src/return_time.rs
+++ b/crates/seamhatch-core/src/return_time.rs
@@ -12,7 +12,7 @@
 use crate::clock::{MILLISECOND, Microseconds, SECOND};
 
 /// Sent by the daemon that took the request where the reason has nothing to do with load.
-pub const USUAL_RETURN: Microseconds = 500 * MILLISECOND;
+pub const DEFAULT_RETURN: Microseconds = 500 * MILLISECOND;
 
 /// Shortest span that is sent: sooner, little will have changed.
 pub const SHORTEST_RETURN: Microseconds = 200 * MILLISECOND;
--- a/crates/seamhatch-core/tests/refusals.rs
+++ b/crates/seamhatch-core/tests/refusals.rs
@@ -92,7 +92,7 @@
         },
         SetCase {
             name: "true by one configuration only",
-            has: |reason| reason.rule().rests_on_configuration,
+            has: |reason| reason.rule().depends_on_configuration,
             reasons: &[
                 Reason::NoRoute,
                 Reason::HeadTooLarge,
@@ -103,7 +103,7 @@
         },
         SetCase {
             name: "returning does not help",
-            has: |reason| reason.rule().usual_return().is_none(),
+            has: |reason| reason.rule().default_return().is_none(),
             reasons: &[
                 Reason::BadRequest,
                 Reason::BadContext,
@@ -153,8 +153,8 @@
 /// What the entry tells where it knows nothing better.
 #[test]
 fn the_usual_return_time_is_half_a_second() {
-    let returning = reasons_that(|reason| reason.rule().usual_return().is_some());
+    let returning = reasons_that(|reason| reason.rule().default_return().is_some());
     for reason in returning {
-        assert_eq!(reason.rule().usual_return(), Some(500 * MILLISECOND), "{reason}");
+        assert_eq!(reason.rule().default_return(), Some(500 * MILLISECOND), "{reason}");
     }
 }
--- a/crates/seamhatchd/src/filters/rejection.rs
+++ b/crates/seamhatchd/src/filters/rejection.rs
@@ -61,7 +61,7 @@
     }
 
     fn of_entry(outcome: Outcome, reason: Reason, detail: String) -> Self {
-        let retry_after = reason.rule().usual_return();
+        let retry_after = reason.rule().default_return();
         Self { outcome, reason, source: VerdictSource::Entry, retry_after, detail }
     }
 
@@ -75,7 +75,7 @@
     /// Whether the verdict is true only where the configuration that decided is the one in force.
     #[must_use]
     pub fn rests_on_configuration(&self) -> bool {
-        self.reason.rule().rests_on_configuration
+        self.reason.rule().depends_on_configuration
     }
 
     /// The HTTP status.
