--- a/crates/seamhatch-core/src/answer_times.rs
+++ b/crates/seamhatch-core/src/answer_times.rs
@@ -31,7 +31,7 @@
 
     /// The time that most requests of this kind stay within; none before the first.
     #[must_use]
-    pub fn usual(&self, kind: &str) -> Option<Microseconds> {
+    pub fn quantile(&self, kind: &str) -> Option<Microseconds> {
         self.0.get(kind).map(|quantile| quantile.value())
     }
 }
--- a/crates/seamhatch-core/src/entry_floor.rs
+++ b/crates/seamhatch-core/src/entry_floor.rs
@@ -112,7 +112,7 @@
     ) -> Microseconds {
         let closed = self.closed_floors(kind, priority, now);
         let longest = closed.map(|known| now.since(known.closed_since)).max().unwrap_or_default();
-        let usual_answer = self.answer_times.usual(kind).unwrap_or_default();
+        let usual_answer = self.answer_times.quantile(kind).unwrap_or_default();
         return_time::after_overload(longest, usual_answer, objective)
     }
 
--- a/crates/seamhatch-core/src/priority.rs
+++ b/crates/seamhatch-core/src/priority.rs
@@ -149,12 +149,12 @@
 
     /// Buckets of each class that are kept before a server has learnt how many fit: one request in 32. Chosen; one in 8
     /// halved the critical requests that were served.
-    pub const KEPT_AT_FIRST: u8 = 4;
+    pub const INITIAL_KEPT: u8 = 4;
 
     /// The floor at this level that keeps one in 32 requests of each class.
     #[must_use]
     pub const fn at(level: u16) -> Self {
-        Self { level, kept: [Self::KEPT_AT_FIRST; PriorityClass::ALL.len()] }
+        Self { level, kept: [Self::INITIAL_KEPT; PriorityClass::ALL.len()] }
     }
 
     /// Whether it admits every request.
--- a/crates/seamhatch-core/src/rate.rs
+++ b/crates/seamhatch-core/src/rate.rs
@@ -39,7 +39,7 @@
 
     /// Thousandths of a request a second.
     #[must_use]
-    pub fn as_millis(self) -> u64 {
+    pub fn as_thousandths(self) -> u64 {
         self.millionths / 1_000
     }
 
--- a/crates/seamhatch-core/src/retry/budget.rs
+++ b/crates/seamhatch-core/src/retry/budget.rs
@@ -94,7 +94,7 @@
 
     /// Counts a call that a repeated run makes. It is not refused, as the run would be in vain, but retries of this daemon wait
     /// until its price has been earned.
-    pub fn count_repeat(&mut self, service: &str, policy: RetryRatioPolicy, now: Instant) {
+    pub fn charge_call_of_repeat(&mut self, service: &str, policy: RetryRatioPolicy, now: Instant) {
         let balance = self.balance(service, policy, now);
         *balance = (*balance - 1.0).max(-LARGEST_DEBT);
     }
--- a/crates/seamhatch-core/src/service_floor.rs
+++ b/crates/seamhatch-core/src/service_floor.rs
@@ -55,7 +55,7 @@
 impl ServiceFloorTable {
     /// Records the floor and the concurrency limit that a server reports. Returns what the service admits by all
     /// reports.
-    pub fn note(
+    pub fn record(
         &mut self,
         service: &str,
         server: Address,
@@ -65,9 +65,9 @@
     ) -> AdmissionFloor {
         let report = ServerFloor { floor, limit, reported: now };
         if let Some(reports) = self.services.get_mut(service) {
-            return reports.note(server, report);
+            return reports.record(server, report);
         }
-        self.services.entry(service.to_owned()).or_default().note(server, report)
+        self.services.entry(service.to_owned()).or_default().record(server, report)
     }
 
     /// Forgets a server that accepts no more calls, or to which there is no connection any more.
@@ -79,14 +79,14 @@
 
     /// What the service admits; none where it admits everything, as far as is known.
     #[must_use]
-    pub fn of(&self, service: &str, now: Instant) -> Option<AdmissionFloor> {
+    pub fn floor(&self, service: &str, now: Instant) -> Option<AdmissionFloor> {
         let floor = self.services.get(service)?.mean(now);
         (!floor.is_open()).then_some(floor)
     }
 }
 
 impl ServiceReports {
-    fn note(&mut self, server: Address, report: ServerFloor) -> AdmissionFloor {
+    fn record(&mut self, server: Address, report: ServerFloor) -> AdmissionFloor {
         let now = report.reported;
         self.sums.add(report);
         if let Some(earlier) = self.reports.insert(server, report) {
--- a/crates/seamhatch-core/tests/decisions.rs
+++ b/crates/seamhatch-core/tests/decisions.rs
@@ -258,7 +258,7 @@
 #[test]
 fn a_floor_keeps_some_requests_of_every_class_whatever_its_level() {
     use seamhatch_core::priority::{AdmissionFloor, BUCKETS, Priority, PriorityClass};
-    let kept = AdmissionFloor::KEPT_AT_FIRST;
+    let kept = AdmissionFloor::INITIAL_KEPT;
     let floor = AdmissionFloor::at(0);
     for class in PriorityClass::ALL {
         let admitted = (0..BUCKETS).filter(|&bucket| floor.admits(Priority { class, bucket })).count();
@@ -333,7 +333,7 @@
     ];
     for case in cases {
         let mut ratio = RetryRatio::default();
-        (0..case.repeats_of_runs).for_each(|_| ratio.count_repeat("stock", policy, NOW));
+        (0..case.repeats_of_runs).for_each(|_| ratio.charge_call_of_repeat("stock", policy, NOW));
         // Not quite a fifth in binary.
         (0..101).for_each(|_| ratio.first_try("stock", policy, NOW));
         let own = (0..50).filter(|_| ratio.try_retry("stock", policy, NOW)).count();
--- a/crates/seamhatch-core/tests/service_floors.rs
+++ b/crates/seamhatch-core/tests/service_floors.rs
@@ -66,9 +66,9 @@
         for (number, told) in case.told.iter().enumerate() {
             let server: Address = format!("10.0.0.{}:7002", number + 1).parse().expect("valid");
             let floor = AdmissionFloor::at(told.level);
-            floors.note("stock", server, floor, told.slots, NOW.minus(told.age * SECOND / 10));
+            floors.record("stock", server, floor, told.slots, NOW.minus(told.age * SECOND / 10));
         }
-        let floor = floors.of("stock", NOW);
+        let floor = floors.floor("stock", NOW);
         assert_eq!(floor.map(|floor| floor.level), case.level, "{}", case.name);
     }
 }
@@ -79,10 +79,10 @@
     let mut floors = ServiceFloorTable::default();
     let servers: [Address; 2] = ["10.0.0.1:7002", "10.0.0.2:7002"].map(|text| text.parse().expect("valid"));
     for (server, level) in servers.into_iter().zip([OPEN, 260]) {
-        floors.note("stock", server, AdmissionFloor::at(level), 20, NOW);
+        floors.record("stock", server, AdmissionFloor::at(level), 20, NOW);
     }
     floors.forget("stock", servers[0]);
-    assert_eq!(floors.of("stock", NOW).map(|floor| floor.level), Some(260));
+    assert_eq!(floors.floor("stock", NOW).map(|floor| floor.level), Some(260));
 }
 
 /// The table before it kept sums: a mean over all reports for each of them.
@@ -132,7 +132,7 @@
                 Event::Report { server, level, kept, slots } => {
                     let floor = AdmissionFloor { kept: [kept; PriorityClass::ALL.len()], ..AdmissionFloor::at(level) };
                     let server = address(server);
-                    let noted = floors.note("stock", server, floor, slots, now);
+                    let noted = floors.record("stock", server, floor, slots, now);
                     prop_assert_eq!(noted, expected.note(server, floor, slots, now));
                 }
                 Event::Leaves { server } => {
@@ -142,7 +142,7 @@
                 Event::Passes { milliseconds } => now = now.plus(milliseconds * MILLISECOND),
             }
             let mean = expected.mean(now);
-            prop_assert_eq!(floors.of("stock", now), (!mean.is_open()).then_some(mean));
+            prop_assert_eq!(floors.floor("stock", now), (!mean.is_open()).then_some(mean));
         }
     }
 }
--- a/crates/seamhatchd/src/controllers/status.rs
+++ b/crates/seamhatchd/src/controllers/status.rs
@@ -38,7 +38,7 @@
 /// Makes the report. Each live member is asked for its generation, and each witness for its epoch.
 pub async fn report(shared: Arc<Shared>, input: StatusInput) -> StatusReport {
     let own = MemberStatus {
-        rate_millis: shared.server.notices.named_rate().map(RequestRate::as_millis),
+        rate_millis: shared.server.notices.named_rate().map(RequestRate::as_thousandths),
         ..member_status(&input.me, Some(input.generation.0))
     };
     let asking = input.others.into_iter().map(|record| ask_member(shared.clone(), record));
@@ -79,7 +79,7 @@
     };
     let notice = shared.limits.peer_notices.of(record.info.peer);
     MemberStatus {
-        rate_millis: notice.and_then(|notice| notice.rate).map(RequestRate::as_millis),
+        rate_millis: notice.and_then(|notice| notice.rate).map(RequestRate::as_thousandths),
         ..member_status(&record, generation)
     }
 }
--- a/crates/seamhatchd/src/limits/call_times.rs
+++ b/crates/seamhatchd/src/limits/call_times.rs
@@ -18,6 +18,6 @@
     /// The time that most calls of this kind stay within; none before the first.
     #[must_use]
     pub fn usual(&self, kind: &str) -> Option<Microseconds> {
-        lock(&self.0).usual(kind)
+        lock(&self.0).quantile(kind)
     }
 }
--- a/crates/seamhatchd/src/limits/retry_budget.rs
+++ b/crates/seamhatchd/src/limits/retry_budget.rs
@@ -31,7 +31,7 @@
 
     /// Counts a call that a repeated run makes.
     pub fn count_repeat(&self, service: &str, settings: &ServiceSettings) {
-        self.lock().count_repeat(service, self.policy(settings), clock::now());
+        self.lock().charge_call_of_repeat(service, self.policy(settings), clock::now());
     }
 
     /// Spends one retry; false when the budget is used up.
--- a/crates/seamhatchd/src/limits/service_floors.rs
+++ b/crates/seamhatchd/src/limits/service_floors.rs
@@ -18,7 +18,7 @@
 impl ServiceFloors {
     /// Records a report. Returns what the service admits by all reports.
     pub fn note(&self, service: &str, server: Address, report: ServerReport, now: Instant) -> AdmissionFloor {
-        self.lock().note(service, server, report.floor, report.limit, now)
+        self.lock().record(service, server, report.floor, report.limit, now)
     }
 
     /// Forgets a server that accepts no more calls, or to which there is no connection any more.
@@ -29,7 +29,7 @@
     /// What the service admits, as it is reported up a chain of calls; none where it admits everything.
     #[must_use]
     pub fn of(&self, service: &str, now: Instant) -> Option<ChainFloor> {
-        let floor = self.lock().of(service, now)?;
+        let floor = self.lock().floor(service, now)?;
         ChainFloor::unless_open(service, floor)
     }
 
--- a/crates/seamhatchd/src/server/notices.rs
+++ b/crates/seamhatchd/src/server/notices.rs
@@ -126,7 +126,7 @@
             RateChange::HoldTo(rate) => {
                 self.gate.hold_to(rate);
                 self.is_held.store(true, Ordering::Relaxed);
-                self.metrics.named_rate.set(rate.as_millis() as i64);
+                self.metrics.named_rate.set(rate.as_thousandths() as i64);
             }
             RateChange::Lifted => {
                 self.gate.lift_rate();
