--- a/crates/seamhatch-core/src/quota/directory.rs
+++ b/crates/seamhatch-core/src/quota/directory.rs
@@ -63,7 +63,8 @@
         now: Instant,
         random: impl Fn(usize) -> usize,
     ) -> Vec<(ShardNumber, ShardHolder)> {
-        let usable = |shard: &ShardNumber| self.unavailable_until.get(shard).is_none_or(|until| *until <= now);
+        let usable =
+            |shard: &ShardNumber| self.unavailable_until.get(shard).is_none_or(|until| *until <= now);
         let shards = self.known.iter().filter(|(shard, _)| usable(shard));
         let (mut near, mut far): (Vec<_>, Vec<_>) = shards
             .map(|(shard, holder)| (*shard, holder.clone()))
--- a/crates/seamhatch-core/src/refusal.rs
+++ b/crates/seamhatch-core/src/refusal.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::Microseconds;
 use crate::outcome::{Outcome, Reason};
-use crate::return_time::{PROOF_RETURN, SHARD_RETURN, DEFAULT_RETURN};
+use crate::return_time::{DEFAULT_RETURN, PROOF_RETURN, SHARD_RETURN};
 
 /// Who may say a reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/seamhatch-core/src/retry/resend.rs
+++ b/crates/seamhatch-core/src/retry/resend.rs
@@ -46,7 +46,8 @@
     /// Whether the call is sent to another server.
     #[must_use]
     pub fn resend(&self) -> Resend {
-        let room_elsewhere = self.reason.is_server_overload() && self.overload_refusals <= MOST_OVERLOAD_REFUSALS;
+        let room_elsewhere =
+            self.reason.is_server_overload() && self.overload_refusals <= MOST_OVERLOAD_REFUSALS;
         let repeat = self.may_have_run && self.repeatable;
         let worth = self.reason.worth_another_server() || room_elsewhere || repeat;
         let safe = !self.may_have_run || self.repeatable;
--- a/crates/seamhatch-core/tests/chain_cost.rs
+++ b/crates/seamhatch-core/tests/chain_cost.rs
@@ -6,7 +6,7 @@
 };
 use seamhatch_core::chain_cost::{ChainCostTable, ChainUsage, MOST_SERVICES, ServiceUsage};
 use seamhatch_core::clock::{MILLISECOND, SECOND};
-use seamhatch_core::entry::EntryFloorTable;
+use seamhatch_core::entry_floor::EntryFloorTable;
 use seamhatch_core::identity::RootId;
 use seamhatch_core::priority::{AdmissionFloor, BUCKETS, Priority, PriorityClass};
 use std::collections::{BTreeSet, HashMap};
--- a/crates/seamhatch-core/tests/entry_floors.rs
+++ b/crates/seamhatch-core/tests/entry_floors.rs
@@ -2,7 +2,7 @@
 
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, Microseconds, SECOND};
-use seamhatch_core::entry::EntryFloorTable;
+use seamhatch_core::entry_floor::EntryFloorTable;
 use seamhatch_core::priority::{AdmissionFloor, Priority, PriorityClass};
 
 const NOW: Instant = Instant(100 * SECOND);
--- a/crates/seamhatch-core/tests/notice.rs
+++ b/crates/seamhatch-core/tests/notice.rs
@@ -2,7 +2,7 @@
 
 use seamhatch_core::Instant;
 use seamhatch_core::instance::InstanceId;
-use seamhatch_core::notice::{AnswerNotice, NamedRate, RateTracker, RateChange};
+use seamhatch_core::notice::{AnswerNotice, NamedRate, RateChange, RateTracker};
 use seamhatch_core::rate::RequestRate;
 
 fn rate(per_second: f64) -> RequestRate {
--- a/crates/seamhatch-core/tests/quarantine.rs
+++ b/crates/seamhatch-core/tests/quarantine.rs
@@ -3,7 +3,8 @@
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, SECOND};
 use seamhatch_core::crashes::{
-    CrashedRuns, InstanceDigest, RunEnd, RunMode, Suspect, RunTable, forbids_resend, server_for_suspect, runs_isolated,
+    CrashedRuns, InstanceDigest, RunEnd, RunMode, RunTable, Suspect, forbids_resend, runs_isolated,
+    server_for_suspect,
 };
 use seamhatch_core::identity::{Incarnation, RequestDigest};
 use seamhatch_core::instance::InstanceId;
--- a/crates/seamhatchd/src/dispatch/suspects.rs
+++ b/crates/seamhatchd/src/dispatch/suspects.rs
@@ -8,7 +8,7 @@
 use crate::peer::PeerConnection;
 use crate::snapshot::Server;
 use seamhatch_core::balance::{Candidate, CandidateStanding};
-use seamhatch_core::crashes::{LostRun, SuspectStanding, forbids_resend, server_for_suspect, runs_isolated};
+use seamhatch_core::crashes::{LostRun, SuspectStanding, forbids_resend, runs_isolated, server_for_suspect};
 use seamhatch_core::outcome::Reason;
 use seamhatch_wire::{PeerMessage, Refusal};
 
--- a/crates/seamhatchd/src/peer_server/call/execute.rs
+++ b/crates/seamhatchd/src/peer_server/call/execute.rs
@@ -17,7 +17,7 @@
 use log::info;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::MILLISECOND;
-use seamhatch_core::crashes::{SURVIVAL_AFTER_ANSWER, RunEnd, RunMode};
+use seamhatch_core::crashes::{RunEnd, RunMode, SURVIVAL_AFTER_ANSWER};
 use seamhatch_core::identity::Address;
 use seamhatch_core::instance::InstanceId;
 use seamhatch_core::outcome::{Outcome, Reason};
--- a/crates/seamhatchd/src/server/notices.rs
+++ b/crates/seamhatchd/src/server/notices.rs
@@ -14,7 +14,7 @@
 use seamhatch_core::clock::{Microseconds, SECOND};
 use seamhatch_core::identity::Address;
 use seamhatch_core::instance::InstanceId;
-use seamhatch_core::notice::{AnswerNotice, BackEndNotice, NamedRate, RateTracker, RateChange};
+use seamhatch_core::notice::{AnswerNotice, BackEndNotice, NamedRate, RateChange, RateTracker};
 use seamhatch_core::rate::RequestRate;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
