--- a/crates/seamhatch-core/tests/quarantine.rs
+++ b/crates/seamhatch-core/tests/quarantine.rs
@@ -3,7 +3,8 @@
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, SECOND};
 use seamhatch_core::crashes::{
-    CrashedWork, InstanceDigest, RunEnd, RunMode, Suspect, WorkTable, ends_try, home_of, runs_isolated,
+    CrashedRuns, InstanceDigest, RunEnd, RunMode, RunTable, Suspect, forbids_resend, runs_isolated,
+    server_for_suspect,
 };
 use seamhatch_core::identity::{Incarnation, RequestDigest};
 use seamhatch_core::instance::InstanceId;
@@ -21,8 +22,8 @@
     let cases = [(0, false), (1, false), (2, true), (9, true)];
     for (crashes, is_strict) in cases {
         assert_eq!(runs_isolated(crashes), is_strict, "{crashes} crashes");
-        assert_eq!(ends_try(Reason::BackendCrashed, crashes), is_strict, "{crashes} crashes");
-        assert!(!ends_try(Reason::BackendFailed, crashes), "{crashes} crashes, but this was none");
+        assert_eq!(forbids_resend(Reason::BackendCrashed, crashes), is_strict, "{crashes} crashes");
+        assert!(!forbids_resend(Reason::BackendFailed, crashes), "{crashes} crashes, but this was none");
     }
 }
 
@@ -31,19 +32,19 @@
     let servers = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"];
     let key = |server: &&str| server.as_bytes().to_vec();
     for number in 0..20 {
-        let home = home_of(request(number), servers.iter(), key).copied();
-        let reversed = home_of(request(number), servers.iter().rev(), key).copied();
+        let home = server_for_suspect(request(number), servers.iter(), key).copied();
+        let reversed = server_for_suspect(request(number), servers.iter().rev(), key).copied();
         assert!(home.is_some() && home == reversed, "{number}");
         // Another server that goes does not move it.
         let left = servers.iter().filter(|server| Some(**server) == home || **server == servers[0]);
-        assert_eq!(home_of(request(number), left, key).copied(), home, "{number}");
+        assert_eq!(server_for_suspect(request(number), left, key).copied(), home, "{number}");
     }
-    assert_eq!(home_of(request(1), servers[..0].iter(), key), None);
+    assert_eq!(server_for_suspect(request(1), servers[..0].iter(), key), None);
 }
 
 #[test]
 fn each_request_that_ran_on_the_instance_is_a_suspect_once() {
-    let mut table = WorkTable::default();
+    let mut table = RunTable::default();
     let (first, second) = (InstanceId::named("a"), InstanceId::named("b"));
     let (_, instance) = table.begin(DAEMON, Some(&first), request(1), RunMode::Usual);
     table.begin(DAEMON, Some(&first), request(1), RunMode::Isolated);
@@ -52,13 +53,13 @@
     table.finish(done, RunEnd::NotRun, NOW);
     assert!(!table.has_ended(instance));
     let suspects = vec![Suspect { request: request(1), mode: RunMode::Isolated }];
-    assert_eq!(table.end(instance, false, NOW), CrashedWork { calls: 2, suspects });
+    assert_eq!(table.end(instance, false, NOW), CrashedRuns { calls: 2, suspects });
     assert!(table.has_ended(instance) && !table.has_ended(InstanceDigest::of_instance(&second)));
 }
 
 #[test]
 fn an_unnamed_back_end_is_another_instance_after_each_crash() {
-    let mut table = WorkTable::default();
+    let mut table = RunTable::default();
     let (_, before) = table.begin(DAEMON, None, request(1), RunMode::Usual);
     table.end(before, true, NOW);
     let (_, after) = table.begin(DAEMON, None, request(1), RunMode::Usual);
@@ -69,13 +70,13 @@
 /// A back end that was away was reported as crashed once more by each call that did not reach it.
 #[test]
 fn an_unnamed_back_end_that_is_away_has_crashed_once() {
-    let mut table = WorkTable::default();
+    let mut table = RunTable::default();
     let (_, instance) = table.begin(DAEMON, None, request(1), RunMode::Usual);
     assert_eq!(table.end(instance, true, NOW).suspects.len(), 1);
     let (first, away) = table.begin(DAEMON, None, request(2), RunMode::Usual);
     table.finish(first, RunEnd::NotRun, NOW);
     for _ in 0..3 {
-        assert_eq!(table.end(away, true, NOW), CrashedWork::default());
+        assert_eq!(table.end(away, true, NOW), CrashedRuns::default());
     }
     let (_, back) = table.begin(DAEMON, None, request(3), RunMode::Usual);
     assert_eq!(back, away);
@@ -166,7 +167,7 @@
         },
     ];
     for case in cases {
-        let mut table = WorkTable::default();
+        let mut table = RunTable::default();
         let instance = InstanceId::named("a");
         let (number, life) = table.begin(DAEMON, Some(&instance), request(1), RunMode::Usual);
         let ended = NOW.minus(case.ended_before);
@@ -207,7 +208,7 @@
         BrokenCase { name: "it still waits", broke_before: 4 * SECOND, still_waits: true, is_suspect: true },
     ];
     for case in cases {
-        let mut table = WorkTable::default();
+        let mut table = RunTable::default();
         let instance = InstanceId::named("a");
         let (number, _) = table.begin(DAEMON, Some(&instance), request(1), RunMode::Usual);
         if !case.still_waits {
@@ -215,6 +216,6 @@
         }
         let work = table.replace(&instance, NOW);
         assert_eq!(!work.suspects.is_empty(), case.is_suspect, "{}", case.name);
-        assert_eq!(table.replace(&instance, NOW), CrashedWork::default(), "{}: known", case.name);
+        assert_eq!(table.replace(&instance, NOW), CrashedRuns::default(), "{}: known", case.name);
     }
 }
--- a/crates/seamhatchd/src/server/crashes/mod.rs
+++ b/crates/seamhatchd/src/server/crashes/mod.rs
@@ -20,7 +20,7 @@
 use crate::control::ControlHandle;
 use crate::server::ServerSide;
 use log::warn;
-use seamhatch_core::crashes::{CrashedWork, InstanceDigest, LostRun, SuspectStanding};
+use seamhatch_core::crashes::{CrashedRuns, InstanceDigest, LostRun, SuspectStanding};
 use seamhatch_core::identity::{Address, Incarnation, RequestDigest};
 use seamhatch_core::instance::InstanceId;
 use seamhatch_core::outcome::Reason;
@@ -83,7 +83,7 @@
 
     /// Records that a daemon has ended under these runs, together with the server beside it as far as anybody can tell.
     pub fn daemon_lost(&self, daemon: Address, incarnation: Incarnation, runs: &[LostRun]) {
-        let news = self.suspects.report_loss(InstanceDigest::of_lost(daemon, incarnation), runs);
+        let news = self.suspects.report_loss(InstanceDigest::beside_lost_daemon(daemon, incarnation), runs);
         warn!(
             peer = daemon.to_string().as_str(),
             calls = runs.len(),
@@ -104,7 +104,7 @@
     }
 
     /// Records a crash here and has it reported to other daemons.
-    fn report(&self, digest: InstanceDigest, instance: Option<&InstanceId>, crashed: &CrashedWork) {
+    fn report(&self, digest: InstanceDigest, instance: Option<&InstanceId>, crashed: &CrashedRuns) {
         let suspects = crashed.suspects.as_slice();
         self.suspects.report_crash(digest, suspects);
         self.log_crash(instance, crashed);
@@ -115,7 +115,7 @@
         self.control.remember_evidence(requests);
     }
 
-    fn log_crash(&self, instance: Option<&InstanceId>, crashed: &CrashedWork) {
+    fn log_crash(&self, instance: Option<&InstanceId>, crashed: &CrashedRuns) {
         let evidence = self.evidence(crashed.suspects.iter().map(|suspect| suspect.request));
         warn!(
             instance = instance.map_or("", |instance| instance.name.as_str()),
--- a/crates/seamhatchd/src/server/crashes/suspects.rs
+++ b/crates/seamhatchd/src/server/crashes/suspects.rs
@@ -187,7 +187,7 @@
         if self.known.load(Ordering::Acquire) == 0 {
             return Vec::new();
         }
-        self.lock().heaviest(most, clock::now())
+        self.lock().with_most_crashes(most, clock::now())
     }
 
     /// Requests with open crashes and what may be done with them.
