--- a/crates/seamhatch-core/src/membership/mod.rs
+++ b/crates/seamhatch-core/src/membership/mod.rs
@@ -5,13 +5,13 @@
 //! one daemon; messages and time are passed in, and what is to be sent is returned. Alternatives: docs/DESIGN.md#membership.
 //! Who calls it: the daemon's control thread.
 
-mod exchange;
+mod dissemination;
 mod merging;
 mod message;
 mod policy;
 mod probing;
 mod record;
-mod spreading;
+mod sync;
 
 pub use message::{GossipBody, GossipMessage, NEWS_PER_MESSAGE, SUSPECTS_PER_MESSAGE};
 pub use policy::MembershipPolicy;
