--- a/crates/seamhatch-core/src/membership/dissemination.rs
+++ b/crates/seamhatch-core/src/membership/dissemination.rs
@@ -11,7 +11,7 @@
 impl Membership {
     /// Offers this daemon's record and list to `targets` at once, as a starting daemon does.
     #[must_use]
-    pub fn greet(&self, targets: &[Address]) -> Vec<Outgoing> {
+    pub fn sync_with(&self, targets: &[Address]) -> Vec<Outgoing> {
         let request = GossipBody::SyncRequest { digest: self.digest() };
         let others = targets.iter().filter(|target| **target != self.me.info.gossip);
         others.map(|target| (*target, self.message_with(request.clone(), vec![self.me.clone()]))).collect()
@@ -28,7 +28,7 @@
 
     /// Messages that report suspects to `targets`.
     #[must_use]
-    pub fn tell_suspects(&self, targets: &[Address], reports: &[SuspectReport]) -> Vec<Outgoing> {
+    pub fn report_suspects_to(&self, targets: &[Address], reports: &[SuspectReport]) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         for page in reports.chunks(SUSPECTS_PER_MESSAGE) {
             let message = self.message_with(GossipBody::Suspects(page.to_vec()), Vec::new());
@@ -47,9 +47,9 @@
         let all = self.live_addresses();
         let (repeated, single): (Vec<_>, Vec<_>) =
             reports.iter().cloned().partition(|report| report.record.crashes() > 1);
-        let mut outgoing = self.tell_suspects(&all, &repeated);
+        let mut outgoing = self.report_suspects_to(&all, &repeated);
         let targets = if all.len() < MEMBERS_TOLD_ALL { all } else { self.live_of_own_service() };
-        outgoing.extend(self.tell_suspects(&targets, &single));
+        outgoing.extend(self.report_suspects_to(&targets, &single));
         outgoing
     }
 
--- a/crates/seamhatch-core/src/membership/mod.rs
+++ b/crates/seamhatch-core/src/membership/mod.rs
@@ -131,7 +131,7 @@
 
     /// Whether another member has sent its list: until then this one may know nobody.
     #[must_use]
-    pub fn has_heard_list(&self) -> bool {
+    pub fn has_received_list(&self) -> bool {
         self.heard_list
     }
 
--- a/crates/seamhatch-core/src/membership/record.rs
+++ b/crates/seamhatch-core/src/membership/record.rs
@@ -81,7 +81,7 @@
 
     /// Whether it accepts calls at least where no other member can take them.
     #[must_use]
-    pub fn may_take_work(&self) -> bool {
+    pub fn takes_fallback_work(&self) -> bool {
         let drains = self.lifecycle == Lifecycle::Draining && self.is_live() && !self.leaving;
         self.takes_work() || drains
     }
--- a/crates/seamhatch-core/tests/membership.rs
+++ b/crates/seamhatch-core/tests/membership.rs
@@ -255,7 +255,7 @@
         let mut network = Network::new(members);
         network.cut_off = seeds.into_iter().filter(|seed| *seed != alive).collect();
         let mut ticks = 0;
-        while !network.members[0].has_heard_list() {
+        while !network.members[0].has_received_list() {
             network.run_ticks(1);
             ticks += 1;
             assert!(ticks <= 20, "nothing of seed {alive} in {ticks} ticks");
--- a/crates/seamhatchd/src/controllers/control_thread/members.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/members.rs
@@ -34,7 +34,7 @@
             greeted.push(others.swap_remove(rand::random_range(0..others.len())));
         }
         self.membership.state.add_seeds(members);
-        let outgoing = self.membership.state.greet(&greeted);
+        let outgoing = self.membership.state.sync_with(&greeted);
         self.membership.send_all(outgoing);
     }
 
@@ -46,7 +46,7 @@
         let is_known = self.membership.state.member(gossip).is_some_and(MemberRecord::is_live);
         if !is_known {
             self.membership.state.add_seeds([gossip]);
-            let outgoing = self.membership.state.greet(&[gossip]);
+            let outgoing = self.membership.state.sync_with(&[gossip]);
             self.membership.send_all(outgoing);
         }
     }
--- a/crates/seamhatchd/src/controllers/control_thread/suspects.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/suspects.rs
@@ -73,7 +73,7 @@
             GossipBody::Suspects(reports) => self.shared.suspects.merge(reports),
             GossipBody::SyncRequest { .. } => {
                 let reports = self.shared.suspects.heaviest(RECORDS_PER_EXCHANGE);
-                let outgoing = self.membership.state.tell_suspects(&[message.from], &reports);
+                let outgoing = self.membership.state.report_suspects_to(&[message.from], &reports);
                 self.membership.send_all(outgoing);
             }
             _ => {}
--- a/crates/seamhatchd/src/controllers/control_thread/verification.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/verification.rs
@@ -86,7 +86,7 @@
     /// Whether another daemon has sent its list of members, or none does. A followed store has the daemons' records.
     fn knows_members(&self) -> bool {
         let waited = clock::now().since(self.started) >= MEMBERS_PATIENCE;
-        self.followed().is_some() || self.membership.state.has_heard_list() || waited
+        self.followed().is_some() || self.membership.state.has_received_list() || waited
     }
 
     /// Lets work in once the newest configuration is known and can be used, and other members are known.
