--- a/crates/seamhatch-core/src/claims.rs
+++ b/crates/seamhatch-core/src/claims.rs
@@ -1,7 +1,7 @@
 //! At most once: claims on idempotency keys, granted by a majority of witnesses.
 //!
 //! Decides whether a call that is not repeatable may be dispatched. Its sender first claims the call's key at the witnesses of
-//! the key's shard. The first claim wins and is remembered for [`CLAIM_MEMORY`], which is longer than any request lives.
+//! the key's shard. The first claim wins and is remembered for [`CLAIM_RETENTION`], which is longer than any request lives.
 //!
 //! It protects the promise that such a call runs at most once. Claims hold no lease: a holder that is paused and wakes up
 //! later still holds its claim, and the expiry of the call stops what it sends too late. Alternatives:
@@ -15,10 +15,10 @@
 use std::net::{IpAddr, Ipv4Addr};
 
 /// The longest life of a request; longer deadlines are cut to this. Chosen, not measured.
-pub const LONGEST_REQUEST: Microseconds = 120 * SECOND;
+pub const MAX_REQUEST_LIFETIME: Microseconds = 120 * SECOND;
 
 /// How long a witness remembers a claim: longer than a request lives, with room for its repeats. The factor is chosen.
-pub const CLAIM_MEMORY: Microseconds = 4 * LONGEST_REQUEST;
+pub const CLAIM_RETENTION: Microseconds = 4 * MAX_REQUEST_LIFETIME;
 
 wire_number! {
     /// A digest of an idempotency key.
@@ -217,9 +217,9 @@
         Ok(())
     }
 
-    /// Forgets claims older than [`CLAIM_MEMORY`].
+    /// Forgets claims older than [`CLAIM_RETENTION`].
     pub fn forget_old(&mut self, now: Instant) {
-        self.claims.retain(|_, remembered| now.since(remembered.since) <= CLAIM_MEMORY);
+        self.claims.retain(|_, remembered| now.since(remembered.since) <= CLAIM_RETENTION);
     }
 }
 
--- a/crates/seamhatch-core/src/roster.rs
+++ b/crates/seamhatch-core/src/roster.rs
@@ -30,7 +30,7 @@
 pub const WITNESSES: usize = 3;
 
 /// How long a shard waits before it starts empty: no request that held a claim in it lives any more.
-pub const RESTART_WAIT: Microseconds = crate::claims::LONGEST_REQUEST;
+pub const RESTART_WAIT: Microseconds = crate::claims::MAX_REQUEST_LIFETIME;
 
 /// One incarnation of a daemon as a witness.
 #[derive(
--- a/crates/seamhatch-core/tests/decisions.rs
+++ b/crates/seamhatch-core/tests/decisions.rs
@@ -5,7 +5,7 @@
     CallEnd, Candidate, CandidateStanding, Ejection, KnownPace, SuccessRate, pick,
 };
 use seamhatch_core::claims::{
-    CLAIM_MEMORY, Claim, ClaimHolder, ClaimKey, ClaimReply, Epoch, LONGEST_REQUEST, Witness,
+    CLAIM_RETENTION, Claim, ClaimHolder, ClaimKey, ClaimReply, Epoch, MAX_REQUEST_LIFETIME, Witness,
 };
 use seamhatch_core::clock::{PeerClock, SECOND};
 use seamhatch_core::identity::{Address, Fingerprint, Incarnation};
@@ -54,9 +54,9 @@
     let mut witness = Witness::default();
     witness.install(Epoch(1), Vec::new(), Instant(0)).expect("first");
     witness.claim(Epoch(1), claim(1, 1), Instant(0));
-    witness.forget_old(Instant(LONGEST_REQUEST * 2));
+    witness.forget_old(Instant(MAX_REQUEST_LIFETIME * 2));
     assert_eq!(witness.claim(Epoch(1), claim(1, 2), Instant(0)), ClaimReply::Held(claim(1, 1)));
-    witness.forget_old(Instant(CLAIM_MEMORY + 1));
+    witness.forget_old(Instant(CLAIM_RETENTION + 1));
     assert!(witness.is_empty());
 }
 
--- a/crates/seamhatch-policy/src/program/decision.rs
+++ b/crates/seamhatch-policy/src/program/decision.rs
@@ -5,7 +5,7 @@
 use super::view::ServerView;
 use crate::document::RouteAttributes;
 use rhai::Map;
-use seamhatch_core::claims::LONGEST_REQUEST;
+use seamhatch_core::claims::MAX_REQUEST_LIFETIME;
 use seamhatch_core::clock::{MILLISECOND, Microseconds};
 use seamhatch_core::priority::PriorityClass;
 use serde::Serialize;
@@ -17,7 +17,7 @@
 /// Deadline without a `deadline_ms` function and a route's time-out. Chosen, not measured.
 pub(super) const DEFAULT_DEADLINE: Microseconds = 10_000 * MILLISECOND;
 /// Longest deadline, in milliseconds: claims are remembered for longer than any request lives.
-const MAX_DEADLINE_MS: i64 = (LONGEST_REQUEST / MILLISECOND) as i64;
+const MAX_DEADLINE_MS: i64 = (MAX_REQUEST_LIFETIME / MILLISECOND) as i64;
 
 /// What the policy decided for a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
--- a/crates/seamhatchd/src/claims/records.rs
+++ b/crates/seamhatchd/src/claims/records.rs
@@ -6,7 +6,7 @@
 use crate::base::clock;
 use crate::base::lock::lock;
 use seamhatch_core::Instant;
-use seamhatch_core::claims::{CLAIM_MEMORY, ClaimHolder, ClaimKey};
+use seamhatch_core::claims::{CLAIM_RETENTION, ClaimHolder, ClaimKey};
 use seamhatch_wire::{RecordedAnswer, RecordedState};
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Mutex, MutexGuard};
@@ -72,11 +72,11 @@
         records.by_claim.get(&(key, holder)).map_or(RecordedState::Forgotten, |record| record.state.clone())
     }
 
-    /// Forgets claims that are older than [`CLAIM_MEMORY`].
+    /// Forgets claims that are older than [`CLAIM_RETENTION`].
     pub fn forget_old(&self) {
         let now = clock::now();
         let mut records = self.lock();
-        while records.oldest_age(now).is_some_and(|age| age > CLAIM_MEMORY) {
+        while records.oldest_age(now).is_some_and(|age| age > CLAIM_RETENTION) {
             records.drop_oldest();
         }
     }
--- a/crates/seamhatchd/src/claims/sealed.rs
+++ b/crates/seamhatchd/src/claims/sealed.rs
@@ -5,7 +5,7 @@
 use crate::base::clock;
 use crate::base::lock::lock;
 use seamhatch_core::Instant;
-use seamhatch_core::claims::CLAIM_MEMORY;
+use seamhatch_core::claims::CLAIM_RETENTION;
 use seamhatch_core::roster::WitnessId;
 use seamhatch_wire::SealedMemory;
 use std::collections::BTreeMap;
@@ -35,10 +35,10 @@
         self.lock().values().map(|(memory, _)| memory.clone()).collect()
     }
 
-    /// Forgets those whose claims are older than [`CLAIM_MEMORY`].
+    /// Forgets those whose claims are older than [`CLAIM_RETENTION`].
     pub fn forget_old(&self) {
         let now = clock::now();
-        self.lock().retain(|_, (_, since)| now.since(*since) <= CLAIM_MEMORY);
+        self.lock().retain(|_, (_, since)| now.since(*since) <= CLAIM_RETENTION);
     }
 
     fn lock(&self) -> MutexGuard<'_, Memories> {
