--- a/crates/seamhatch-core/src/roster.rs
+++ b/crates/seamhatch-core/src/roster.rs
@@ -30,7 +30,7 @@
 pub const WITNESSES: usize = 3;
 
 /// How long a shard waits before it starts empty: no request that held a claim in it lives any more.
-pub const RESTART_WAIT: Microseconds = crate::claims::MAX_REQUEST_LIFETIME;
+pub const SHARD_RESTART_WAIT: Microseconds = crate::claims::MAX_REQUEST_LIFETIME;
 
 /// One incarnation of a daemon as a witness.
 #[derive(
@@ -129,7 +129,7 @@
     /// Stops in order, and waits until others have taken over.
     Leaving,
     /// Not answering or thought dead: to be replaced, may still be running.
-    Unsure,
+    Unreachable,
     /// Its memory is gone: a later incarnation was seen at its address.
     Ended,
     /// Nothing is known of it, as this daemon has just started.
@@ -178,7 +178,7 @@
     /// It is over and all its claims are known.
     Complete,
     /// It is over, but claims may have been lost with ended witnesses: what
-    /// follows must wait for [`RESTART_WAIT`].
+    /// follows must wait for [`SHARD_RESTART_WAIT`].
     CompleteWithLoss,
 }
 
@@ -206,11 +206,11 @@
 /// A wait belongs to the assignment whose claims may be lost, not to the one that is to follow: that one
 /// changes again while its witnesses come and go, and the wait would never end.
 #[derive(Debug, Default)]
-pub struct LossWaits {
+pub struct ClaimLossWaits {
     known_since: BTreeMap<(usize, Epoch), Instant>,
 }
 
-impl LossWaits {
+impl ClaimLossWaits {
     /// Records that the assignment of `shard` in `epoch` is over with a loss; true when that was not known.
     pub fn note(&mut self, shard: usize, epoch: Epoch, now: Instant) -> bool {
         match self.known_since.entry((shard, epoch)) {
@@ -224,9 +224,9 @@
 
     /// Epochs of `shard` whose wait is over: no request that held a claim in them lives any more.
     #[must_use]
-    pub fn over(&self, shard: usize, now: Instant) -> BTreeSet<Epoch> {
+    pub fn elapsed(&self, shard: usize, now: Instant) -> BTreeSet<Epoch> {
         let own = self.known_since.range((shard, Epoch(0))..=(shard, Epoch(u64::MAX)));
-        own.filter(|(_, since)| now.since(**since) > RESTART_WAIT).map(|((_, epoch), _)| *epoch).collect()
+        own.filter(|(_, since)| now.since(**since) > SHARD_RESTART_WAIT).map(|((_, epoch), _)| *epoch).collect()
     }
 
     /// Forgets the waits of `shard` for epochs that are not listed any more.
--- a/crates/seamhatch-core/tests/decisions.rs
+++ b/crates/seamhatch-core/tests/decisions.rs
@@ -378,25 +378,25 @@
 /// When a shard that lost claims may go on, while what is to follow changes again and again.
 #[test]
 fn the_wait_after_a_loss_is_not_begun_anew_by_another_change() {
-    use seamhatch_core::roster::{LossWaits, RESTART_WAIT};
-    let mut waits = LossWaits::default();
+    use seamhatch_core::roster::{ClaimLossWaits, SHARD_RESTART_WAIT};
+    let mut waits = ClaimLossWaits::default();
     let lost = Epoch(2);
     assert!(waits.note(7, lost, NOW), "news");
     // Each epoch that follows lists the lost one again, and those before it, which granted nothing.
     for change in 1..=10 {
-        let now = NOW.plus(change * RESTART_WAIT / 10);
+        let now = NOW.plus(change * SHARD_RESTART_WAIT / 10);
         let previous: Vec<Assignment> =
             (2..2 + change).map(|epoch| Assignment { epoch: Epoch(epoch), witnesses: Vec::new() }).collect();
         waits.retain(7, &previous);
         assert!(!waits.note(7, lost, now), "known since the beginning");
-        assert!(waits.over(7, now).is_empty(), "change {change}");
+        assert!(waits.elapsed(7, now).is_empty(), "change {change}");
     }
-    let over = NOW.plus(RESTART_WAIT + 1);
-    assert_eq!(waits.over(7, over).into_iter().collect::<Vec<_>>(), [lost]);
-    assert!(waits.over(8, over).is_empty(), "another shard's wait");
+    let over = NOW.plus(SHARD_RESTART_WAIT + 1);
+    assert_eq!(waits.elapsed(7, over).into_iter().collect::<Vec<_>>(), [lost]);
+    assert!(waits.elapsed(8, over).is_empty(), "another shard's wait");
     // A second loss has a wait of its own.
     assert!(waits.note(7, Epoch(9), over));
-    assert!(!waits.over(7, over.plus(RESTART_WAIT)).contains(&Epoch(9)));
+    assert!(!waits.elapsed(7, over.plus(SHARD_RESTART_WAIT)).contains(&Epoch(9)));
     waits.retain(7, &[]);
-    assert!(waits.over(7, over.plus(2 * RESTART_WAIT)).is_empty(), "confirmed: nothing is waited for");
+    assert!(waits.elapsed(7, over.plus(2 * SHARD_RESTART_WAIT)).is_empty(), "confirmed: nothing is waited for");
 }
--- a/crates/seamhatch-core/tests/roster.rs
+++ b/crates/seamhatch-core/tests/roster.rs
@@ -109,7 +109,7 @@
         let shard = ShardRoster { current: assignment(1, &[1, 2, 3]), previous: Vec::new() };
         let health = |id: &WitnessId| match id {
             id if case.leaving.iter().any(|number| witness(*number) == *id) => WitnessHealth::Leaving,
-            id if case.gone.iter().any(|number| witness(*number) == *id) => WitnessHealth::Unsure,
+            id if case.gone.iter().any(|number| witness(*number) == *id) => WitnessHealth::Unreachable,
             id if case.unknown.iter().any(|number| witness(*number) == *id) => WitnessHealth::Unknown,
             _ => WitnessHealth::Live,
         };
--- a/crates/seamhatch-lab/src/soak/runner.rs
+++ b/crates/seamhatch-lab/src/soak/runner.rs
@@ -17,13 +17,13 @@
 use crate::deployment::{Deployment, DeploymentOptions, status_of};
 use crate::topology::Topology;
 use seamhatch_core::identity::Address;
-use seamhatch_core::roster::RESTART_WAIT;
+use seamhatch_core::roster::SHARD_RESTART_WAIT;
 use std::path::PathBuf;
 use std::time::Duration;
 
 /// Longest wait for all daemons to be ready when the faults are over: what a shard waits that has lost a majority of its
 /// witnesses, and half as much again for a busy machine.
-const RECOVERY_TIMEOUT: Duration = Duration::from_micros(RESTART_WAIT * 3 / 2);
+const RECOVERY_TIMEOUT: Duration = Duration::from_micros(SHARD_RESTART_WAIT * 3 / 2);
 /// Time between two rounds of status reports.
 const STATUS_INTERVAL: Duration = Duration::from_millis(400);
 /// Requests that must be served when everything is over: five for each of eight daemons.
--- a/crates/seamhatch-lab/src/soak/stops.rs
+++ b/crates/seamhatch-lab/src/soak/stops.rs
@@ -15,7 +15,7 @@
 use crate::connection::{NOT_READ, NOT_SENT};
 use seamhatch_core::clock::MILLISECOND;
 use seamhatch_core::outcome::Reason;
-use seamhatch_core::roster::RESTART_WAIT;
+use seamhatch_core::roster::SHARD_RESTART_WAIT;
 use std::collections::HashSet;
 
 /// Reason that a stopping daemon gives.
@@ -25,7 +25,7 @@
 /// A fault that ended this long before a stop, or longer, is not beside it, in milliseconds.
 const CALM_BEFORE_MS: SoakMillis = 4_000;
 /// Time in which a shard grants no claim after two of its three witnesses were lost, in milliseconds.
-pub(super) const RESTART_WAIT_MS: SoakMillis = RESTART_WAIT / MILLISECOND;
+pub(super) const RESTART_WAIT_MS: SoakMillis = SHARD_RESTART_WAIT / MILLISECOND;
 
 /// The other faults around a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/seamhatch-model/src/handover/state.rs
+++ b/crates/seamhatch-model/src/handover/state.rs
@@ -84,7 +84,7 @@
         match self.daemons[daemon].phase {
             DaemonPhase::Up => WitnessHealth::Live,
             DaemonPhase::Stopping => WitnessHealth::Leaving,
-            DaemonPhase::Ended => WitnessHealth::Unsure,
+            DaemonPhase::Ended => WitnessHealth::Unreachable,
         }
     }
 
--- a/crates/seamhatchd/src/controllers/roster.rs
+++ b/crates/seamhatchd/src/controllers/roster.rs
@@ -9,7 +9,7 @@
 use seamhatch_core::identity::Address;
 use seamhatch_core::membership::{Lifecycle, Liveness, MemberRecord};
 use seamhatch_core::roster::{
-    LossWaits, Roster, SealProgress, ShardRoster, WitnessCandidate, WitnessDuty, WitnessHealth, WitnessId,
+    ClaimLossWaits, Roster, SealProgress, ShardRoster, WitnessCandidate, WitnessDuty, WitnessHealth, WitnessId,
     first_roster, plan_change, seal_progress,
 };
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,7 +29,7 @@
     complete: BTreeMap<usize, Epoch>,
     /// Shards with a transition in progress.
     running: BTreeSet<usize>,
-    loss_waits: LossWaits,
+    loss_waits: ClaimLossWaits,
     /// Machines that were listed and are no longer.
     gone_machines: BTreeSet<IpAddr>,
     listed_machines: BTreeSet<IpAddr>,
@@ -98,7 +98,7 @@
         let is_unknown =
             |id: &WitnessId| !knows_all && members.iter().all(|record| record.info.peer != id.daemon);
         let health = |id: &WitnessId| match self.health(id, members) {
-            WitnessHealth::Unsure if is_unknown(id) => WitnessHealth::Unknown,
+            WitnessHealth::Unreachable if is_unknown(id) => WitnessHealth::Unknown,
             health => health,
         };
         self.next_roster(|index, shard| self.plan_shard(index, shard, health, &candidates))
@@ -180,7 +180,7 @@
 
     /// Epochs of a shard that ended with a loss and have been waited out.
     pub fn waited(&self, shard: usize, now: Instant) -> BTreeSet<Epoch> {
-        self.loss_waits.over(shard, now)
+        self.loss_waits.elapsed(shard, now)
     }
 
     /// Has every shard checked again: for a coordinator that has just been chosen, and from time to time.
@@ -212,7 +212,7 @@
     fn health(&self, id: &WitnessId, members: &[MemberRecord]) -> WitnessHealth {
         let gone = self.gone_machines.contains(&id.daemon.ip);
         let Some(record) = members.iter().find(|record| record.info.peer == id.daemon) else {
-            return if gone { WitnessHealth::Ended } else { WitnessHealth::Unsure };
+            return if gone { WitnessHealth::Ended } else { WitnessHealth::Unreachable };
         };
         let restarted = record.incarnation > id.incarnation;
         let dead = record.liveness == Liveness::Dead;
@@ -220,10 +220,10 @@
             return WitnessHealth::Ended;
         }
         if record.liveness != Liveness::Alive || record.incarnation != id.incarnation {
-            return WitnessHealth::Unsure;
+            return WitnessHealth::Unreachable;
         }
         match record.lifecycle {
-            Lifecycle::Left => WitnessHealth::Unsure,
+            Lifecycle::Left => WitnessHealth::Unreachable,
             Lifecycle::Draining => WitnessHealth::Leaving,
             Lifecycle::Joining | Lifecycle::Ready if record.leaving => WitnessHealth::Leaving,
             Lifecycle::Joining | Lifecycle::Ready => WitnessHealth::Live,
