--- a/crates/seamhatch-core/src/instance/heartbeat.rs
+++ b/crates/seamhatch-core/src/instance/heartbeat.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatVerdict {
     /// It brought nothing new.
-    Known,
+    Unchanged,
     /// The instance takes calls from now on.
     Opened,
     /// The instance takes no new calls from now on.
--- a/crates/seamhatch-core/src/instance/mod.rs
+++ b/crates/seamhatch-core/src/instance/mod.rs
@@ -19,4 +19,4 @@
 pub use heartbeat::{Heartbeat, HeartbeatVerdict, InstanceState};
 pub use id::InstanceId;
 pub use registered::Registered;
-pub use registry::{HEARTBEAT_SILENCE, InstanceRegistry, REMEMBERED_DEPARTURES, Refutation};
+pub use registry::{HEARTBEAT_TIMEOUT, InstanceRegistry, REMEMBERED_DEPARTURES, Refutation};
--- a/crates/seamhatch-core/src/instance/registered.rs
+++ b/crates/seamhatch-core/src/instance/registered.rs
@@ -18,7 +18,7 @@
     /// When it is as fast as it gets, in the local clock.
     pub warm_at: Instant,
     /// When its last heartbeat arrived.
-    pub heard: Instant,
+    pub last_heartbeat: Instant,
     sequence: u64,
     /// It gets no calls until its next heartbeat.
     pub(super) suspended: bool,
@@ -34,7 +34,7 @@
             state: heartbeat.state,
             slots: heartbeat.slots,
             warm_at: now.plus(heartbeat.cold_for),
-            heard: now,
+            last_heartbeat: now,
             sequence: heartbeat.sequence,
             suspended: false,
             confirmed: follows_known || heartbeat.sequence <= FIRST_SEQUENCE,
@@ -48,15 +48,15 @@
         }
         self.sequence = heartbeat.sequence;
         self.confirmed = true;
-        self.heard = now;
+        self.last_heartbeat = now;
         self.slots = heartbeat.slots;
         self.warm_at = now.plus(heartbeat.cold_for);
         let suspended = std::mem::take(&mut self.suspended);
         match (self.state, heartbeat.state) {
             // An instance that drains never takes calls again.
-            (InstanceState::Draining, _) => HeartbeatVerdict::Known,
+            (InstanceState::Draining, _) => HeartbeatVerdict::Unchanged,
             (InstanceState::Ready, InstanceState::Ready) if suspended => HeartbeatVerdict::Opened,
-            (InstanceState::Ready, InstanceState::Ready) => HeartbeatVerdict::Known,
+            (InstanceState::Ready, InstanceState::Ready) => HeartbeatVerdict::Unchanged,
             (InstanceState::Ready, InstanceState::Draining) => {
                 self.state = InstanceState::Draining;
                 HeartbeatVerdict::Closed
--- a/crates/seamhatch-core/src/instance/registry.rs
+++ b/crates/seamhatch-core/src/instance/registry.rs
@@ -9,7 +9,7 @@
 
 /// An instance that was silent for this long is taken to be gone until it is heard again: several heartbeats were lost or
 /// are late. Chosen, not measured.
-pub const HEARTBEAT_SILENCE: Microseconds = 6 * SECOND;
+pub const HEARTBEAT_TIMEOUT: Microseconds = 6 * SECOND;
 
 /// Superseded instances that may still come back, the latest ones. Chosen, not measured: each crash leaves one, and its
 /// late heartbeats arrive within seconds.
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refutation {
     /// It took no calls before.
-    Known,
+    Unchanged,
     /// No instance takes calls from now on.
     Closed,
     /// The instance that it had superseded takes calls again.
@@ -108,7 +108,7 @@
             (InstanceState::Draining, _) if superseded.is_some() || self.registered.is_some() => {
                 // It leaves; that says nothing about the registered one.
                 self.depart(&heartbeat.instance);
-                HeartbeatVerdict::Known
+                HeartbeatVerdict::Unchanged
             }
             (InstanceState::Ready, Some(position)) => self.hear_superseded(position, &heartbeat, now),
             _ => self.register(heartbeat, now),
@@ -127,10 +127,10 @@
     /// instance that it had superseded, if that was heard recently, is taken to be there.
     pub fn refute(&mut self, instance: &InstanceId, now: Instant) -> Refutation {
         if !self.suspend(instance) {
-            return Refutation::Known;
+            return Refutation::Unchanged;
         }
         let may_live = |earlier: &Superseded| {
-            !earlier.instance.suspended && now.since(earlier.instance.heard) <= HEARTBEAT_SILENCE
+            !earlier.instance.suspended && now.since(earlier.instance.last_heartbeat) <= HEARTBEAT_TIMEOUT
         };
         let Some(position) = self.superseded.iter().rposition(may_live) else {
             return Refutation::Closed;
--- a/crates/seamhatch-core/tests/instance.rs
+++ b/crates/seamhatch-core/tests/instance.rs
@@ -25,7 +25,7 @@
     let mut registry = InstanceRegistry::default();
     assert!(registry.open().is_none());
     assert_eq!(registry.heartbeat(ready("a", 1), NOW), HeartbeatVerdict::Opened);
-    assert_eq!(registry.heartbeat(ready("a", 2), NOW), HeartbeatVerdict::Known);
+    assert_eq!(registry.heartbeat(ready("a", 2), NOW), HeartbeatVerdict::Unchanged);
     assert_eq!(registry.heartbeat(draining("a", 3), NOW), HeartbeatVerdict::Closed);
     assert!(registry.open().is_none());
 }
@@ -35,7 +35,7 @@
     let mut registry = InstanceRegistry::default();
     registry.heartbeat(draining("a", 5), NOW);
     assert_eq!(registry.heartbeat(ready("a", 4), NOW), HeartbeatVerdict::Stale);
-    assert_eq!(registry.heartbeat(ready("a", 6), NOW), HeartbeatVerdict::Known);
+    assert_eq!(registry.heartbeat(ready("a", 6), NOW), HeartbeatVerdict::Unchanged);
     assert!(registry.open().is_none());
 }
 
--- a/crates/seamhatchd/src/controllers/control_thread/instances.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/instances.rs
@@ -11,7 +11,7 @@
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{Microseconds, SECOND};
 use seamhatch_core::instance::{
-    HEARTBEAT_SILENCE, Heartbeat, HeartbeatVerdict, InstanceId, InstanceState, Refutation,
+    HEARTBEAT_TIMEOUT, Heartbeat, HeartbeatVerdict, InstanceId, InstanceState, Refutation,
 };
 use seamhatch_core::outcome::Reason;
 use std::time::Duration;
@@ -76,7 +76,7 @@
             HeartbeatVerdict::Stale => {
                 info!(instance = instance.as_str(), sequence = sequence; "stale heartbeat passed over");
             }
-            HeartbeatVerdict::Known => self.warm_up(now),
+            HeartbeatVerdict::Unchanged => self.warm_up(now),
         }
     }
 
@@ -164,7 +164,7 @@
     fn refute_instance(&mut self, instance: &InstanceId) {
         let opened = |instance: &InstanceId| self.shared.server.notices.open(Some(instance));
         let refutation = self.shared.server.instances.refute(instance, clock::now(), opened);
-        if refutation == Refutation::Known {
+        if refutation == Refutation::Unchanged {
             return;
         }
         warn!(instance = instance.name.as_str(), refutation:? = refutation; "another instance answered");
@@ -185,10 +185,10 @@
         }
     }
 
-    /// Closes an instance that has sent no heartbeat for [`HEARTBEAT_SILENCE`].
+    /// Closes an instance that has sent no heartbeat for [`HEARTBEAT_TIMEOUT`].
     pub(super) fn watch_heartbeats(&mut self, now: Instant) {
         let is_silent =
-            self.shared.server.instances.heard().is_some_and(|heard| now.since(heard) > HEARTBEAT_SILENCE);
+            self.shared.server.instances.heard().is_some_and(|heard| now.since(heard) > HEARTBEAT_TIMEOUT);
         if let Some(OpenInstance { id: Some(instance) }) =
             self.shared.server.instances.open().filter(|_| is_silent)
         {
--- a/crates/seamhatchd/src/server/instances.rs
+++ b/crates/seamhatchd/src/server/instances.rs
@@ -90,7 +90,7 @@
     pub fn heard(&self) -> Option<Instant> {
         match self {
             Self::Fixed { .. } => None,
-            Self::Registered(registry) => lock(registry).registered().map(|known| known.heard),
+            Self::Registered(registry) => lock(registry).registered().map(|known| known.last_heartbeat),
         }
     }
 
@@ -152,7 +152,7 @@
         opened: impl FnOnce(&InstanceId),
     ) -> Refutation {
         match self {
-            Self::Fixed { .. } => Refutation::Known,
+            Self::Fixed { .. } => Refutation::Unchanged,
             Self::Registered(registry) => {
                 let mut registry = lock(registry);
                 let refutation = registry.refute(instance, now);
