--- a/crates/seamhatch-core/src/departure.rs
+++ b/crates/seamhatch-core/src/departure.rs
@@ -11,12 +11,12 @@
 use serde::{Deserialize, Serialize};
 
 /// How long a starting daemon that has the store's answer waits for that of the holders. Chosen, not measured.
-pub const HOLDERS_PATIENCE: Microseconds = 500 * MILLISECOND;
+pub const HOLDERS_ANSWER_TIMEOUT: Microseconds = 500 * MILLISECOND;
 /// How long a starting daemon waits for the store before it relies on the holders alone. Chosen, not measured.
-pub const STORE_PATIENCE: Microseconds = 800 * MILLISECOND;
+pub const STORE_ANSWER_TIMEOUT: Microseconds = 800 * MILLISECOND;
 /// How long a starting daemon that reaches neither the store nor a holder waits before it trusts its back end. Chosen, not
 /// measured.
-pub const DEPARTURE_PATIENCE: Microseconds = 4 * SECOND;
+pub const INQUIRY_TIMEOUT: Microseconds = 4 * SECOND;
 
 /// Where a starting daemon learns which instances departed before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -83,9 +83,9 @@
     pub fn verdict(&self, waited: Microseconds, asking: bool) -> InquiryVerdict {
         match (self.store_answered, self.holders_answered) {
             (true, true) => InquiryVerdict::Settled,
-            (true, false) if waited > HOLDERS_PATIENCE && !asking => InquiryVerdict::Settled,
-            (false, true) if waited > STORE_PATIENCE => InquiryVerdict::Settled,
-            _ if waited > DEPARTURE_PATIENCE => InquiryVerdict::GivenUp,
+            (true, false) if waited > HOLDERS_ANSWER_TIMEOUT && !asking => InquiryVerdict::Settled,
+            (false, true) if waited > STORE_ANSWER_TIMEOUT => InquiryVerdict::Settled,
+            _ if waited > INQUIRY_TIMEOUT => InquiryVerdict::GivenUp,
             _ => InquiryVerdict::Wait,
         }
     }
--- a/crates/seamhatchd/src/controllers/control_thread/followed.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/followed.rs
@@ -16,7 +16,7 @@
 use log::info;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, Microseconds};
-use seamhatch_core::departure::STORE_PATIENCE;
+use seamhatch_core::departure::STORE_ANSWER_TIMEOUT;
 use seamhatch_core::generation::Generation;
 use seamhatch_core::identity::Address;
 use seamhatch_core::rendezvous;
@@ -190,7 +190,7 @@
         if self.is_verified() {
             return;
         }
-        let waited_for_store = now.since(self.started) >= STORE_PATIENCE;
+        let waited_for_store = now.since(self.started) >= STORE_ANSWER_TIMEOUT;
         let caught_up = self.following.missing.is_none() && self.configuration.in_force().is_some();
         if self.following.configuration_read || (waited_for_store && caught_up) {
             self.verified();
