--- a/crates/seamhatch-core/src/drain.rs
+++ b/crates/seamhatch-core/src/drain.rs
@@ -104,7 +104,7 @@
 
     /// The deadline with which work that is due by `expiry` is sent on at `now`: what ends at it still ends before the process does.
     #[must_use]
-    pub fn bounded(&self, expiry: Instant, now: Instant) -> Instant {
+    pub fn cap_expiry(&self, expiry: Instant, now: Instant) -> Instant {
         match self.time_left() {
             Some(left) if self.draining_for.is_some() => expiry.min(now.plus(left)),
             _ => expiry,
@@ -114,7 +114,7 @@
     /// Whether callers that arrive now are refused: the daemon has closed to them, or the end of the process could cut them off. Until then they are
     /// served, as they may not know yet that the daemon stops.
     #[must_use]
-    pub fn is_too_late_for_callers(&self) -> bool {
+    pub fn refuses_callers(&self) -> bool {
         self.phase != IntakePhase::Open || self.is_late()
     }
 
--- a/crates/seamhatch-core/tests/drain.rs
+++ b/crates/seamhatch-core/tests/drain.rs
@@ -136,7 +136,7 @@
         },
     ];
     for case in cases {
-        assert_eq!(!case.state.is_too_late_for_callers(), case.callers, "{}: callers", case.name);
+        assert_eq!(!case.state.refuses_callers(), case.callers, "{}: callers", case.name);
         let accepted =
             [SECOND, 60 * SECOND].map(|lifetime| case.state.can_finish(NOW.plus(lifetime), None, NOW));
         assert_eq!(accepted, [case.short_call, case.long_call], "{}", case.name);
@@ -184,7 +184,7 @@
         (draining(60 * SECOND), far, NOW),
     ];
     for (state, expiry, due) in cases {
-        assert_eq!(state.bounded(expiry, NOW), due, "{state:?}");
+        assert_eq!(state.cap_expiry(expiry, NOW), due, "{state:?}");
     }
 }
 
--- a/crates/seamhatchd/src/filters/readiness.rs
+++ b/crates/seamhatchd/src/filters/readiness.rs
@@ -34,7 +34,7 @@
         let state = shared.stop_state();
         let is_taken = match request.parent {
             Some(_) => state.admits_call(shared.limits.call_times.usual(request.kind())),
-            None => !state.is_too_late_for_callers(),
+            None => !state.refuses_callers(),
         };
         if is_taken {
             return Ok(());
--- a/crates/seamhatchd/src/shared.rs
+++ b/crates/seamhatchd/src/shared.rs
@@ -118,7 +118,7 @@
     /// as they may not have learnt yet that it leaves.
     #[must_use]
     pub fn is_too_late_for_callers(&self) -> bool {
-        self.stop_state().is_too_late_for_callers()
+        self.stop_state().refuses_callers()
     }
 
     /// Which calls the back end beside this daemon gets.
@@ -168,7 +168,7 @@
     /// The deadline with which work that is due by `expiry` is sent on now.
     #[must_use]
     pub fn bounded(&self, expiry: Instant) -> Instant {
-        self.stop_state().bounded(expiry, clock::now())
+        self.stop_state().cap_expiry(expiry, clock::now())
     }
 
     /// Whether the server beside this daemon takes new work.
