--- a/crates/seamhatch-core/src/freshness.rs
+++ b/crates/seamhatch-core/src/freshness.rs
@@ -47,12 +47,12 @@
     pub fn set_in_force(&mut self, generation: Generation) {
         self.in_force = self.in_force.max(generation);
         if let Some(proof) = self.awaited.take() {
-            self.prove(proof);
+            self.record(proof);
         }
     }
 
     /// Records a proof in the local clock.
-    pub fn prove(&mut self, proof: FreshnessProof) {
+    pub fn record(&mut self, proof: FreshnessProof) {
         if proof.generation <= self.in_force {
             self.proved_at = self.proved_at.max(Some(proof.at));
         } else if self.awaited.is_none_or(|awaited| awaited.at < proof.at) {
@@ -68,7 +68,7 @@
 
     /// Whether the youngest proof is young enough at `now` for an operator who allows `bound` microseconds.
     #[must_use]
-    pub fn is_proved(&self, bound: Microseconds, now: Instant) -> bool {
+    pub fn is_fresh(&self, bound: Microseconds, now: Instant) -> bool {
         self.age(now).is_some_and(|age| age <= bound.saturating_sub(CLOCK_MARGIN))
     }
 
--- a/crates/seamhatch-core/tests/freshness.rs
+++ b/crates/seamhatch-core/tests/freshness.rs
@@ -70,7 +70,7 @@
             match *step {
                 Step::InForce(generation) => tracker.set_in_force(Generation(generation)),
                 Step::Proof(generation, at) => {
-                    tracker.prove(FreshnessProof { generation: Generation(generation), at: Instant(at) });
+                    tracker.record(FreshnessProof { generation: Generation(generation), at: Instant(at) });
                 }
             }
         }
@@ -85,9 +85,9 @@
 fn a_proof_counts_until_shortly_before_the_bound() {
     let bound = 5_000_000;
     let mut tracker = FreshnessTracker::default();
-    assert!(!tracker.is_proved(bound, Instant(0)), "no proof yet");
-    tracker.prove(FreshnessProof { generation: Generation(0), at: Instant(1_000_000) });
+    assert!(!tracker.is_fresh(bound, Instant(0)), "no proof yet");
+    tracker.record(FreshnessProof { generation: Generation(0), at: Instant(1_000_000) });
     for (age, counts) in [(0, true), (4_900_000, true), (4_900_001, false), (5_000_000, false)] {
-        assert_eq!(tracker.is_proved(bound, Instant(1_000_000 + age)), counts, "{age}");
+        assert_eq!(tracker.is_fresh(bound, Instant(1_000_000 + age)), counts, "{age}");
     }
 }
--- a/crates/seamhatch-model/src/freshness.rs
+++ b/crates/seamhatch-model/src/freshness.rs
@@ -191,6 +191,6 @@
     }
 
     fn prove(&mut self, generation: u64, at: u64) {
-        self.tracker.prove(FreshnessProof { generation: Generation(generation), at: Instant(at) });
+        self.tracker.record(FreshnessProof { generation: Generation(generation), at: Instant(at) });
     }
 }
--- a/crates/seamhatchd/src/limits/freshness.rs
+++ b/crates/seamhatchd/src/limits/freshness.rs
@@ -46,14 +46,14 @@
 
     /// Records a proof in the local boot clock.
     pub fn prove(&self, proof: FreshnessProof) {
-        self.lock().prove(proof);
+        self.lock().record(proof);
     }
 
     /// Whether requests may run by the keys of the configuration.
     #[must_use]
     pub fn is_proved(&self) -> bool {
         let Some(bound) = self.bound else { return true };
-        self.lock().is_proved(bound, clock::now())
+        self.lock().is_fresh(bound, clock::now())
     }
 
     /// The proof for other daemons.
