--- a/crates/seamhatch-core/src/heartbeat.rs
+++ b/crates/seamhatch-core/src/heartbeat.rs
@@ -55,7 +55,7 @@
 
     /// When a heartbeat may be due next, so that [`Self::is_due`] must be asked.
     #[must_use]
-    pub fn next_look(&self) -> Microseconds {
+    pub fn next_check(&self) -> Microseconds {
         let interval = match self.end {
             LinkEnd::Calling => CALLING_INTERVAL,
             LinkEnd::Called => BUSY_INTERVAL,
--- a/crates/seamhatch-core/tests/heartbeats.rs
+++ b/crates/seamhatch-core/tests/heartbeats.rs
@@ -114,14 +114,14 @@
     for began in (0..2 * CALLING_INTERVAL).step_by(7_919) {
         let called = HeartbeatSchedule::new(LinkEnd::Called, began);
         let calling = HeartbeatSchedule::new(LinkEnd::Calling, began);
-        assert_eq!(called.next_look() % BUSY_INTERVAL, 0, "began at {began}");
-        assert_eq!(calling.next_look() % CALLING_INTERVAL, 0, "began at {began}");
+        assert_eq!(called.next_check() % BUSY_INTERVAL, 0, "began at {began}");
+        assert_eq!(calling.next_check() % CALLING_INTERVAL, 0, "began at {began}");
         assert!(
-            called.next_look() - began <= BUSY_INTERVAL && called.next_look() > began,
+            called.next_check() - began <= BUSY_INTERVAL && called.next_check() > began,
             "began at {began}"
         );
         assert!(
-            calling.next_look() - began <= CALLING_INTERVAL && calling.next_look() > began,
+            calling.next_check() - began <= CALLING_INTERVAL && calling.next_check() > began,
             "began at {began}"
         );
     }
--- a/crates/seamhatchd/src/peer/link.rs
+++ b/crates/seamhatchd/src/peer/link.rs
@@ -180,7 +180,7 @@
 async fn next_pulse(schedule: &mut HeartbeatSchedule, outbox: &Outbox, is_busy: &impl Fn() -> bool) {
     let mut sent = outbox.sent();
     loop {
-        sleep_until_heartbeat(schedule.next_look()).await;
+        sleep_until_heartbeat(schedule.next_check()).await;
         let sent_now = outbox.sent();
         let activity = LinkActivity { is_busy: is_busy(), has_sent: sent_now != sent };
         if schedule.is_due(heartbeat_time(), activity) {
