--- a/crates/seamhatch-core/src/pipeline.rs
+++ b/crates/seamhatch-core/src/pipeline.rs
@@ -1,15 +1,15 @@
 //! The order of the requests of one connection, some of which were sent before the answers to earlier ones.
 //!
 //! A server library answers one request at a time and takes all bytes that it is given. So it is given the bytes of one request, and the next head
-//! once the answer before it was written ([`Pipeline::turn`]). What is sent meanwhile is read ahead, and a request there is started
+//! once the answer before it was written ([`Pipeline::next_input`]). What is sent meanwhile is read ahead, and a request there is started
 //! where it and all unanswered ones before it are repeatable ([`Pipeline::may_start`]). An answer ends the connection only where nothing
 //! that was started is unanswered behind it ([`Pipeline::try_close_after_this`]): a request that reached a server would be cut off.
 //!
 //! Where the library finds another end of a request than the reader, the connection is served without any of this from then on
-//! ([`Turn::All`]).
+//! ([`NextInput::PassThrough`]).
 
 /// Most requests of one connection that may be started ahead and not answered. Bounds the slots and memory that one connection takes.
-pub const MOST_AHEAD: usize = 16;
+pub const MAX_STARTED_AHEAD: usize = 16;
 
 /// The body of a request, as the library understands its head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -24,7 +24,7 @@
 
 /// What the library may be given next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
+pub enum NextInput {
     /// The next head.
     NextHead,
     /// The rest of a head that it has been given in part. Where it has been given in whole and the library asks for more, the two
@@ -35,12 +35,12 @@
     /// Nothing until the answer in progress is written.
     Wait,
     /// All bytes as they come.
-    All,
+    PassThrough,
 }
 
 /// What a request is that the library has read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReachedRequest {
+pub enum RequestOrigin {
     /// The first of those that were started ahead.
     StartedAhead,
     /// One that nothing was done for yet. What was started ahead is to be cancelled.
@@ -82,13 +82,13 @@
 impl Pipeline {
     /// What the library may be given next.
     #[must_use]
-    pub fn turn(&self) -> Turn {
+    pub fn next_input(&self) -> NextInput {
         match self.stage {
-            Stage::Idle => Turn::NextHead,
-            Stage::HeadGiven { .. } => Turn::RestOfHead,
-            Stage::InProgress { body_left: 0, .. } => Turn::Wait,
-            Stage::InProgress { body_left, .. } => Turn::Body(body_left),
-            Stage::Transparent => Turn::All,
+            Stage::Idle => NextInput::NextHead,
+            Stage::HeadGiven { .. } => NextInput::RestOfHead,
+            Stage::InProgress { body_left: 0, .. } => NextInput::Wait,
+            Stage::InProgress { body_left, .. } => NextInput::Body(body_left),
+            Stage::Transparent => NextInput::PassThrough,
         }
     }
 
@@ -109,7 +109,7 @@
 
     /// The library has read a request. `others_may_follow` is false where the connection ends with it.
     #[must_use]
-    pub fn reach(&mut self, body: RequestBody, others_may_follow: bool) -> ReachedRequest {
+    pub fn begin_request(&mut self, body: RequestBody, others_may_follow: bool) -> RequestOrigin {
         let left = match (self.stage, body) {
             (Stage::HeadGiven { body_bytes: 0 }, RequestBody::None) => Some(0),
             (Stage::HeadGiven { body_bytes }, RequestBody::Bytes(length)) => length.checked_sub(body_bytes),
@@ -118,17 +118,17 @@
         let was_ahead = std::mem::take(&mut self.ahead);
         let Some(body_left) = left else {
             self.stage = Stage::Transparent;
-            return ReachedRequest::New;
+            return RequestOrigin::New;
         };
         self.stage = Stage::InProgress { body_left, answer_ended: false, written: false };
         self.others_may_follow = others_may_follow && body == RequestBody::None;
         if was_ahead > 0 && self.others_may_follow {
             self.ahead = was_ahead - 1;
-            return ReachedRequest::StartedAhead;
+            return RequestOrigin::StartedAhead;
         }
         // Not known before the filters have run; see [`Self::note_repeatable`].
         self.all_repeatable = false;
-        ReachedRequest::New
+        RequestOrigin::New
     }
 
     /// Whether the request in progress, which was not started ahead, is repeatable.
@@ -144,7 +144,7 @@
             && self.all_repeatable
             && self.others_may_follow
             && !self.closing
-            && self.ahead < MOST_AHEAD
+            && self.ahead < MAX_STARTED_AHEAD
     }
 
     /// The next request was taken ahead: it has been started where it is repeatable, and waits for its turn where it is not.
@@ -196,7 +196,7 @@
     }
 
     /// The library is given all bytes as they come from now on. Nothing that was started ahead counts any more.
-    pub fn give_up(&mut self) {
+    pub fn pass_through(&mut self) {
         self.stage = Stage::Transparent;
         self.ahead = 0;
     }
--- a/crates/seamhatch-core/tests/pipeline.rs
+++ b/crates/seamhatch-core/tests/pipeline.rs
@@ -1,12 +1,12 @@
 //! The order of the requests of a connection: what the library is given when, what is started ahead, and which answer may be the last.
 
-use seamhatch_core::pipeline::{MOST_AHEAD, Pipeline, ReachedRequest, RequestBody, Turn};
+use seamhatch_core::pipeline::{MAX_STARTED_AHEAD, Pipeline, RequestOrigin, RequestBody, NextInput};
 
 /// A connection whose library works on a repeatable request without a body.
 fn in_progress() -> Pipeline {
     let mut pipeline = Pipeline::default();
     pipeline.give_head(0);
-    assert_eq!(pipeline.reach(RequestBody::None, true), ReachedRequest::New);
+    assert_eq!(pipeline.begin_request(RequestBody::None, true), RequestOrigin::New);
     pipeline.note_repeatable(true);
     pipeline
 }
@@ -31,7 +31,7 @@
     for (name, body, others_may_follow, repeatable, may_start) in cases {
         let mut pipeline = Pipeline::default();
         pipeline.give_head(0);
-        assert_eq!(pipeline.reach(body, others_may_follow), ReachedRequest::New, "{name}");
+        assert_eq!(pipeline.begin_request(body, others_may_follow), RequestOrigin::New, "{name}");
         repeatable.into_iter().for_each(|repeatable| pipeline.note_repeatable(repeatable));
         assert_eq!(pipeline.may_start(), may_start, "{name}");
     }
@@ -48,12 +48,12 @@
     for _ in 0..2 {
         answer(&mut pipeline);
         pipeline.give_head(0);
-        assert_eq!(pipeline.reach(RequestBody::None, true), ReachedRequest::StartedAhead);
+        assert_eq!(pipeline.begin_request(RequestBody::None, true), RequestOrigin::StartedAhead);
         assert!(!pipeline.may_start(), "it has not been answered");
     }
     answer(&mut pipeline);
     pipeline.give_head(0);
-    assert_eq!(pipeline.reach(RequestBody::None, true), ReachedRequest::New);
+    assert_eq!(pipeline.begin_request(RequestBody::None, true), RequestOrigin::New);
     pipeline.note_repeatable(true);
     assert!(pipeline.may_start());
 }
@@ -61,14 +61,14 @@
 #[test]
 fn the_number_started_ahead_is_bounded() {
     let mut pipeline = in_progress();
-    for _ in 0..MOST_AHEAD {
+    for _ in 0..MAX_STARTED_AHEAD {
         assert!(pipeline.may_start());
         pipeline.start(true);
     }
     assert!(!pipeline.may_start());
     answer(&mut pipeline);
     pipeline.give_head(0);
-    assert_eq!(pipeline.reach(RequestBody::None, true), ReachedRequest::StartedAhead);
+    assert_eq!(pipeline.begin_request(RequestBody::None, true), RequestOrigin::StartedAhead);
     assert!(pipeline.may_start());
 }
 
@@ -76,13 +76,13 @@
 #[test]
 fn the_next_head_is_given_once_the_answer_is_written() {
     let mut pipeline = in_progress();
-    assert_eq!(pipeline.turn(), Turn::Wait);
+    assert_eq!(pipeline.next_input(), NextInput::Wait);
     assert!(!pipeline.flush(), "an earlier piece of the answer is written");
-    assert_eq!(pipeline.turn(), Turn::Wait);
+    assert_eq!(pipeline.next_input(), NextInput::Wait);
     pipeline.end_answer();
-    assert_eq!(pipeline.turn(), Turn::Wait, "the library holds a part of it");
+    assert_eq!(pipeline.next_input(), NextInput::Wait, "the library holds a part of it");
     assert!(pipeline.flush());
-    assert_eq!(pipeline.turn(), Turn::NextHead);
+    assert_eq!(pipeline.next_input(), NextInput::NextHead);
 }
 
 /// A body whose bytes are taken for the next head, or the reverse, would hide a request in another one.
@@ -90,14 +90,14 @@
 fn a_body_is_given_before_the_next_head() {
     let mut pipeline = Pipeline::default();
     pipeline.give_head(4);
-    assert_eq!(pipeline.reach(RequestBody::Bytes(10), true), ReachedRequest::New);
-    assert_eq!(pipeline.turn(), Turn::Body(6));
+    assert_eq!(pipeline.begin_request(RequestBody::Bytes(10), true), RequestOrigin::New);
+    assert_eq!(pipeline.next_input(), NextInput::Body(6));
     pipeline.give_body(5);
     pipeline.end_answer();
     assert!(!pipeline.flush(), "answered before its body was read");
-    assert_eq!(pipeline.turn(), Turn::Body(1));
+    assert_eq!(pipeline.next_input(), NextInput::Body(1));
     pipeline.give_body(1);
-    assert_eq!(pipeline.turn(), Turn::NextHead);
+    assert_eq!(pipeline.next_input(), NextInput::NextHead);
 }
 
 /// Where the library reads a request otherwise than the reader assumed, its word counts, and nothing more is assumed.
@@ -107,9 +107,9 @@
     unread.start(true);
     answer(&mut unread);
     unread.give_head(0);
-    assert_eq!(unread.turn(), Turn::RestOfHead);
-    unread.give_up();
-    assert_eq!((unread.turn(), unread.ahead()), (Turn::All, 0));
+    assert_eq!(unread.next_input(), NextInput::RestOfHead);
+    unread.pass_through();
+    assert_eq!((unread.next_input(), unread.ahead()), (NextInput::PassThrough, 0));
 
     let cases = [
         ("a body that the reader took for none", 0, RequestBody::Unknown),
@@ -121,14 +121,14 @@
         pipeline.start(true);
         answer(&mut pipeline);
         pipeline.give_head(body_bytes);
-        assert_eq!(pipeline.reach(body, true), ReachedRequest::New, "{name}");
-        assert_eq!((pipeline.turn(), pipeline.ahead()), (Turn::All, 0), "{name}");
+        assert_eq!(pipeline.begin_request(body, true), RequestOrigin::New, "{name}");
+        assert_eq!((pipeline.next_input(), pipeline.ahead()), (NextInput::PassThrough, 0), "{name}");
         assert!(!pipeline.may_start(), "{name}");
     }
 
     let mut second_from_its_buffer = in_progress();
-    assert_eq!(second_from_its_buffer.reach(RequestBody::None, true), ReachedRequest::New);
-    assert_eq!(second_from_its_buffer.turn(), Turn::All);
+    assert_eq!(second_from_its_buffer.begin_request(RequestBody::None, true), RequestOrigin::New);
+    assert_eq!(second_from_its_buffer.next_input(), NextInput::PassThrough);
 }
 
 /// The closing answer comes after the answers to all requests that were started.
@@ -141,7 +141,7 @@
     assert!(!pipeline.may_start());
     answer(&mut pipeline);
     pipeline.give_head(0);
-    assert_eq!(pipeline.reach(RequestBody::None, true), ReachedRequest::StartedAhead);
+    assert_eq!(pipeline.begin_request(RequestBody::None, true), RequestOrigin::StartedAhead);
     assert!(pipeline.try_close_after_this());
     let mut last = in_progress();
     assert!(last.try_close_after_this());
--- a/crates/seamhatch-model/src/stops.rs
+++ b/crates/seamhatch-model/src/stops.rs
@@ -7,7 +7,7 @@
 
 use crate::search::{Model, SearchResult, Step, action, search};
 use seamhatch_core::intake::{IntakeGate, IntakePhase};
-use seamhatch_core::pipeline::{Pipeline, RequestBody, Turn};
+use seamhatch_core::pipeline::{Pipeline, RequestBody, NextInput};
 
 /// A rule that is left out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -235,7 +235,7 @@
         let is_next = place == connection.reached;
         let is_in_progress = is_next && connection.in_progress;
         let is_repeatable = self.is_repeatable(&request);
-        if is_next && !connection.in_progress && connection.pipeline.turn() == Turn::NextHead {
+        if is_next && !connection.in_progress && connection.pipeline.next_input() == NextInput::NextHead {
             let reaches = action("is read by the library", number, 0);
             match request.stage {
                 Stage::NotSent => {}
@@ -380,7 +380,7 @@
     fn reach(&mut self) {
         self.pipeline.give_head(0);
         // What was done for the request is in its stage.
-        let _ = self.pipeline.reach(RequestBody::None, true);
+        let _ = self.pipeline.begin_request(RequestBody::None, true);
         self.in_progress = true;
     }
 }
--- a/crates/seamhatchd/src/listeners/connection.rs
+++ b/crates/seamhatchd/src/listeners/connection.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use http::request::Parts;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
-use seamhatch_core::pipeline::{Pipeline, ReachedRequest, RequestBody, Turn};
+use seamhatch_core::pipeline::{Pipeline, RequestOrigin, RequestBody, NextInput};
 use std::collections::VecDeque;
 use std::pin::Pin;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -64,8 +64,8 @@
         let mut cancelled = VecDeque::new();
         let mut state = self.lock();
         state.in_progress = true;
-        let reached = state.pipeline.reach(body_of(parts, body), goes_on);
-        if reached == ReachedRequest::StartedAhead
+        let reached = state.pipeline.begin_request(body_of(parts, body), goes_on);
+        if reached == RequestOrigin::StartedAhead
             && let Some(ahead) = state.ahead.pop_front()
         {
             if ahead.line.0 == parts.method && ahead.line.1 == parts.uri {
@@ -75,7 +75,7 @@
             cancelled.push_back(ahead);
         }
         if !state.ahead.is_empty() {
-            state.pipeline.give_up();
+            state.pipeline.pass_through();
             cancelled.append(&mut state.ahead);
         }
         self.note_none_ahead(&state);
@@ -132,10 +132,10 @@
     }
 
     /// What the library, which asks, may be given next.
-    pub(super) fn turn(&self) -> Turn {
+    pub(super) fn turn(&self) -> NextInput {
         let mut state = self.lock();
-        let turn = state.pipeline.turn();
-        if turn == Turn::NextHead && std::mem::take(&mut state.head_due) {
+        let turn = state.pipeline.next_input();
+        if turn == NextInput::NextHead && std::mem::take(&mut state.head_due) {
             self.note_none_ahead(&state);
         }
         turn
@@ -152,7 +152,7 @@
     /// The library gets all bytes as they come. What was started ahead is cancelled: the library will read it.
     pub(super) fn give_up(&self) {
         let mut state = self.lock();
-        state.pipeline.give_up();
+        state.pipeline.pass_through();
         let cancelled = std::mem::take(&mut state.ahead);
         state.head_due = false;
         self.note_none_ahead(&state);
--- a/crates/seamhatchd/src/listeners/read_ahead.rs
+++ b/crates/seamhatchd/src/listeners/read_ahead.rs
@@ -9,7 +9,7 @@
 use super::proxy::RequestHandler;
 use bytes::{Buf, BytesMut};
 use futures_util::FutureExt;
-use seamhatch_core::pipeline::Turn;
+use seamhatch_core::pipeline::NextInput;
 use std::future::Future;
 use std::io;
 use std::pin::Pin;
@@ -229,14 +229,14 @@
         let this = self.get_mut();
         loop {
             match this.connection.turn() {
-                Turn::NextHead => return this.poll_head(context, buffer),
-                Turn::RestOfHead if this.head_left > 0 => {
+                NextInput::NextHead => return this.poll_head(context, buffer),
+                NextInput::RestOfHead if this.head_left > 0 => {
                     this.head_left -= this.give(buffer, this.head_left);
                     return Poll::Ready(Ok(()));
                 }
                 // The library wants more where the reader found a whole head.
-                Turn::RestOfHead => this.connection.give_up(),
-                Turn::Body(left) => {
+                NextInput::RestOfHead => this.connection.give_up(),
+                NextInput::Body(left) => {
                     let left = usize::try_from(left).unwrap_or(usize::MAX);
                     let count = if this.ahead.is_empty() {
                         ready!(this.poll_direct(context, buffer, left))?
@@ -246,11 +246,11 @@
                     this.connection.give_body(count as u64);
                     return Poll::Ready(Ok(()));
                 }
-                Turn::Wait => return this.poll_ahead(context, buffer),
-                Turn::All if this.ahead.is_empty() => {
+                NextInput::Wait => return this.poll_ahead(context, buffer),
+                NextInput::PassThrough if this.ahead.is_empty() => {
                     return this.poll_direct(context, buffer, usize::MAX).map_ok(|_| ());
                 }
-                Turn::All => {
+                NextInput::PassThrough => {
                     this.give(buffer, usize::MAX);
                     return Poll::Ready(Ok(()));
                 }
