--- a/crates/seamhatch-core/src/roster.rs
+++ b/crates/seamhatch-core/src/roster.rs
@@ -226,7 +226,9 @@
     #[must_use]
     pub fn elapsed(&self, shard: usize, now: Instant) -> BTreeSet<Epoch> {
         let own = self.known_since.range((shard, Epoch(0))..=(shard, Epoch(u64::MAX)));
-        own.filter(|(_, since)| now.since(**since) > SHARD_RESTART_WAIT).map(|((_, epoch), _)| *epoch).collect()
+        own.filter(|(_, since)| now.since(**since) > SHARD_RESTART_WAIT)
+            .map(|((_, epoch), _)| *epoch)
+            .collect()
     }
 
     /// Forgets the waits of `shard` for epochs that are not listed any more.
--- a/crates/seamhatch-core/tests/decisions.rs
+++ b/crates/seamhatch-core/tests/decisions.rs
@@ -398,5 +398,8 @@
     assert!(waits.note(7, Epoch(9), over));
     assert!(!waits.elapsed(7, over.plus(SHARD_RESTART_WAIT)).contains(&Epoch(9)));
     waits.retain(7, &[]);
-    assert!(waits.elapsed(7, over.plus(2 * SHARD_RESTART_WAIT)).is_empty(), "confirmed: nothing is waited for");
+    assert!(
+        waits.elapsed(7, over.plus(2 * SHARD_RESTART_WAIT)).is_empty(),
+        "confirmed: nothing is waited for"
+    );
 }
--- a/crates/seamhatch-core/tests/pipeline.rs
+++ b/crates/seamhatch-core/tests/pipeline.rs
@@ -1,6 +1,6 @@
 //! The order of the requests of a connection: what the library is given when, what is started ahead, and which answer may be the last.
 
-use seamhatch_core::pipeline::{MAX_STARTED_AHEAD, Pipeline, RequestOrigin, RequestBody, NextInput};
+use seamhatch_core::pipeline::{MAX_STARTED_AHEAD, NextInput, Pipeline, RequestBody, RequestOrigin};
 
 /// A connection whose library works on a repeatable request without a body.
 fn in_progress() -> Pipeline {
--- a/crates/seamhatch-model/src/stops.rs
+++ b/crates/seamhatch-model/src/stops.rs
@@ -7,7 +7,7 @@
 
 use crate::search::{Model, SearchResult, Step, action, search};
 use seamhatch_core::intake::{IntakeGate, IntakePhase};
-use seamhatch_core::pipeline::{Pipeline, RequestBody, NextInput};
+use seamhatch_core::pipeline::{NextInput, Pipeline, RequestBody};
 
 /// A rule that is left out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/seamhatchd/src/controllers/publish.rs
+++ b/crates/seamhatchd/src/controllers/publish.rs
@@ -21,7 +21,9 @@
     roster: Arc<Roster>,
 ) -> Snapshot {
     let mut servers: HashMap<String, Vec<Server>> = HashMap::new();
-    for record in members.filter(|record| record.takes_fallback_work() && !stopped.contains(&record.info.peer)) {
+    for record in
+        members.filter(|record| record.takes_fallback_work() && !stopped.contains(&record.info.peer))
+    {
         servers.entry(record.info.service.clone()).or_default().push(Server {
             peer: record.info.peer,
             zone: record.info.zone.clone(),
--- a/crates/seamhatchd/src/controllers/roster.rs
+++ b/crates/seamhatchd/src/controllers/roster.rs
@@ -9,8 +9,8 @@
 use seamhatch_core::identity::Address;
 use seamhatch_core::membership::{Lifecycle, Liveness, MemberRecord};
 use seamhatch_core::roster::{
-    ClaimLossWaits, Roster, SealProgress, ShardRoster, WitnessCandidate, WitnessDuty, WitnessHealth, WitnessId,
-    first_roster, plan_change, seal_progress,
+    ClaimLossWaits, Roster, SealProgress, ShardRoster, WitnessCandidate, WitnessDuty, WitnessHealth,
+    WitnessId, first_roster, plan_change, seal_progress,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
--- a/crates/seamhatchd/src/listeners/connection.rs
+++ b/crates/seamhatchd/src/listeners/connection.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use http::request::Parts;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
-use seamhatch_core::pipeline::{Pipeline, RequestOrigin, RequestBody, NextInput};
+use seamhatch_core::pipeline::{NextInput, Pipeline, RequestBody, RequestOrigin};
 use std::collections::VecDeque;
 use std::pin::Pin;
 use std::sync::atomic::{AtomicBool, Ordering};
