--- a/crates/seamhatchd/src/filters/mod.rs
+++ b/crates/seamhatchd/src/filters/mod.rs
@@ -18,7 +18,7 @@
 mod routing;
 
 pub use entry_floor::check_entry_floor;
-pub use readiness::about_to_end;
+pub use readiness::stopping_rejection;
 pub use rejection::Rejection;
 pub use request::{ClaimText, Entry, RequestState};
 
--- a/crates/seamhatchd/src/filters/readiness.rs
+++ b/crates/seamhatchd/src/filters/readiness.rs
@@ -40,12 +40,12 @@
             return Ok(());
         }
         shared.intake.note_refused();
-        Err(about_to_end(request))
+        Err(stopping_rejection(request))
     }
 }
 
 /// What the caller is told of a request that a daemon about to end doesn't take.
-pub fn about_to_end(request: &RequestState) -> Rejection {
+pub fn stopping_rejection(request: &RequestState) -> Rejection {
     let detail = "this daemon is about to end; use another one, or come back after Retry-After";
     leaving(request, Reason::Draining, detail).retry_after(RESTART_RETURN)
 }
--- a/crates/seamhatchd/src/listeners/proxy.rs
+++ b/crates/seamhatchd/src/listeners/proxy.rs
@@ -95,7 +95,7 @@
         let taken = self.shared.intake.take(RequestEntry::Listener);
         let (parts, body) = request.into_parts();
         let mut request = self.request_state(&parts);
-        let Ok(taken) = taken else { return self.reject(&request, &filters::about_to_end(&request)) };
+        let Ok(taken) = taken else { return self.reject(&request, &filters::stopping_rejection(&request)) };
         connection.hold(taken.clone());
         request.progress = taken.progress().clone();
         request.progress.set_name(request.log_name());
@@ -228,7 +228,7 @@
 fn cut_off(request: &RequestState) -> Rejection {
     // One with a key goes on in a task of its own and may still be sent.
     if request.progress.stage() == RequestStage::Waiting && request.claim_text.is_none() {
-        return filters::about_to_end(request);
+        return filters::stopping_rejection(request);
     }
     let detail = "this daemon has ended before the answer came; its result is not known";
     Rejection::unknown(Reason::PeerLost, detail)
