--- a/crates/seamhatchd/src/controllers/control_thread/followed.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/followed.rs
@@ -11,7 +11,7 @@
 use crate::controllers::follow::{
     ProofKeeper, ShardKeeper, ShardOwner, discover, follow_configuration, keep_fresh, keep_quota_shards,
 };
-use crate::limits::freshness::AskingPlace;
+use crate::limits::freshness::ProofRelayPosition;
 use crate::ports::{Backing, FollowedStore};
 use log::info;
 use seamhatch_core::Instant;
@@ -133,7 +133,7 @@
         before.sort_unstable_by_key(|(weight, _)| Reverse(*weight));
         let rank = before.len();
         let upstream = rank.checked_sub(1).map(|above| before[above / PROOF_FANOUT].1);
-        self.shared.limits.freshness.set_place(AskingPlace { rank, upstream });
+        self.shared.limits.freshness.set_relay_position(ProofRelayPosition { rank, upstream });
     }
 
     /// Records a generation that a peer reported. The store is expected to return it too.
--- a/crates/seamhatchd/src/controllers/follow/freshness.rs
+++ b/crates/seamhatchd/src/controllers/follow/freshness.rs
@@ -79,7 +79,7 @@
             Err(error) => {
                 keeper.metrics.store_failures.inc();
                 debug!(error = error.to_string().as_str(); "the store does not tell whether the configuration is the newest");
-                if freshness.place().rank < EAGER_PLACES {
+                if freshness.relay_position().rank < EAGER_PLACES {
                     backoff.eager_pause().await;
                 } else {
                     backoff.pause().await;
@@ -91,7 +91,7 @@
 
 /// Whether neither a proof nor an attempt to get one is young enough. An attempt may bring none, as without a configuration.
 fn is_due(freshness: &Freshness, asked: Instant, now: Instant) -> bool {
-    let asks_after = ASKS_AFTER[freshness.place().rank.min(ASKS_AFTER.len() - 1)];
+    let asks_after = ASKS_AFTER[freshness.relay_position().rank.min(ASKS_AFTER.len() - 1)];
     now.since(asked) >= asks_after && is_older(freshness, asks_after, now)
 }
 
@@ -102,7 +102,7 @@
 impl ProofKeeper {
     /// Opens a connection to the member above this one unless there is one: the first heartbeat on it brings that one's proof.
     fn connect_upstream(&self) {
-        let Some(upstream) = self.limits.freshness.place().upstream else { return };
+        let Some(upstream) = self.limits.freshness.relay_position().upstream else { return };
         let pool = self.pool.clone();
         // Where it fails, this daemon asks the store itself.
         tokio::spawn(async move { drop(pool.get(upstream).await) });
--- a/crates/seamhatchd/src/limits/freshness.rs
+++ b/crates/seamhatchd/src/limits/freshness.rs
@@ -19,12 +19,12 @@
     /// How old a proof may be for requests to run by a tenant's key; none for any age.
     bound: Option<Microseconds>,
     tracker: Mutex<FreshnessTracker>,
-    place: Mutex<AskingPlace>,
+    relay_position: Mutex<ProofRelayPosition>,
 }
 
 /// Where a daemon gets its proofs from, by the order of all live members.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct AskingPlace {
+pub struct ProofRelayPosition {
     /// Live members that ask the store before this one does.
     pub rank: usize,
     /// Peer address of the member whose heartbeats are to bring proofs; none for the first.
@@ -36,7 +36,7 @@
     #[must_use]
     pub fn new(bound: Option<Duration>) -> Self {
         let bound = bound.map(|bound| bound.as_micros() as Microseconds);
-        Self { bound, tracker: Mutex::default(), place: Mutex::default() }
+        Self { bound, tracker: Mutex::default(), relay_position: Mutex::default() }
     }
 
     /// Records the configuration in force.
@@ -69,14 +69,14 @@
     }
 
     /// Sets this daemon's place in the order of all live members.
-    pub fn set_place(&self, place: AskingPlace) {
-        *lock(&self.place) = place;
+    pub fn set_relay_position(&self, position: ProofRelayPosition) {
+        *lock(&self.relay_position) = position;
     }
 
     /// This daemon's place in the order of all live members.
     #[must_use]
-    pub fn place(&self) -> AskingPlace {
-        *lock(&self.place)
+    pub fn relay_position(&self) -> ProofRelayPosition {
+        *lock(&self.relay_position)
     }
 
     fn lock(&self) -> MutexGuard<'_, FreshnessTracker> {
