--- a/crates/seamhatchd/src/controllers/control_thread/suspects.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/suspects.rs
@@ -2,7 +2,7 @@
 //!
 //! News goes at once to the live members that need it, in datagrams, and a second time a little later, as some are lost. What is missed
 //! all the same arrives with the exchanges of member lists, and a starting daemon asks for one before it serves. The evidence
-//! itself is owned by [`crate::server::crashes::SuspectBook`]; this file owns only what is due
+//! itself is owned by [`crate::server::crashes::SuspectRegistry`]; this file owns only what is due
 //! a second time, and the way to the task that keeps evidence in the store.
 
 use super::ControlThread;
--- a/crates/seamhatchd/src/controllers/follow/evidence.rs
+++ b/crates/seamhatchd/src/controllers/follow/evidence.rs
@@ -3,13 +3,13 @@
 //! The daemon beside a crashed server notes the evidence against what ran there in its own record, as far as the request ran in
 //! several crashes: dozens run in one by accident. It looks again from time to time whether the store still has that, as an outage
 //! may outlast any number of attempts and a store may come back from a copy, and whether the request has been cleared since.
-//! [`SuspectBook`] owns the evidence; this task owns only which requests it has noted.
+//! [`SuspectRegistry`] owns the evidence; this task owns only which requests it has noted.
 
 use super::store_calls::{Backoff, STORE_TIMEOUT};
 use crate::base::clock::unix_milliseconds;
 use crate::base::metrics::Metrics;
 use crate::ports::FollowedStore;
-use crate::server::crashes::SuspectBook;
+use crate::server::crashes::SuspectRegistry;
 use crate::store::{DaemonRecord, Revision, StoreError, Write, WriteOutcome};
 use log::{debug, info};
 use seamhatch_core::crashes::{CondemnedRecord, SuspectReport};
@@ -39,7 +39,7 @@
 pub struct EvidenceKeeper {
     followed: FollowedStore,
     gossip: Address,
-    suspects: Arc<SuspectBook>,
+    suspects: Arc<SuspectRegistry>,
     metrics: Arc<Metrics>,
     news: mpsc::UnboundedReceiver<EvidenceNews>,
     /// Requests of crashes here that may turn out to have run in others too.
@@ -65,7 +65,7 @@
     pub fn new(
         followed: FollowedStore,
         gossip: Address,
-        suspects: Arc<SuspectBook>,
+        suspects: Arc<SuspectRegistry>,
         metrics: Arc<Metrics>,
         news: mpsc::UnboundedReceiver<EvidenceNews>,
     ) -> Self {
--- a/crates/seamhatchd/src/server/crashes/mod.rs
+++ b/crates/seamhatchd/src/server/crashes/mod.rs
@@ -12,7 +12,7 @@
 
 pub use at_work::{CallAtWork, CrashWatch};
 pub use report::{CrashReport, SuspectStatus, crash_report};
-pub use suspects::SuspectBook;
+pub use suspects::SuspectRegistry;
 pub use trial_runs::{TrialRun, TrialRuns};
 
 use crate::base::clock;
@@ -31,7 +31,7 @@
     /// The back end.
     pub server: &'a ServerSide,
     /// Requests that ran when servers crashed, here and elsewhere.
-    pub suspects: &'a SuspectBook,
+    pub suspects: &'a SuspectRegistry,
     /// Counts the crash.
     pub metrics: &'a Metrics,
     /// Spreads the suspects.
@@ -132,7 +132,7 @@
 /// # Errors
 /// [`Reason::CrashesServers`]: it may not run at all.
 pub async fn until_admitted(
-    suspects: &SuspectBook,
+    suspects: &SuspectRegistry,
     request: RequestDigest,
 ) -> Result<Option<TrialRun>, Reason> {
     let mut standing = suspects.standing(request);
--- a/crates/seamhatchd/src/server/crashes/report.rs
+++ b/crates/seamhatchd/src/server/crashes/report.rs
@@ -1,6 +1,6 @@
 //! What operators see of requests that ran when servers crashed.
 
-use crate::server::crashes::SuspectBook;
+use crate::server::crashes::SuspectRegistry;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::MILLISECOND;
 use seamhatch_core::crashes::SuspectStanding;
@@ -32,7 +32,7 @@
 
 /// What this daemon knows; `crashes_here` are those of the back end beside it.
 #[must_use]
-pub fn crash_report(suspects: &SuspectBook, crashes_here: u64) -> CrashReport {
+pub fn crash_report(suspects: &SuspectRegistry, crashes_here: u64) -> CrashReport {
     let status = |(digest, standing): (RequestDigest, SuspectStanding)| {
         let condemned_until = match standing {
             SuspectStanding::Condemned { until, .. } => Some(until),
--- a/crates/seamhatchd/src/server/crashes/suspects.rs
+++ b/crates/seamhatchd/src/server/crashes/suspects.rs
@@ -21,7 +21,7 @@
 
 /// The ledger of suspects, and their trial runs at the back end beside this daemon.
 #[derive(Debug)]
-pub struct SuspectBook {
+pub struct SuspectRegistry {
     ledger: Mutex<CrashLedger>,
     /// Records in the ledger, so that a call pays one load while there are none.
     known: AtomicUsize,
@@ -31,13 +31,13 @@
     pub trial_runs: TrialRuns,
 }
 
-impl Default for SuspectBook {
+impl Default for SuspectRegistry {
     fn default() -> Self {
         Self::new(CrashPolicy::default())
     }
 }
 
-impl SuspectBook {
+impl SuspectRegistry {
     /// Nothing known yet.
     #[must_use]
     pub fn new(policy: CrashPolicy) -> Self {
--- a/crates/seamhatchd/src/shared.rs
+++ b/crates/seamhatchd/src/shared.rs
@@ -17,7 +17,7 @@
 use crate::limits::quota::QuotaContext;
 use crate::peer::{Farewells, PeerPool, UnwrittenMessages};
 use crate::server::ServerSide;
-use crate::server::crashes::{CrashContext, SuspectBook};
+use crate::server::crashes::{CrashContext, SuspectRegistry};
 use crate::settings::Settings;
 use crate::snapshot::Snapshot;
 use arc_swap::{ArcSwap, Guard};
@@ -42,7 +42,7 @@
     /// The back end beside this daemon.
     pub server: Arc<ServerSide>,
     /// Evidence about requests that were at work when servers crashed, here and elsewhere.
-    pub suspects: Arc<SuspectBook>,
+    pub suspects: Arc<SuspectRegistry>,
     /// How HTTP carries names, deadlines and outcomes.
     pub conventions: Arc<dyn HttpConventions>,
     /// Messages to other daemons that are not written yet.
--- a/crates/seamhatchd/tests/suspects.rs
+++ b/crates/seamhatchd/tests/suspects.rs
@@ -6,7 +6,7 @@
 use seamhatch_core::priority::{Priority, PriorityClass};
 use seamhatch_core::retry::RetryLedger;
 use seamhatch_policy::CrashSettings;
-use seamhatchd::server::crashes::{CrashWatch, SuspectBook};
+use seamhatchd::server::crashes::{CrashWatch, SuspectRegistry};
 use seamhatchd::server::running::{RunningCall, RunningCalls};
 use std::hint::black_box;
 use std::sync::Arc;
@@ -18,8 +18,8 @@
     Suspect { request: REQUEST, mode: if isolated { RunMode::Isolated } else { RunMode::Usual } }
 }
 
-fn book_after(crashes: u64) -> SuspectBook {
-    let book = SuspectBook::default();
+fn book_after(crashes: u64) -> SuspectRegistry {
+    let book = SuspectRegistry::default();
     for life in 1..=crashes {
         book.report_crash(InstanceDigest(life), &[suspect(life > 2)]);
     }
@@ -80,7 +80,7 @@
 #[tokio::test]
 async fn suspects_wait_for_copies_and_those_of_several_crashes_for_each_other() {
     for case in TRIALS {
-        let book = Arc::new(SuspectBook::default());
+        let book = Arc::new(SuspectRegistry::default());
         let first = book.trial_runs.begin(RequestDigest(case.first.0), case.first.1).await;
         let waiting = {
             let book = book.clone();
@@ -98,7 +98,7 @@
 /// What becomes of a trial run that was begun.
 struct BegunCase {
     name: &'static str,
-    then: fn(&SuspectBook, RunMode),
+    then: fn(&SuspectRegistry, RunMode),
     crashes: u32,
 }
 
@@ -154,7 +154,7 @@
 
 #[test]
 fn a_call_pays_less_than_its_entry_in_the_table_of_running_calls_while_nothing_is_suspected() {
-    let book = SuspectBook::default();
+    let book = SuspectRegistry::default();
     let watch = CrashWatch::new(Incarnation(1));
     let paid = fastest(|number| {
         let number = number.to_le_bytes();
