--- a/crates/seamhatchd/src/server/crashes/mod.rs
+++ b/crates/seamhatchd/src/server/crashes/mod.rs
@@ -5,12 +5,12 @@
 //! follows; here the back end is looked for, suspects wait for their trial runs, and crashes are reported to the control
 //! thread, which spreads them.
 
-mod at_work;
+mod tracker;
 mod report;
 mod suspects;
 mod trial_runs;
 
-pub use at_work::{CallAtWork, CrashWatch};
+pub use tracker::{TrackedCall, CrashTracker};
 pub use report::{CrashReport, SuspectStatus, crash_report};
 pub use suspects::SuspectRegistry;
 pub use trial_runs::{TrialRun, TrialRuns};
@@ -41,7 +41,7 @@
 impl CrashContext<'_> {
     /// Whether the back end has crashed: under a call to `instance`, with its answer's last byte, or before the call could be
     /// sent. The first call that finds out reports it for all that ran.
-    pub async fn has_crashed(&self, work: &CallAtWork, instance: Option<&InstanceId>) -> bool {
+    pub async fn has_crashed(&self, work: &TrackedCall, instance: Option<&InstanceId>) -> bool {
         let watch = &self.server.crashes;
         if watch.has_ended(work) {
             return true;
--- a/crates/seamhatchd/src/server/crashes/at_work.rs
+++ b/crates/seamhatchd/src/server/crashes/tracker.rs
@@ -1,7 +1,7 @@
 //! The calls that run on the back end beside this daemon, shared by the calls themselves.
 //!
 //! Locks the table of [`seamhatch_core::crashes::WorkTable`], which decides who becomes a suspect; a call leaves it when its
-//! [`CallAtWork`] is dropped.
+//! [`TrackedCall`] is dropped.
 
 use crate::base::clock;
 use crate::base::lock::lock;
@@ -13,7 +13,7 @@
 
 /// What runs on the back end, and which of its instances have ended in a crash.
 #[derive(Debug)]
-pub struct CrashWatch {
+pub struct CrashTracker {
     incarnation: Incarnation,
     calls: Arc<Mutex<WorkTable>>,
     /// When the last look that found the back end alive began; held by the call that looks.
@@ -22,7 +22,7 @@
 
 /// A call that runs until this is dropped.
 #[derive(Debug)]
-pub struct CallAtWork {
+pub struct TrackedCall {
     /// The instance that runs it.
     pub instance: InstanceDigest,
     /// The back end's instances have no names.
@@ -31,20 +31,20 @@
     number: WorkNumber,
 }
 
-impl CallAtWork {
+impl TrackedCall {
     /// Records how the run has ended. One that is dropped without this has broken off.
     pub fn finish(&self, end: RunEnd) {
         lock(&self.calls).finish(self.number, end, clock::now());
     }
 }
 
-impl Drop for CallAtWork {
+impl Drop for TrackedCall {
     fn drop(&mut self) {
         self.finish(RunEnd::BrokenOff);
     }
 }
 
-impl CrashWatch {
+impl CrashTracker {
     /// Nothing runs yet.
     #[must_use]
     pub fn new(incarnation: Incarnation) -> Self {
@@ -53,19 +53,19 @@
 
     /// A call that is about to be sent to the back end.
     #[must_use]
-    pub fn begin(&self, instance: Option<&InstanceId>, request: RequestDigest, mode: RunMode) -> CallAtWork {
+    pub fn begin(&self, instance: Option<&InstanceId>, request: RequestDigest, mode: RunMode) -> TrackedCall {
         let is_unnamed = instance.is_none();
         let (number, instance) = lock(&self.calls).begin(self.incarnation, instance, request, mode);
-        CallAtWork { instance, is_unnamed, calls: self.calls.clone(), number }
+        TrackedCall { instance, is_unnamed, calls: self.calls.clone(), number }
     }
 
     /// Whether the instance that runs the call is known to have ended in a crash.
-    pub(super) fn has_ended(&self, work: &CallAtWork) -> bool {
+    pub(super) fn has_ended(&self, work: &TrackedCall) -> bool {
         lock(&self.calls).has_ended(work.instance)
     }
 
     /// Records that the instance that runs the call has ended in a crash. Returns what ran on it.
-    pub(super) fn end_instance(&self, work: &CallAtWork) -> CrashedWork {
+    pub(super) fn end_instance(&self, work: &TrackedCall) -> CrashedWork {
         lock(&self.calls).end(work.instance, work.is_unnamed, clock::now())
     }
 
--- a/crates/seamhatchd/src/server/mod.rs
+++ b/crates/seamhatchd/src/server/mod.rs
@@ -11,7 +11,7 @@
 pub mod running;
 
 use backend::Backend;
-use crashes::CrashWatch;
+use crashes::CrashTracker;
 use gate::AdmissionGate;
 use instances::Instances;
 use notices::BackEndNotices;
@@ -32,5 +32,5 @@
     /// Which instance of it takes work.
     pub instances: Instances,
     /// Its crashes, and the calls that were at work then.
-    pub crashes: CrashWatch,
+    pub crashes: CrashTracker,
 }
--- a/crates/seamhatchd/src/startup.rs
+++ b/crates/seamhatchd/src/startup.rs
@@ -25,7 +25,7 @@
 use crate::reload;
 use crate::server::ServerSide;
 use crate::server::backend::Backend;
-use crate::server::crashes::CrashWatch;
+use crate::server::crashes::CrashTracker;
 use crate::server::gate::AdmissionGate;
 use crate::server::instances::Instances;
 use crate::server::notices::BackEndNotices;
@@ -210,7 +210,7 @@
         running: RunningCalls::new(incarnation),
         backend: Backend::new(settings.backend, conventions.clone(), metrics.clone()),
         instances: if registers { Instances::registered() } else { Instances::fixed() },
-        crashes: CrashWatch::new(incarnation),
+        crashes: CrashTracker::new(incarnation),
     }
 }
 
--- a/crates/seamhatchd/tests/suspects.rs
+++ b/crates/seamhatchd/tests/suspects.rs
@@ -6,7 +6,7 @@
 use seamhatch_core::priority::{Priority, PriorityClass};
 use seamhatch_core::retry::RetryLedger;
 use seamhatch_policy::CrashSettings;
-use seamhatchd::server::crashes::{CrashWatch, SuspectRegistry};
+use seamhatchd::server::crashes::{CrashTracker, SuspectRegistry};
 use seamhatchd::server::running::{RunningCall, RunningCalls};
 use std::hint::black_box;
 use std::sync::Arc;
@@ -155,7 +155,7 @@
 #[test]
 fn a_call_pays_less_than_its_entry_in_the_table_of_running_calls_while_nothing_is_suspected() {
     let book = SuspectRegistry::default();
-    let watch = CrashWatch::new(Incarnation(1));
+    let watch = CrashTracker::new(Incarnation(1));
     let paid = fastest(|number| {
         let number = number.to_le_bytes();
         let parts: [&[u8]; 6] = [b"cluster", b"host.example", b"GET", b"/a/path/", &number, &[7; 8]];
