--- a/crates/seamhatchd/src/peer_server/incoming_calls.rs
+++ b/crates/seamhatchd/src/peer_server/incoming_calls.rs
@@ -7,7 +7,7 @@
 
 use crate::base::lock::lock;
 use crate::peer::CreditWindow;
-use crate::server::backend::{BodyPiece, BrokenOff};
+use crate::server::backend::{BodyPiece, BodyAborted};
 use bytes::Bytes;
 use seamhatch_core::body_credit::OwedCredit;
 use seamhatch_core::identity::CallId;
@@ -94,7 +94,7 @@
         if let Some(body) = self.body.take() {
             // So that the back end doesn't take the part it has for the whole. Fails where nothing reads the body
             // any more.
-            let _ = body.send(Err(BrokenOff));
+            let _ = body.send(Err(BodyAborted));
         }
         self.cancelled.notify_one();
     }
--- a/crates/seamhatchd/src/server/backend/body.rs
+++ b/crates/seamhatchd/src/server/backend/body.rs
@@ -13,10 +13,10 @@
 /// The caller broke off the request body, or its call was cancelled.
 #[derive(Debug, Error)]
 #[error("the caller broke off the request body")]
-pub struct BrokenOff;
+pub struct BodyAborted;
 
 /// A piece of a request body on its way to the back end.
-pub type BodyPiece = Result<Bytes, BrokenOff>;
+pub type BodyPiece = Result<Bytes, BodyAborted>;
 
 /// A request body fed through a channel; ends when the channel closes.
 #[derive(Debug)]
@@ -26,7 +26,7 @@
 }
 
 impl futures_util::Stream for ChannelStream {
-    type Item = Result<Frame<Bytes>, BrokenOff>;
+    type Item = Result<Frame<Bytes>, BodyAborted>;
 
     fn poll_next(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         let polled = self.pieces.poll_recv(context);
