--- a/crates/seamhatchd/src/server/crashes/mod.rs
+++ b/crates/seamhatchd/src/server/crashes/mod.rs
@@ -18,7 +18,7 @@
 use crate::base::clock;
 use crate::base::metrics::Metrics;
 use crate::control::ControlHandle;
-use crate::server::ServerSide;
+use crate::server::LocalServer;
 use log::warn;
 use seamhatch_core::crashes::{CrashedWork, InstanceDigest, LostRun, SuspectStanding};
 use seamhatch_core::identity::{Address, Incarnation, RequestDigest};
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct CrashContext<'a> {
     /// The back end.
-    pub server: &'a ServerSide,
+    pub server: &'a LocalServer,
     /// Requests that ran when servers crashed, here and elsewhere.
     pub suspects: &'a SuspectRegistry,
     /// Counts the crash.
--- a/crates/seamhatchd/src/server/mod.rs
+++ b/crates/seamhatchd/src/server/mod.rs
@@ -20,7 +20,7 @@
 
 /// The back end beside this daemon, as all threads share it.
 #[derive(Debug)]
-pub struct ServerSide {
+pub struct LocalServer {
     /// Its slots, and the calls that wait for one.
     pub gate: Arc<AdmissionGate>,
     /// What it says of itself in its answers.
--- a/crates/seamhatchd/src/shared.rs
+++ b/crates/seamhatchd/src/shared.rs
@@ -16,7 +16,7 @@
 use crate::limits::entry_floors::EntryFloors;
 use crate::limits::quota::QuotaContext;
 use crate::peer::{Farewells, PeerPool, UnwrittenMessages};
-use crate::server::ServerSide;
+use crate::server::LocalServer;
 use crate::server::crashes::{CrashContext, SuspectRegistry};
 use crate::settings::Settings;
 use crate::snapshot::Snapshot;
@@ -40,7 +40,7 @@
     /// Counters and gauges.
     pub metrics: Arc<Metrics>,
     /// The back end beside this daemon.
-    pub server: Arc<ServerSide>,
+    pub server: Arc<LocalServer>,
     /// Evidence about requests that were at work when servers crashed, here and elsewhere.
     pub suspects: Arc<SuspectRegistry>,
     /// How HTTP carries names, deadlines and outcomes.
--- a/crates/seamhatchd/src/startup.rs
+++ b/crates/seamhatchd/src/startup.rs
@@ -23,7 +23,7 @@
 use crate::peer_server;
 use crate::ports::Ports;
 use crate::reload;
-use crate::server::ServerSide;
+use crate::server::LocalServer;
 use crate::server::backend::Backend;
 use crate::server::crashes::CrashTracker;
 use crate::server::gate::AdmissionGate;
@@ -201,10 +201,10 @@
     incarnation: Incarnation,
     metrics: &Arc<Metrics>,
     conventions: &Arc<dyn HttpConventions>,
-) -> ServerSide {
+) -> LocalServer {
     let registers = settings.listen.registry.is_some();
     let gate = AdmissionGate::new(AdmissionPolicy::for_slots(settings.slots), metrics.clone());
-    ServerSide {
+    LocalServer {
         notices: BackEndNotices::new(gate.clone(), metrics.clone()),
         gate,
         running: RunningCalls::new(incarnation),
