--- a/crates/seamhatchd/src/filters/classification.rs
+++ b/crates/seamhatchd/src/filters/classification.rs
@@ -70,7 +70,7 @@
         let call = match request.parent.take() {
             Some(parent) => {
                 request.class = parent.priority.class;
-                RunningCall::caused_by(parent, now.plus(deadline), ledger)
+                RunningCall::child_of(parent, now.plus(deadline), ledger)
             }
             None => {
                 request.class = decision.class;
--- a/crates/seamhatchd/src/server/running.rs
+++ b/crates/seamhatchd/src/server/running.rs
@@ -74,7 +74,7 @@
     /// A call that the running call `cause` makes, with its own deadline and retries. It has the priority of its cause and
     /// reports to it the admission floors that it meets.
     #[must_use]
-    pub fn caused_by(cause: Arc<RunningCall>, expiry: Instant, ledger: RetryLedger) -> Self {
+    pub fn child_of(cause: Arc<RunningCall>, expiry: Instant, ledger: RetryLedger) -> Self {
         let expiry = cause.expiry.min(expiry);
         let depth = cause.depth.max(1);
         let call = Self::new(cause.root, cause.priority, cause.root_admitted, expiry, depth, ledger);
--- a/crates/seamhatchd/tests/running.rs
+++ b/crates/seamhatchd/tests/running.rs
@@ -19,7 +19,7 @@
 #[test]
 fn a_floor_met_by_a_caused_call_is_told_to_its_cause() {
     let cause = call(1_000);
-    let caused = RunningCall::caused_by(cause.clone(), Instant(5_000), RetryLedger::new(0, false));
+    let caused = RunningCall::child_of(cause.clone(), Instant(5_000), RetryLedger::new(0, false));
     assert_eq!((caused.root, caused.priority, caused.depth), (cause.root, cause.priority, 3));
     assert_eq!(caused.expiry, cause.expiry);
     let told = ChainFloor::unless_open("stock", AdmissionFloor::at(40)).expect("is not open");
@@ -32,7 +32,7 @@
 #[test]
 fn what_a_caused_call_uses_is_told_to_its_cause() {
     let cause = call(1_000);
-    let caused = RunningCall::caused_by(cause.clone(), Instant(5_000), RetryLedger::new(0, false));
+    let caused = RunningCall::child_of(cause.clone(), Instant(5_000), RetryLedger::new(0, false));
     let usage = |calls, slot_ms| ServiceUsage { service: "stock".into(), calls, slot_ms };
     caused.add_usage(&[usage(1, 40)]);
     cause.add_usage(&[usage(2, 50)]);
