--- a/crates/seamhatchd/src/controllers/control_thread/instances.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/instances.rs
@@ -65,7 +65,7 @@
         match self.shared.server.instances.heartbeat(heartbeat, now, opened) {
             HeartbeatVerdict::Opened => {
                 info!(instance = instance.as_str(), sequence = sequence; "instance opened");
-                self.shared.server.backend.forget_connections();
+                self.shared.server.backend.close_idle_connections();
                 self.open_instance();
                 self.note_replaced(before);
             }
@@ -146,7 +146,7 @@
     fn left_unnamed(&mut self) {
         if self.shared.server.instances.set_leaving(false) {
             info!("the back end that was leaving has ended");
-            self.shared.server.backend.forget_connections();
+            self.shared.server.backend.close_idle_connections();
             self.work_changed();
         }
     }
@@ -168,7 +168,7 @@
             return;
         }
         warn!(instance = instance.name.as_str(), refutation:? = refutation; "another instance answered");
-        self.shared.server.backend.forget_connections();
+        self.shared.server.backend.close_idle_connections();
         if refutation == Refutation::Replaced {
             self.open_instance();
         } else {
@@ -180,7 +180,7 @@
     fn lost_instance(&mut self, instance: &InstanceId, why: &str) {
         if self.shared.server.instances.suspend(instance) {
             warn!(instance = instance.name.as_str(), why = why; "instance lost");
-            self.shared.server.backend.forget_connections();
+            self.shared.server.backend.close_idle_connections();
             self.work_changed();
         }
     }
--- a/crates/seamhatchd/src/server/backend/mod.rs
+++ b/crates/seamhatchd/src/server/backend/mod.rs
@@ -147,7 +147,7 @@
     }
 
     /// Closes all idle connections, as another instance may have the address.
-    pub fn forget_connections(&self) {
+    pub fn close_idle_connections(&self) {
         self.connections.forget();
     }
 
