--- a/crates/seamhatchd/src/controllers/control_thread/instances.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/instances.rs
@@ -136,7 +136,7 @@
         let shared = self.shared.clone();
         tokio::spawn(async move {
             let longest = clock::now().plus(LONGEST_LEAVING);
-            while clock::now() < longest && !shared.server.backend.is_gone().await {
+            while clock::now() < longest && !shared.server.backend.has_exited().await {
                 tokio::time::sleep(LEAVING_PAUSE).await;
             }
             shared.control.send(InstanceEvent::LeftUnnamed);
--- a/crates/seamhatchd/src/server/backend/mod.rs
+++ b/crates/seamhatchd/src/server/backend/mod.rs
@@ -126,7 +126,7 @@
 
     /// Whether nothing listens at the back end's address any more: its process has ended. A connection that opens is kept for
     /// the next call.
-    pub async fn is_gone(&self) -> bool {
+    pub async fn has_exited(&self) -> bool {
         for _probe in 0..PROBES {
             self.connections.make_room();
             let opened = self.connections.open(SilenceCheck::Always, OpenCause::Probe).await;
--- a/crates/seamhatchd/src/server/crashes/mod.rs
+++ b/crates/seamhatchd/src/server/crashes/mod.rs
@@ -58,7 +58,7 @@
         let looked = clock::now();
         let is_leaving = || instance.is_some_and(|instance| self.server.instances.is_leaving(instance));
         // The goodbye may come while the back end is being looked for.
-        if is_leaving() || !self.server.backend.is_gone().await || is_leaving() {
+        if is_leaving() || !self.server.backend.has_exited().await || is_leaving() {
             *seen_alive = looked;
             return false;
         }
--- a/crates/seamhatchd/tests/backend_connections.rs
+++ b/crates/seamhatchd/tests/backend_connections.rs
@@ -296,7 +296,7 @@
 #[tokio::test]
 async fn the_look_for_the_server_is_counted_as_such() {
     let bench = Bench::start().await;
-    assert!(!bench.backend.is_gone().await);
+    assert!(!bench.backend.has_exited().await);
     bench.exchange("/ok").await;
     assert_eq!((bench.opened("probe"), bench.opened("none-idle"), bench.server.accepted()), (1, 0, 1));
 }
