--- a/crates/seamhatchd/src/server/instances.rs
+++ b/crates/seamhatchd/src/server/instances.rs
@@ -72,7 +72,7 @@
 
     /// Whether instances report by themselves that they leave.
     #[must_use]
-    pub fn report_departures(&self) -> bool {
+    pub fn reports_departure(&self) -> bool {
         matches!(self, Self::Registered(_))
     }
 
--- a/crates/seamhatchd/src/shared.rs
+++ b/crates/seamhatchd/src/shared.rs
@@ -126,7 +126,7 @@
     pub fn call_intake(&self) -> CallIntake {
         let instances = &self.server.instances;
         let back_end =
-            BackEndState { open: instances.is_open(), reports_departure: instances.report_departures() };
+            BackEndState { open: instances.is_open(), reports_departure: instances.reports_departure() };
         self.stop_state().intake(self.lifecycle.is_ready(), back_end)
     }
 
