--- a/crates/seamhatchd/src/link_host.rs
+++ b/crates/seamhatchd/src/link_host.rs
@@ -41,7 +41,7 @@
             server: self.server.gate.report(),
             proof: self.limits.freshness.proof(),
             turn: self.server.notices.turn_of(peer),
-            notice: self.server.notices.to_tell(),
+            notice: self.server.notices.notice_for_peers(),
             pace: self.server.gate.pace(),
             ends: self.intake.phase() != IntakePhase::Open,
         }
--- a/crates/seamhatchd/src/peer_server/call/answer.rs
+++ b/crates/seamhatchd/src/peer_server/call/answer.rs
@@ -68,7 +68,7 @@
             server: self.shared.server.gate.report(),
             chain_floor: running.chain_floor(),
             turn: self.shared.server.notices.turn_of(self.from),
-            notice: self.shared.server.notices.to_tell(),
+            notice: self.shared.server.notices.notice_for_peers(),
             pace,
             usage,
         }
--- a/crates/seamhatchd/src/peer_server/call/execute.rs
+++ b/crates/seamhatchd/src/peer_server/call/execute.rs
@@ -84,7 +84,7 @@
             Err(BackendError::NotRun { notice, .. }) => *notice,
             Err(BackendError::Failed { .. }) => return,
         };
-        self.shared.server.notices.hear(run.instance.as_ref(), notice, run.started);
+        self.shared.server.notices.note_answer(run.instance.as_ref(), notice, run.started);
         if notice.leaving {
             self.shared.note_leaving(run.instance.as_ref());
         }
--- a/crates/seamhatchd/src/server/notices.rs
+++ b/crates/seamhatchd/src/server/notices.rs
@@ -1,7 +1,7 @@
 //! What the back end says of itself in its answers: the rate at which it takes calls, and that it leaves.
 //!
 //! Owns the book of its rates, which decides what counts, and the round in which daemons that send calls have their turns. Sets the gate's
-//! rate, so that the sum over all daemons is kept in one place. [`BackEndNotices::to_tell`] goes to the other daemons, which hand it back
+//! rate, so that the sum over all daemons is kept in one place. [`BackEndNotices::notice_for_peers`] goes to the other daemons, which hand it back
 //! should this process restart.
 
 use crate::base::clock;
@@ -52,7 +52,7 @@
     }
 
     /// Records what an answer of `instance` says, to a request that was sent at `sent`.
-    pub fn hear(&self, instance: Option<&InstanceId>, notice: AnswerNotice, sent: Instant) {
+    pub fn note_answer(&self, instance: Option<&InstanceId>, notice: AnswerNotice, sent: Instant) {
         let mut state = lock(&self.state);
         if notice.rate == NamedRate::Unreadable {
             self.note_unreadable(&mut state);
@@ -62,7 +62,7 @@
     }
 
     /// An instance takes calls from now on; none where instances don't register.
-    pub fn open(&self, instance: Option<&InstanceId>) {
+    pub fn note_open(&self, instance: Option<&InstanceId>) {
         let mut state = lock(&self.state);
         state.leaving = state.leaving.take().filter(|leaving| Some(leaving) == instance);
         let change = state.book.open(instance);
@@ -83,7 +83,7 @@
 
     /// What other daemons are to hand back, should this process restart.
     #[must_use]
-    pub fn to_tell(&self) -> Option<BackEndNotice> {
+    pub fn notice_for_peers(&self) -> Option<BackEndNotice> {
         let state = lock(&self.state);
         if let Some((instance, rate)) = state.book.to_tell() {
             return Some(BackEndNotice { instance: instance.cloned(), rate: Some(rate), leaving: false });
