--- a/crates/seamhatchd/src/server/instances.rs
+++ b/crates/seamhatchd/src/server/instances.rs
@@ -87,7 +87,7 @@
 
     /// When the registered instance last sent a heartbeat.
     #[must_use]
-    pub fn heard(&self) -> Option<Instant> {
+    pub fn last_heartbeat(&self) -> Option<Instant> {
         match self {
             Self::Fixed { .. } => None,
             Self::Registered(registry) => lock(registry).registered().map(|known| known.heard),
