--- a/crates/seamhatchd/src/controllers/control_thread/stopping.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/stopping.rs
@@ -53,7 +53,7 @@
     pub(super) fn start_drain(&mut self) {
         info!("draining: new work is taken only where no other daemon can");
         self.shared.lifecycle.start_draining();
-        self.shared.limits.quota.leave();
+        self.shared.limits.quota.start_handover();
         self.work_changed();
         // From now on no other daemon chooses this one as a witness; what was chosen before has to be known before it may end.
         self.read_store();
--- a/crates/seamhatchd/src/controllers/follow/quota_shards.rs
+++ b/crates/seamhatchd/src/controllers/follow/quota_shards.rs
@@ -80,7 +80,7 @@
         if !keeper.limits.quota.is_needed() {
             continue;
         }
-        if keeper.limits.quota.is_leaving() {
+        if keeper.limits.quota.is_handing_over() {
             return keeper.leave().await;
         }
         match keeper.step().await {
--- a/crates/seamhatchd/src/limits/quota/mod.rs
+++ b/crates/seamhatchd/src/limits/quota/mod.rs
@@ -35,7 +35,7 @@
     /// Whether any tenant has a limit that can be kept.
     needed: AtomicBool,
     /// This daemon stops, and leaves its shards to others.
-    leaving: AtomicBool,
+    handing_over: AtomicBool,
 }
 
 impl Quota {
@@ -48,7 +48,7 @@
             held: HeldShards::default(),
             caches: Mutex::default(),
             needed: AtomicBool::new(false),
-            leaving: AtomicBool::new(false),
+            handing_over: AtomicBool::new(false),
         }
     }
 
@@ -64,14 +64,14 @@
     }
 
     /// Has this daemon leave its shards to others, and take none, for the rest of the process.
-    pub fn leave(&self) {
-        self.leaving.store(true, Ordering::Relaxed);
+    pub fn start_handover(&self) {
+        self.handing_over.store(true, Ordering::Relaxed);
     }
 
     /// Whether this daemon leaves its shards to others.
     #[must_use]
-    pub fn is_leaving(&self) -> bool {
-        self.leaving.load(Ordering::Relaxed)
+    pub fn is_handing_over(&self) -> bool {
+        self.handing_over.load(Ordering::Relaxed)
     }
 
     /// Forgets the tenants without recent requests.
