--- a/crates/seamhatchd/src/controllers/follow/evidence.rs
+++ b/crates/seamhatchd/src/controllers/follow/evidence.rs
@@ -103,7 +103,7 @@
 
     /// Adds those recent requests that ran in several crashes to what is noted.
     fn choose(&mut self) {
-        let repeated = self.recent.iter().filter(|request| self.suspects.is_repeated(**request));
+        let repeated = self.recent.iter().filter(|request| self.suspects.is_repeat_suspect(**request));
         self.noted.extend(repeated);
     }
 
--- a/crates/seamhatchd/src/server/crashes/suspects.rs
+++ b/crates/seamhatchd/src/server/crashes/suspects.rs
@@ -145,7 +145,7 @@
 
     /// Whether a request ran in several crashes without a good end since.
     #[must_use]
-    pub fn is_repeated(&self, request: RequestDigest) -> bool {
+    pub fn is_repeat_suspect(&self, request: RequestDigest) -> bool {
         runs_isolated(self.lock().standing(request, clock::now()).crashes())
     }
 
