--- a/crates/seamhatchd/src/controllers/control_thread/instances.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/instances.rs
@@ -86,7 +86,7 @@
         let replaced = before.filter(|before| Some(before) != open.as_ref());
         let crashed = replaced.filter(|before| !self.shared.server.instances.is_leaving(before));
         if let Some(instance) = crashed {
-            self.shared.crash_context().instance_replaced(&instance);
+            self.shared.crash_context().record_replaced_instance(&instance);
         }
     }
 
--- a/crates/seamhatchd/src/dispatch/suspects.rs
+++ b/crates/seamhatchd/src/dispatch/suspects.rs
@@ -45,7 +45,7 @@
     pub(super) async fn report_lost_daemon(&self, connection: &PeerConnection, run: LostRun) {
         let runs = connection.lost_runs(run).await;
         if !runs.is_empty() {
-            self.shared.crash_context().daemon_lost(connection.address, connection.incarnation, &runs);
+            self.shared.crash_context().record_lost_daemon(connection.address, connection.incarnation, &runs);
         }
     }
 
--- a/crates/seamhatchd/src/server/crashes/mod.rs
+++ b/crates/seamhatchd/src/server/crashes/mod.rs
@@ -74,7 +74,7 @@
 
     /// Records that another instance of the back end is there in place of `instance`, which had not reported that it leaves.
     /// Where this daemon was frozen while that one crashed, nothing else shows the crash.
-    pub fn instance_replaced(&self, instance: &InstanceId) {
+    pub fn record_replaced_instance(&self, instance: &InstanceId) {
         let crashed = self.server.crashes.replace_instance(instance);
         if !crashed.suspects.is_empty() {
             self.report(InstanceDigest::of_instance(instance), Some(instance), &crashed);
@@ -82,7 +82,7 @@
     }
 
     /// Records that a daemon has ended under these runs, together with the server beside it as far as anybody can tell.
-    pub fn daemon_lost(&self, daemon: Address, incarnation: Incarnation, runs: &[LostRun]) {
+    pub fn record_lost_daemon(&self, daemon: Address, incarnation: Incarnation, runs: &[LostRun]) {
         let news = self.suspects.report_loss(InstanceDigest::of_lost(daemon, incarnation), runs);
         warn!(
             peer = daemon.to_string().as_str(),
