--- a/crates/seamhatchd/src/controllers/follow/quota_shards.rs
+++ b/crates/seamhatchd/src/controllers/follow/quota_shards.rs
@@ -128,7 +128,7 @@
         if self.records.is_empty() || is_out {
             return;
         }
-        self.limits.quota.held.give_up();
+        self.limits.quota.held.release_all();
         let key = |shard: &ShardNumber| ShardRecord::key(&self.followed.member_prefix, *shard);
         let write = Write {
             expect: self.records.iter().map(|(shard, revision)| (key(shard), *revision)).collect(),
@@ -172,11 +172,11 @@
     /// Gives up all shards where the lease has ended.
     fn drop_ended_lease(&mut self) {
         let held = &self.limits.quota.held;
-        if self.lease.is_some() && !held.holds() {
+        if self.lease.is_some() && !held.has_lease() {
             warn!(shards = held.mask().count_ones(); "the lease of this daemon's shards has ended");
             self.lease = None;
             self.records.clear();
-            held.give_up();
+            held.release_all();
             self.control.send(ControlEvent::QuotaShardsChanged);
         }
     }
@@ -190,9 +190,9 @@
         let kept = self.call(self.followed.store.keep_lease(lease)).await?;
         if kept {
             self.renewed = sent;
-            self.limits.quota.held.renewed(sent, LEASE.as_micros() as Microseconds);
+            self.limits.quota.held.record_renewal(sent, LEASE.as_micros() as Microseconds);
         } else {
-            self.limits.quota.held.give_up();
+            self.limits.quota.held.release_all();
             self.drop_ended_lease();
         }
         Ok(())
@@ -206,7 +206,7 @@
         let sent = clock::now();
         let lease = self.call(self.followed.store.make_lease(LEASE)).await?;
         self.renewed = sent;
-        self.limits.quota.held.renewed(sent, LEASE.as_micros() as Microseconds);
+        self.limits.quota.held.record_renewal(sent, LEASE.as_micros() as Microseconds);
         self.lease = Some(lease);
         Ok(lease)
     }
@@ -268,7 +268,7 @@
     fn take(&mut self, shard: ShardNumber, revision: Revision) {
         info!(shard = shard; "this daemon holds a shard of the tenants' limits");
         self.records.insert(shard, revision);
-        self.limits.quota.held.take(shard);
+        self.limits.quota.held.add(shard);
         self.control.send(ControlEvent::QuotaShardsChanged);
     }
 
--- a/crates/seamhatchd/src/limits/quota/holder.rs
+++ b/crates/seamhatchd/src/limits/quota/holder.rs
@@ -27,23 +27,23 @@
 
 impl HeldShards {
     /// Records that a call sent at `sent` made or renewed the lease.
-    pub fn renewed(&self, sent: Instant, span: Microseconds) {
+    pub fn record_renewal(&self, sent: Instant, span: Microseconds) {
         self.lock().lease.renewed(sent, span);
     }
 
     /// Records that a shard is held from now on, with empty buckets.
-    pub fn take(&self, shard: ShardNumber) {
+    pub fn add(&self, shard: ShardNumber) {
         self.lock().shards.entry(shard).or_insert_with(clock::now);
     }
 
     /// Gives up all shards, as the lease is over.
-    pub fn give_up(&self) {
+    pub fn release_all(&self) {
         *self.lock() = Holding::default();
     }
 
     /// Whether the lease counts.
     #[must_use]
-    pub fn holds(&self) -> bool {
+    pub fn has_lease(&self) -> bool {
         self.lock().lease.holds(clock::now())
     }
 
