--- a/crates/seamhatchd/src/limits/quota/admission.rs
+++ b/crates/seamhatchd/src/limits/quota/admission.rs
@@ -30,7 +30,7 @@
 
 impl QuotaPermit {
     /// Gives the token back, as the request did not run.
-    pub fn give_back(self, quota: &Quota) {
+    pub fn refund(self, quota: &Quota) {
         if let Some(cache) = quota.caches().get_mut(&self.tenant) {
             cache.put_back(self.token, clock::now());
         }
--- a/crates/seamhatchd/src/listeners/proxy.rs
+++ b/crates/seamhatchd/src/listeners/proxy.rs
@@ -185,7 +185,7 @@
             CallResult::Recorded(recorded) => self.repeat(request, recorded),
             CallResult::Rejected(rejection) => {
                 if rejection.outcome == Outcome::NotRun {
-                    permit.into_iter().for_each(|permit| permit.give_back(&self.shared.limits.quota));
+                    permit.into_iter().for_each(|permit| permit.refund(&self.shared.limits.quota));
                 }
                 self.reject(request, &rejection)
             }
