--- a/crates/seamhatchd/src/filters/mod.rs
+++ b/crates/seamhatchd/src/filters/mod.rs
@@ -11,7 +11,7 @@
 mod idempotency;
 mod identity;
 mod limits;
-mod naming;
+mod request_name;
 mod readiness;
 mod rejection;
 mod request;
@@ -98,7 +98,7 @@
         // With no route, nothing can be decided.
         Box::new(routing::RouteByHostAndPath),
         // Back ends would refuse a request without a name.
-        Box::new(naming::RequiredName),
+        Box::new(request_name::RequiredName),
         // A call made for a request that runs here keeps the priority of that request.
         Box::new(context::ParentFromName),
         // Calls made for a request that runs here need no key, and some routes need none. What comes later sees no key.
--- a/crates/seamhatchd/src/server/gate/mod.rs
+++ b/crates/seamhatchd/src/server/gate/mod.rs
@@ -4,7 +4,7 @@
 //! verdicts. Each call to the back end holds a [`Permit`]; the control thread calls [`AdmissionGate::tick`].
 
 mod permit;
-mod turns;
+mod rate;
 
 pub use permit::Permit;
 
