--- a/crates/seamhatchd/src/controllers/control_thread/instances.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/instances.rs
@@ -187,8 +187,12 @@
 
     /// Closes an instance that has sent no heartbeat for [`HEARTBEAT_SILENCE`].
     pub(super) fn watch_heartbeats(&mut self, now: Instant) {
-        let is_silent =
-            self.shared.server.instances.last_heartbeat().is_some_and(|heard| now.since(heard) > HEARTBEAT_SILENCE);
+        let is_silent = self
+            .shared
+            .server
+            .instances
+            .last_heartbeat()
+            .is_some_and(|heard| now.since(heard) > HEARTBEAT_SILENCE);
         if let Some(OpenInstance { id: Some(instance) }) =
             self.shared.server.instances.open().filter(|_| is_silent)
         {
--- a/crates/seamhatchd/src/filters/mod.rs
+++ b/crates/seamhatchd/src/filters/mod.rs
@@ -11,10 +11,10 @@
 mod idempotency;
 mod identity;
 mod limits;
-mod request_name;
 mod readiness;
 mod rejection;
 mod request;
+mod request_name;
 mod routing;
 
 pub use entry_floor::check_entry_floor;
--- a/crates/seamhatchd/src/peer_server/incoming_calls.rs
+++ b/crates/seamhatchd/src/peer_server/incoming_calls.rs
@@ -7,7 +7,7 @@
 
 use crate::base::lock::lock;
 use crate::peer::CreditWindow;
-use crate::server::backend::{BodyPiece, BodyAborted};
+use crate::server::backend::{BodyAborted, BodyPiece};
 use bytes::Bytes;
 use seamhatch_core::body_credit::OwedCredit;
 use seamhatch_core::identity::CallId;
--- a/crates/seamhatchd/src/server/backend/mod.rs
+++ b/crates/seamhatchd/src/server/backend/mod.rs
@@ -12,7 +12,7 @@
 mod stream;
 
 pub use answer::BackendAnswer;
-pub use body::{BodyPiece, BodyAborted, ChannelStream, RequestBody, no_body, request_body};
+pub use body::{BodyAborted, BodyPiece, ChannelStream, RequestBody, no_body, request_body};
 pub use error::BackendError;
 pub use request::BackendRequest;
 
--- a/crates/seamhatchd/src/server/crashes/mod.rs
+++ b/crates/seamhatchd/src/server/crashes/mod.rs
@@ -5,14 +5,14 @@
 //! follows; here the back end is looked for, suspects wait for their trial runs, and crashes are reported to the control
 //! thread, which spreads them.
 
-mod tracker;
 mod report;
 mod suspects;
+mod tracker;
 mod trial_runs;
 
-pub use tracker::{TrackedCall, CrashTracker};
 pub use report::{CrashReport, SuspectStatus, crash_report};
 pub use suspects::SuspectRegistry;
+pub use tracker::{CrashTracker, TrackedCall};
 pub use trial_runs::{TrialRun, TrialRuns};
 
 use crate::base::clock;
