--- a/crates/seamhatchd/src/controllers/control_thread/suspects.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/suspects.rs
@@ -72,7 +72,7 @@
         match &message.body {
             GossipBody::Suspects(reports) => self.shared.suspects.merge(reports),
             GossipBody::SyncRequest { .. } => {
-                let reports = self.shared.suspects.heaviest(RECORDS_PER_EXCHANGE);
+                let reports = self.shared.suspects.with_most_crashes(RECORDS_PER_EXCHANGE);
                 let outgoing = self.membership.state.tell_suspects(&[message.from], &reports);
                 self.membership.send_all(outgoing);
             }
--- a/crates/seamhatchd/src/server/crashes/suspects.rs
+++ b/crates/seamhatchd/src/server/crashes/suspects.rs
@@ -183,7 +183,7 @@
 
     /// What is known of the `most` requests with the most crashes.
     #[must_use]
-    pub fn heaviest(&self, most: usize) -> Vec<SuspectReport> {
+    pub fn with_most_crashes(&self, most: usize) -> Vec<SuspectReport> {
         if self.known.load(Ordering::Acquire) == 0 {
             return Vec::new();
         }
