--- a/crates/seamhatchd/src/peer_server/call/execute.rs
+++ b/crates/seamhatchd/src/peer_server/call/execute.rs
@@ -10,7 +10,7 @@
 use crate::base::metrics::seconds;
 use crate::intake::RequestStage;
 use crate::server::backend::{self, BackendAnswer, BackendError, BackendRequest};
-use crate::server::crashes::{TrackedCall, TrialRun};
+use crate::server::crashes::{TrackedRun, TrialRun};
 use crate::server::gate::Permit;
 use crate::server::instances::OpenInstance;
 use crate::server::running::RunningCall;
@@ -29,7 +29,7 @@
     /// The instance that it is meant for, where instances are registered.
     instance: Option<InstanceId>,
     /// Its entry among the calls that a crash of the back end would concern.
-    work: TrackedCall,
+    work: TrackedRun,
     mode: RunMode,
     started: Instant,
 }
--- a/crates/seamhatchd/src/server/crashes/mod.rs
+++ b/crates/seamhatchd/src/server/crashes/mod.rs
@@ -12,7 +12,7 @@
 
 pub use report::{CrashReport, SuspectStatus, crash_report};
 pub use suspects::SuspectRegistry;
-pub use tracker::{CrashTracker, TrackedCall};
+pub use tracker::{CrashTracker, TrackedRun};
 pub use trial_runs::{TrialRun, TrialRuns};
 
 use crate::base::clock;
@@ -41,7 +41,7 @@
 impl CrashContext<'_> {
     /// Whether the back end has crashed: under a call to `instance`, with its answer's last byte, or before the call could be
     /// sent. The first call that finds out reports it for all that ran.
-    pub async fn has_crashed(&self, work: &TrackedCall, instance: Option<&InstanceId>) -> bool {
+    pub async fn has_crashed(&self, work: &TrackedRun, instance: Option<&InstanceId>) -> bool {
         let watch = &self.server.crashes;
         if watch.has_ended(work) {
             return true;
--- a/crates/seamhatchd/src/server/crashes/tracker.rs
+++ b/crates/seamhatchd/src/server/crashes/tracker.rs
@@ -1,7 +1,7 @@
 //! The calls that run on the back end beside this daemon, shared by the calls themselves.
 //!
 //! Locks the table of [`seamhatch_core::crashes::WorkTable`], which decides who becomes a suspect; a call leaves it when its
-//! [`TrackedCall`] is dropped.
+//! [`TrackedRun`] is dropped.
 
 use crate::base::clock;
 use crate::base::lock::lock;
@@ -22,7 +22,7 @@
 
 /// A call that runs until this is dropped.
 #[derive(Debug)]
-pub struct TrackedCall {
+pub struct TrackedRun {
     /// The instance that runs it.
     pub instance: InstanceDigest,
     /// The back end's instances have no names.
@@ -31,14 +31,14 @@
     number: WorkNumber,
 }
 
-impl TrackedCall {
+impl TrackedRun {
     /// Records how the run has ended. One that is dropped without this has broken off.
     pub fn finish(&self, end: RunEnd) {
         lock(&self.calls).finish(self.number, end, clock::now());
     }
 }
 
-impl Drop for TrackedCall {
+impl Drop for TrackedRun {
     fn drop(&mut self) {
         self.finish(RunEnd::BrokenOff);
     }
@@ -53,19 +53,19 @@
 
     /// A call that is about to be sent to the back end.
     #[must_use]
-    pub fn begin(&self, instance: Option<&InstanceId>, request: RequestDigest, mode: RunMode) -> TrackedCall {
+    pub fn begin(&self, instance: Option<&InstanceId>, request: RequestDigest, mode: RunMode) -> TrackedRun {
         let is_unnamed = instance.is_none();
         let (number, instance) = lock(&self.calls).begin(self.incarnation, instance, request, mode);
-        TrackedCall { instance, is_unnamed, calls: self.calls.clone(), number }
+        TrackedRun { instance, is_unnamed, calls: self.calls.clone(), number }
     }
 
     /// Whether the instance that runs the call is known to have ended in a crash.
-    pub(super) fn has_ended(&self, work: &TrackedCall) -> bool {
+    pub(super) fn has_ended(&self, work: &TrackedRun) -> bool {
         lock(&self.calls).has_ended(work.instance)
     }
 
     /// Records that the instance that runs the call has ended in a crash. Returns what ran on it.
-    pub(super) fn end_instance(&self, work: &TrackedCall) -> CrashedWork {
+    pub(super) fn end_instance(&self, work: &TrackedRun) -> CrashedWork {
         lock(&self.calls).end(work.instance, work.is_unnamed, clock::now())
     }
 
