--- a/crates/seamhatchd/src/peer_server/call/mod.rs
+++ b/crates/seamhatchd/src/peer_server/call/mod.rs
@@ -130,7 +130,7 @@
             expiry: running.expiry,
             objective_end,
             kind: call_kind(running),
-            begun: self.goes_first(),
+            continues_chain: self.goes_first(),
         };
         tokio::select! {
             permit = self.shared.server.gate.admit(request) => permit,
--- a/crates/seamhatchd/src/server/gate/mod.rs
+++ b/crates/seamhatchd/src/server/gate/mod.rs
@@ -41,7 +41,7 @@
     /// Which calls' service times may be compared with its own.
     pub kind: CallKind,
     /// It goes before first calls of its class, as its chain has begun elsewhere.
-    pub begun: bool,
+    pub continues_chain: bool,
 }
 
 #[derive(Debug)]
@@ -112,7 +112,7 @@
             expiry: request.expiry,
             objective_end: request.objective_end,
             kind: request.kind,
-            begun: request.begun,
+            begun: request.continues_chain,
         };
         let Some(turn) = self.offer(offered, arrived)? else {
             return Ok(self.permit(ticket));
--- a/crates/seamhatchd/tests/gate.rs
+++ b/crates/seamhatchd/tests/gate.rs
@@ -27,7 +27,7 @@
         expiry,
         objective_end: expiry,
         kind: CallKind::default(),
-        begun: false,
+        continues_chain: false,
     }
 }
 
--- a/crates/seamhatchd/tests/pace.rs
+++ b/crates/seamhatchd/tests/pace.rs
@@ -35,7 +35,7 @@
     let expiry = now.plus(60 * SECOND);
     let priority = Priority::new(PriorityClass::Normal, RootId(1));
     let kind = CallKind::default();
-    GateRequest { priority, root_admitted: now, expiry, objective_end: expiry, kind, begun: false }
+    GateRequest { priority, root_admitted: now, expiry, objective_end: expiry, kind, continues_chain: false }
 }
 
 /// Guards against a service time of a chain that counts as the server's own work, and against a report without any figure.
