--- a/crates/seamhatchd/src/server/gate/mod.rs
+++ b/crates/seamhatchd/src/server/gate/mod.rs
@@ -149,7 +149,7 @@
 
     /// How long calls of this kind usually take from their slot to their answer; none before the first.
     #[must_use]
-    pub fn usual_time(&self, kind: CallKind) -> Option<Microseconds> {
+    pub fn median_service_time(&self, kind: CallKind) -> Option<Microseconds> {
         self.lock().queue.usual_time(kind)
     }
 
