--- a/crates/seamhatchd/src/controllers/control_thread/quota_shards.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/quota_shards.rs
@@ -29,7 +29,7 @@
     pub(super) fn learn_quota_shards(&mut self, shards: &[(ShardNumber, ShardRecord)]) {
         let (own, incarnation) = (self.shared.settings.advertise.gossip, self.shared.incarnation);
         for (shard, record) in shards {
-            self.shared.limits.quota.directory.learn(*shard, holder_of(record));
+            self.shared.limits.quota.directory.set_holder(*shard, holder_of(record));
         }
         let earlier = shards.iter().filter(|(_, record)| record.is_of_earlier_incarnation(own, incarnation));
         self.shared.limits.quota.directory.set_vacant(earlier.map(|(shard, _)| (*shard, 0)).collect());
@@ -76,7 +76,7 @@
             let holder = ShardHolder { peer: record.info.peer, zone: record.info.zone.clone() };
             let holds = |shard: &ShardNumber| record.info.quota_shards & (1 << shard) != 0;
             for shard in (0..quota.policy.shards).filter(holds) {
-                quota.directory.learn(shard, holder.clone());
+                quota.directory.set_holder(shard, holder.clone());
             }
         }
     }
--- a/crates/seamhatchd/src/controllers/follow/quota_shards.rs
+++ b/crates/seamhatchd/src/controllers/follow/quota_shards.rs
@@ -274,7 +274,7 @@
 
     /// Leaves a shard that another daemon holds alone for a while.
     fn pass_over(&mut self, shard: ShardNumber, record: &ShardRecord) {
-        self.limits.quota.directory.learn(shard, holder_of(record));
+        self.limits.quota.directory.set_holder(shard, holder_of(record));
         self.noticed.insert(shard, clock::now().plus(HELD_ELSEWHERE_PAUSE));
     }
 
--- a/crates/seamhatchd/src/limits/quota/directory.rs
+++ b/crates/seamhatchd/src/limits/quota/directory.rs
@@ -14,7 +14,7 @@
 
 impl SharedShardDirectory {
     /// Records where a shard is.
-    pub fn learn(&self, shard: ShardNumber, holder: ShardHolder) {
+    pub fn set_holder(&self, shard: ShardNumber, holder: ShardHolder) {
         self.lock().learn(shard, holder);
     }
 
