--- a/crates/seamhatchd/src/controllers/control_thread/configuration.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/configuration.rs
@@ -62,7 +62,7 @@
                 self.exchanges.end_all();
                 self.offer_series(series, source);
             }
-            ConfigurationEvent::Proved(proof) => self.shared.limits.freshness.prove(proof),
+            ConfigurationEvent::Proved(proof) => self.shared.limits.freshness.record(proof),
             ConfigurationEvent::StoreRead(result) => self.store_read(result),
             ConfigurationEvent::FollowedStoreRead => self.followed_store_read(),
             ConfigurationEvent::Verified => self.verified(),
--- a/crates/seamhatchd/src/limits/freshness.rs
+++ b/crates/seamhatchd/src/limits/freshness.rs
@@ -45,7 +45,7 @@
     }
 
     /// Records a proof in the local boot clock.
-    pub fn prove(&self, proof: FreshnessProof) {
+    pub fn record(&self, proof: FreshnessProof) {
         self.lock().prove(proof);
     }
 
--- a/crates/seamhatchd/src/link_host.rs
+++ b/crates/seamhatchd/src/link_host.rs
@@ -52,7 +52,7 @@
     }
 
     fn peer_pulse(&self, service: &str, peer: Address, pulse: &Pulse) {
-        pulse.proof.into_iter().for_each(|proof| self.limits.freshness.prove(proof));
+        pulse.proof.into_iter().for_each(|proof| self.limits.freshness.record(proof));
         if pulse.intake == CallIntake::Closed {
             self.limits.service_floors.forget(service, peer);
         } else {
--- a/crates/seamhatchd/src/peer_server/session.rs
+++ b/crates/seamhatchd/src/peer_server/session.rs
@@ -109,7 +109,7 @@
         if pulse.farewell == Some(Farewell::Heard) {
             self.farewell.note_heard();
         }
-        pulse.proof.into_iter().for_each(|proof| self.shared.limits.freshness.prove(proof));
+        pulse.proof.into_iter().for_each(|proof| self.shared.limits.freshness.record(proof));
         self.shared.control.note_peer_generation(self.hello.peer, pulse.generation);
     }
 
