--- a/crates/seamhatchd/src/link_host.rs
+++ b/crates/seamhatchd/src/link_host.rs
@@ -56,14 +56,14 @@
         if pulse.intake == CallIntake::Closed {
             self.limits.service_floors.forget(service, peer);
         } else {
-            let floor = self.limits.service_floors.note(service, peer, pulse.server, clock::now());
+            let floor = self.limits.service_floors.record(service, peer, pulse.server, clock::now());
             self.entry_floors.learn_service(service, floor);
         }
         self.control.note_peer_generation(peer, pulse.generation);
     }
 
     fn server_report(&self, service: &str, peer: Address, report: ServerReport) {
-        self.limits.service_floors.note(service, peer, report, clock::now());
+        self.limits.service_floors.record(service, peer, report, clock::now());
     }
 
     fn back_end_notice(&self, peer: Address, notice: Option<&BackEndNotice>) {
