--- a/crates/seamhatchd/src/limits/service_floors.rs
+++ b/crates/seamhatchd/src/limits/service_floors.rs
@@ -17,7 +17,13 @@
 
 impl ServiceFloors {
     /// Records a report. Returns what the service admits by all reports.
-    pub fn record(&self, service: &str, server: Address, report: ServerReport, now: Instant) -> AdmissionFloor {
+    pub fn record(
+        &self,
+        service: &str,
+        server: Address,
+        report: ServerReport,
+        now: Instant,
+    ) -> AdmissionFloor {
         self.lock().note(service, server, report.floor, report.limit, now)
     }
 
--- a/crates/seamhatchd/src/peer_server/call/mod.rs
+++ b/crates/seamhatchd/src/peer_server/call/mod.rs
@@ -170,7 +170,8 @@
 
     /// Whether the call, if it starts now, can end before the process does.
     fn can_finish(&self, running: &RunningCall) -> bool {
-        self.shared.can_finish(running.expiry, self.shared.server.gate.median_service_time(call_kind(running)))
+        self.shared
+            .can_finish(running.expiry, self.shared.server.gate.median_service_time(call_kind(running)))
     }
 
     /// Waits until a call whose request is a suspect may run, as long as its answer is worth waiting for. Other calls
