--- a/crates/seamhatchd/src/controllers/control_thread/instances.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/instances.rs
@@ -61,11 +61,11 @@
     pub(super) fn take_heartbeat(&mut self, heartbeat: Heartbeat) {
         let (instance, sequence, now) = (heartbeat.instance.name.clone(), heartbeat.sequence, clock::now());
         let before = self.shared.server.instances.current();
-        let opened = |instance: &InstanceId| self.shared.server.notices.open(Some(instance));
+        let opened = |instance: &InstanceId| self.shared.server.notices.note_open(Some(instance));
         match self.shared.server.instances.heartbeat(heartbeat, now, opened) {
             HeartbeatVerdict::Opened => {
                 info!(instance = instance.as_str(), sequence = sequence; "instance opened");
-                self.shared.server.backend.forget_connections();
+                self.shared.server.backend.close_idle_connections();
                 self.open_instance();
                 self.note_replaced(before);
             }
@@ -86,7 +86,7 @@
         let replaced = before.filter(|before| Some(before) != open.as_ref());
         let crashed = replaced.filter(|before| !self.shared.server.instances.is_leaving(before));
         if let Some(instance) = crashed {
-            self.shared.crash_context().instance_replaced(&instance);
+            self.shared.crash_context().record_replaced_instance(&instance);
         }
     }
 
@@ -136,7 +136,7 @@
         let shared = self.shared.clone();
         tokio::spawn(async move {
             let longest = clock::now().plus(LONGEST_LEAVING);
-            while clock::now() < longest && !shared.server.backend.is_gone().await {
+            while clock::now() < longest && !shared.server.backend.has_exited().await {
                 tokio::time::sleep(LEAVING_PAUSE).await;
             }
             shared.control.send(InstanceEvent::LeftUnnamed);
@@ -146,7 +146,7 @@
     fn left_unnamed(&mut self) {
         if self.shared.server.instances.set_leaving(false) {
             info!("the back end that was leaving has ended");
-            self.shared.server.backend.forget_connections();
+            self.shared.server.backend.close_idle_connections();
             self.work_changed();
         }
     }
@@ -162,13 +162,13 @@
 
     /// The back end answered as another instance than the registered one.
     fn refute_instance(&mut self, instance: &InstanceId) {
-        let opened = |instance: &InstanceId| self.shared.server.notices.open(Some(instance));
+        let opened = |instance: &InstanceId| self.shared.server.notices.note_open(Some(instance));
         let refutation = self.shared.server.instances.refute(instance, clock::now(), opened);
         if refutation == Refutation::Unchanged {
             return;
         }
         warn!(instance = instance.name.as_str(), refutation:? = refutation; "another instance answered");
-        self.shared.server.backend.forget_connections();
+        self.shared.server.backend.close_idle_connections();
         if refutation == Refutation::Replaced {
             self.open_instance();
         } else {
@@ -180,15 +180,19 @@
     fn lost_instance(&mut self, instance: &InstanceId, why: &str) {
         if self.shared.server.instances.suspend(instance) {
             warn!(instance = instance.name.as_str(), why = why; "instance lost");
-            self.shared.server.backend.forget_connections();
+            self.shared.server.backend.close_idle_connections();
             self.work_changed();
         }
     }
 
     /// Closes an instance that has sent no heartbeat for [`HEARTBEAT_TIMEOUT`].
     pub(super) fn watch_heartbeats(&mut self, now: Instant) {
-        let is_silent =
-            self.shared.server.instances.heard().is_some_and(|heard| now.since(heard) > HEARTBEAT_TIMEOUT);
+        let is_silent = self
+            .shared
+            .server
+            .instances
+            .last_heartbeat()
+            .is_some_and(|heard| now.since(heard) > HEARTBEAT_TIMEOUT);
         if let Some(OpenInstance { id: Some(instance) }) =
             self.shared.server.instances.open().filter(|_| is_silent)
         {
--- a/crates/seamhatchd/src/link_host.rs
+++ b/crates/seamhatchd/src/link_host.rs
@@ -41,7 +41,7 @@
             server: self.server.gate.report(),
             proof: self.limits.freshness.proof(),
             turn: self.server.notices.turn_of(peer),
-            notice: self.server.notices.to_tell(),
+            notice: self.server.notices.notice_for_peers(),
             pace: self.server.gate.pace(),
             ends: self.intake.phase() != IntakePhase::Open,
         }
@@ -52,18 +52,18 @@
     }
 
     fn peer_pulse(&self, service: &str, peer: Address, pulse: &Pulse) {
-        pulse.proof.into_iter().for_each(|proof| self.limits.freshness.prove(proof));
+        pulse.proof.into_iter().for_each(|proof| self.limits.freshness.record(proof));
         if pulse.intake == CallIntake::Closed {
             self.limits.service_floors.forget(service, peer);
         } else {
-            let floor = self.limits.service_floors.note(service, peer, pulse.server, clock::now());
+            let floor = self.limits.service_floors.record(service, peer, pulse.server, clock::now());
             self.entry_floors.learn_service(service, floor);
         }
         self.control.note_peer_generation(peer, pulse.generation);
     }
 
     fn server_report(&self, service: &str, peer: Address, report: ServerReport) {
-        self.limits.service_floors.note(service, peer, report, clock::now());
+        self.limits.service_floors.record(service, peer, report, clock::now());
     }
 
     fn back_end_notice(&self, peer: Address, notice: Option<&BackEndNotice>) {
--- a/crates/seamhatchd/src/listeners/proxy.rs
+++ b/crates/seamhatchd/src/listeners/proxy.rs
@@ -95,7 +95,7 @@
         let taken = self.shared.intake.take(RequestEntry::Listener);
         let (parts, body) = request.into_parts();
         let mut request = self.request_state(&parts);
-        let Ok(taken) = taken else { return self.reject(&request, &filters::about_to_end(&request)) };
+        let Ok(taken) = taken else { return self.reject(&request, &filters::stopping_rejection(&request)) };
         connection.hold(taken.clone());
         request.progress = taken.progress().clone();
         request.progress.set_name(request.log_name());
@@ -185,7 +185,7 @@
             CallResult::Recorded(recorded) => self.repeat(request, recorded),
             CallResult::Rejected(rejection) => {
                 if rejection.outcome == Outcome::NotRun {
-                    permit.into_iter().for_each(|permit| permit.give_back(&self.shared.limits.quota));
+                    permit.into_iter().for_each(|permit| permit.refund(&self.shared.limits.quota));
                 }
                 self.reject(request, &rejection)
             }
@@ -196,7 +196,7 @@
     fn learn_floor(&self, request: &RequestState) {
         let Some(parent) = &request.parent else { return };
         if request.entry != Entry::Egress && parent.depth == 0 {
-            self.shared.entry_floors.learn(&request.entry_key, parent.chain_floor().as_ref());
+            self.shared.entry_floors.learn(&request.entry_kind, parent.chain_floor().as_ref());
         }
     }
 
@@ -211,7 +211,7 @@
         if !is_root {
             self.shared.limits.call_times.learn(request.kind(), took);
         } else if request.entry != Entry::Egress {
-            self.shared.entry_floors.learn_answer_time(&request.entry_key, took);
+            self.shared.entry_floors.learn_answer_time(&request.entry_kind, took);
         }
     }
 }
@@ -228,7 +228,7 @@
 fn cut_off(request: &RequestState) -> Rejection {
     // One with a key goes on in a task of its own and may still be sent.
     if request.progress.stage() == RequestStage::Waiting && request.claim_text.is_none() {
-        return filters::about_to_end(request);
+        return filters::stopping_rejection(request);
     }
     let detail = "this daemon has ended before the answer came; its result is not known";
     Rejection::unknown(Reason::PeerLost, detail)
--- a/crates/seamhatchd/src/peer_server/call/execute.rs
+++ b/crates/seamhatchd/src/peer_server/call/execute.rs
@@ -10,7 +10,7 @@
 use crate::base::metrics::seconds;
 use crate::intake::RequestStage;
 use crate::server::backend::{self, BackendAnswer, BackendError, BackendRequest};
-use crate::server::crashes::{CallAtWork, TrialRun};
+use crate::server::crashes::{TrackedRun, TrialRun};
 use crate::server::gate::Permit;
 use crate::server::instances::OpenInstance;
 use crate::server::running::RunningCall;
@@ -29,7 +29,7 @@
     /// The instance that it is meant for, where instances are registered.
     instance: Option<InstanceId>,
     /// Its entry among the calls that a crash of the back end would concern.
-    work: CallAtWork,
+    work: TrackedRun,
     mode: RunMode,
     started: Instant,
 }
@@ -84,7 +84,7 @@
             Err(BackendError::NotRun { notice, .. }) => *notice,
             Err(BackendError::Failed { .. }) => return,
         };
-        self.shared.server.notices.hear(run.instance.as_ref(), notice, run.started);
+        self.shared.server.notices.note_answer(run.instance.as_ref(), notice, run.started);
         if notice.leaving {
             self.shared.note_leaving(run.instance.as_ref());
         }
--- a/crates/seamhatchd/src/server/backend/mod.rs
+++ b/crates/seamhatchd/src/server/backend/mod.rs
@@ -12,7 +12,7 @@
 mod stream;
 
 pub use answer::BackendAnswer;
-pub use body::{BodyPiece, BrokenOff, ChannelStream, RequestBody, no_body, request_body};
+pub use body::{BodyAborted, BodyPiece, ChannelStream, RequestBody, no_body, request_body};
 pub use error::BackendError;
 pub use request::BackendRequest;
 
@@ -126,7 +126,7 @@
 
     /// Whether nothing listens at the back end's address any more: its process has ended. A connection that opens is kept for
     /// the next call.
-    pub async fn is_gone(&self) -> bool {
+    pub async fn has_exited(&self) -> bool {
         for _probe in 0..PROBES {
             self.connections.make_room();
             let opened = self.connections.open(SilenceCheck::Always, OpenCause::Probe).await;
@@ -147,7 +147,7 @@
     }
 
     /// Closes all idle connections, as another instance may have the address.
-    pub fn forget_connections(&self) {
+    pub fn close_idle_connections(&self) {
         self.connections.forget();
     }
 
--- a/crates/seamhatchd/src/server/crashes/mod.rs
+++ b/crates/seamhatchd/src/server/crashes/mod.rs
@@ -5,20 +5,20 @@
 //! follows; here the back end is looked for, suspects wait for their trial runs, and crashes are reported to the control
 //! thread, which spreads them.
 
-mod at_work;
 mod report;
 mod suspects;
+mod tracker;
 mod trial_runs;
 
-pub use at_work::{CallAtWork, CrashWatch};
 pub use report::{CrashReport, SuspectStatus, crash_report};
-pub use suspects::SuspectBook;
+pub use suspects::SuspectRegistry;
+pub use tracker::{CrashTracker, TrackedRun};
 pub use trial_runs::{TrialRun, TrialRuns};
 
 use crate::base::clock;
 use crate::base::metrics::Metrics;
 use crate::control::ControlHandle;
-use crate::server::ServerSide;
+use crate::server::LocalServer;
 use log::warn;
 use seamhatch_core::crashes::{CrashedRuns, InstanceDigest, LostRun, SuspectStanding};
 use seamhatch_core::identity::{Address, Incarnation, RequestDigest};
@@ -29,9 +29,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct CrashContext<'a> {
     /// The back end.
-    pub server: &'a ServerSide,
+    pub server: &'a LocalServer,
     /// Requests that ran when servers crashed, here and elsewhere.
-    pub suspects: &'a SuspectBook,
+    pub suspects: &'a SuspectRegistry,
     /// Counts the crash.
     pub metrics: &'a Metrics,
     /// Spreads the suspects.
@@ -41,7 +41,7 @@
 impl CrashContext<'_> {
     /// Whether the back end has crashed: under a call to `instance`, with its answer's last byte, or before the call could be
     /// sent. The first call that finds out reports it for all that ran.
-    pub async fn has_crashed(&self, work: &CallAtWork, instance: Option<&InstanceId>) -> bool {
+    pub async fn has_crashed(&self, work: &TrackedRun, instance: Option<&InstanceId>) -> bool {
         let watch = &self.server.crashes;
         if watch.has_ended(work) {
             return true;
@@ -58,7 +58,7 @@
         let looked = clock::now();
         let is_leaving = || instance.is_some_and(|instance| self.server.instances.is_leaving(instance));
         // The goodbye may come while the back end is being looked for.
-        if is_leaving() || !self.server.backend.is_gone().await || is_leaving() {
+        if is_leaving() || !self.server.backend.has_exited().await || is_leaving() {
             *seen_alive = looked;
             return false;
         }
@@ -74,7 +74,7 @@
 
     /// Records that another instance of the back end is there in place of `instance`, which had not reported that it leaves.
     /// Where this daemon was frozen while that one crashed, nothing else shows the crash.
-    pub fn instance_replaced(&self, instance: &InstanceId) {
+    pub fn record_replaced_instance(&self, instance: &InstanceId) {
         let crashed = self.server.crashes.replace_instance(instance);
         if !crashed.suspects.is_empty() {
             self.report(InstanceDigest::of_instance(instance), Some(instance), &crashed);
@@ -82,7 +82,7 @@
     }
 
     /// Records that a daemon has ended under these runs, together with the server beside it as far as anybody can tell.
-    pub fn daemon_lost(&self, daemon: Address, incarnation: Incarnation, runs: &[LostRun]) {
+    pub fn record_lost_daemon(&self, daemon: Address, incarnation: Incarnation, runs: &[LostRun]) {
         let news = self.suspects.report_loss(InstanceDigest::beside_lost_daemon(daemon, incarnation), runs);
         warn!(
             peer = daemon.to_string().as_str(),
@@ -132,7 +132,7 @@
 /// # Errors
 /// [`Reason::CrashesServers`]: it may not run at all.
 pub async fn until_admitted(
-    suspects: &SuspectBook,
+    suspects: &SuspectRegistry,
     request: RequestDigest,
 ) -> Result<Option<TrialRun>, Reason> {
     let mut standing = suspects.standing(request);
--- a/crates/seamhatchd/src/server/crashes/suspects.rs
+++ b/crates/seamhatchd/src/server/crashes/suspects.rs
@@ -21,7 +21,7 @@
 
 /// The ledger of suspects, and their trial runs at the back end beside this daemon.
 #[derive(Debug)]
-pub struct SuspectBook {
+pub struct SuspectRegistry {
     ledger: Mutex<CrashLedger>,
     /// Records in the ledger, so that a call pays one load while there are none.
     known: AtomicUsize,
@@ -31,13 +31,13 @@
     pub trial_runs: TrialRuns,
 }
 
-impl Default for SuspectBook {
+impl Default for SuspectRegistry {
     fn default() -> Self {
         Self::new(CrashPolicy::default())
     }
 }
 
-impl SuspectBook {
+impl SuspectRegistry {
     /// Nothing known yet.
     #[must_use]
     pub fn new(policy: CrashPolicy) -> Self {
@@ -145,7 +145,7 @@
 
     /// Whether a request ran in several crashes without a good end since.
     #[must_use]
-    pub fn is_repeated(&self, request: RequestDigest) -> bool {
+    pub fn is_repeat_suspect(&self, request: RequestDigest) -> bool {
         runs_isolated(self.lock().standing(request, clock::now()).crashes())
     }
 
@@ -183,7 +183,7 @@
 
     /// What is known of the `most` requests with the most crashes.
     #[must_use]
-    pub fn heaviest(&self, most: usize) -> Vec<SuspectReport> {
+    pub fn with_most_crashes(&self, most: usize) -> Vec<SuspectReport> {
         if self.known.load(Ordering::Acquire) == 0 {
             return Vec::new();
         }
--- a/crates/seamhatchd/src/server/gate/mod.rs
+++ b/crates/seamhatchd/src/server/gate/mod.rs
@@ -4,7 +4,7 @@
 //! verdicts. Each call to the back end holds a [`Permit`]; the control thread calls [`AdmissionGate::tick`].
 
 mod permit;
-mod turns;
+mod rate;
 
 pub use permit::Permit;
 
@@ -41,7 +41,7 @@
     /// Which calls' service times may be compared with its own.
     pub kind: CallKind,
     /// It goes before first calls of its class, as its chain has begun elsewhere.
-    pub begun: bool,
+    pub continues_chain: bool,
 }
 
 #[derive(Debug)]
@@ -112,7 +112,7 @@
             expiry: request.expiry,
             objective_end: request.objective_end,
             kind: request.kind,
-            continues_chain: request.begun,
+            continues_chain: request.continues_chain,
         };
         let Some(turn) = self.offer(offered, arrived)? else {
             return Ok(self.permit(ticket));
@@ -149,7 +149,7 @@
 
     /// How long calls of this kind usually take from their slot to their answer; none before the first.
     #[must_use]
-    pub fn usual_time(&self, kind: CallKind) -> Option<Microseconds> {
+    pub fn median_service_time(&self, kind: CallKind) -> Option<Microseconds> {
         self.lock().queue.median_service_time(kind)
     }
 
--- a/crates/seamhatchd/src/server/instances.rs
+++ b/crates/seamhatchd/src/server/instances.rs
@@ -72,7 +72,7 @@
 
     /// Whether instances report by themselves that they leave.
     #[must_use]
-    pub fn report_departures(&self) -> bool {
+    pub fn reports_departure(&self) -> bool {
         matches!(self, Self::Registered(_))
     }
 
@@ -87,7 +87,7 @@
 
     /// When the registered instance last sent a heartbeat.
     #[must_use]
-    pub fn heard(&self) -> Option<Instant> {
+    pub fn last_heartbeat(&self) -> Option<Instant> {
         match self {
             Self::Fixed { .. } => None,
             Self::Registered(registry) => lock(registry).registered().map(|known| known.last_heartbeat),
--- a/crates/seamhatchd/src/server/mod.rs
+++ b/crates/seamhatchd/src/server/mod.rs
@@ -11,7 +11,7 @@
 pub mod running;
 
 use backend::Backend;
-use crashes::CrashWatch;
+use crashes::CrashTracker;
 use gate::AdmissionGate;
 use instances::Instances;
 use notices::BackEndNotices;
@@ -20,7 +20,7 @@
 
 /// The back end beside this daemon, as all threads share it.
 #[derive(Debug)]
-pub struct ServerSide {
+pub struct LocalServer {
     /// Its slots, and the calls that wait for one.
     pub gate: Arc<AdmissionGate>,
     /// What it says of itself in its answers.
@@ -32,5 +32,5 @@
     /// Which instance of it takes work.
     pub instances: Instances,
     /// Its crashes, and the calls that were at work then.
-    pub crashes: CrashWatch,
+    pub crashes: CrashTracker,
 }
--- a/crates/seamhatchd/src/shared.rs
+++ b/crates/seamhatchd/src/shared.rs
@@ -16,8 +16,8 @@
 use crate::limits::entry_floors::EntryFloors;
 use crate::limits::quota::QuotaContext;
 use crate::peer::{Farewells, PeerPool, UnwrittenMessages};
-use crate::server::ServerSide;
-use crate::server::crashes::{CrashContext, SuspectBook};
+use crate::server::LocalServer;
+use crate::server::crashes::{CrashContext, SuspectRegistry};
 use crate::settings::Settings;
 use crate::snapshot::Snapshot;
 use arc_swap::{ArcSwap, Guard};
@@ -40,9 +40,9 @@
     /// Counters and gauges.
     pub metrics: Arc<Metrics>,
     /// The back end beside this daemon.
-    pub server: Arc<ServerSide>,
+    pub server: Arc<LocalServer>,
     /// Evidence about requests that were at work when servers crashed, here and elsewhere.
-    pub suspects: Arc<SuspectBook>,
+    pub suspects: Arc<SuspectRegistry>,
     /// How HTTP carries names, deadlines and outcomes.
     pub conventions: Arc<dyn HttpConventions>,
     /// Messages to other daemons that are not written yet.
@@ -126,7 +126,7 @@
     pub fn call_intake(&self) -> CallIntake {
         let instances = &self.server.instances;
         let back_end =
-            BackEndState { open: instances.is_open(), reports_departure: instances.report_departures() };
+            BackEndState { open: instances.is_open(), reports_departure: instances.reports_departure() };
         self.stop_state().intake(self.lifecycle.is_ready(), back_end)
     }
 
