--- a/crates/seamhatchd/src/link_host.rs
+++ b/crates/seamhatchd/src/link_host.rs
@@ -51,7 +51,7 @@
         self.lifecycle.work_changed()
     }
 
-    fn peer_pulse(&self, service: &str, peer: Address, pulse: &Pulse) {
+    fn heartbeat_received(&self, service: &str, peer: Address, pulse: &Pulse) {
         pulse.proof.into_iter().for_each(|proof| self.limits.freshness.prove(proof));
         if pulse.intake == CallIntake::Closed {
             self.limits.service_floors.forget(service, peer);
--- a/crates/seamhatchd/src/peer/host.rs
+++ b/crates/seamhatchd/src/peer/host.rs
@@ -55,7 +55,7 @@
     fn intake_changed(&self) -> Notified<'_>;
 
     /// A heartbeat came from the daemon at `peer`, beside a server of `service`, on a connection opened here.
-    fn peer_pulse(&self, service: &str, peer: Address, pulse: &Pulse);
+    fn heartbeat_received(&self, service: &str, peer: Address, pulse: &Pulse);
 
     /// A peer reported the state of its server beside an answer.
     fn server_report(&self, service: &str, peer: Address, report: ServerReport);
--- a/crates/seamhatchd/src/peer/incoming.rs
+++ b/crates/seamhatchd/src/peer/incoming.rs
@@ -58,7 +58,7 @@
         if pulse.farewell == Some(Farewell::Said) {
             self.answer_farewell(host);
         }
-        host.peer_pulse(&self.service, self.address, pulse);
+        host.heartbeat_received(&self.service, self.address, pulse);
         host.back_end_notice(self.address, pulse.notice.as_ref());
     }
 
--- a/crates/seamhatchd/tests/links.rs
+++ b/crates/seamhatchd/tests/links.rs
@@ -81,7 +81,7 @@
         self.intake_changed.notified()
     }
 
-    fn peer_pulse(&self, _service: &str, _peer: Address, _pulse: &Pulse) {}
+    fn heartbeat_received(&self, _service: &str, _peer: Address, _pulse: &Pulse) {}
 
     fn server_report(&self, _service: &str, _peer: Address, _report: ServerReport) {}
 
