--- a/crates/seamhatchd/src/link_host.rs
+++ b/crates/seamhatchd/src/link_host.rs
@@ -43,7 +43,7 @@
             turn: self.server.notices.turn_of(peer),
             notice: self.server.notices.to_tell(),
             pace: self.server.gate.pace(),
-            ends: self.intake.phase() != IntakePhase::Open,
+            is_stopping: self.intake.phase() != IntakePhase::Open,
         }
     }
 
--- a/crates/seamhatchd/src/peer/connection.rs
+++ b/crates/seamhatchd/src/peer/connection.rs
@@ -106,7 +106,7 @@
     /// Holds the view while it sends, so that no call follows the answer to a farewell.
     fn send_unless_ending(&self, head: CallHead) -> Result<(), LinkClosed> {
         let mut view = self.state.view();
-        if view.ends {
+        if view.is_stopping {
             return Err(LinkClosed);
         }
         view.note_sent(clock::now());
--- a/crates/seamhatchd/src/peer/host.rs
+++ b/crates/seamhatchd/src/peer/host.rs
@@ -34,7 +34,7 @@
     /// How long work takes at the back end, where it tells that.
     pub pace: Option<ServerPace>,
     /// The daemon is about to end and takes no more calls.
-    pub ends: bool,
+    pub is_stopping: bool,
 }
 
 /// The daemon at this end of its connections. Its methods are called for each message and must not block.
--- a/crates/seamhatchd/src/peer/view.rs
+++ b/crates/seamhatchd/src/peer/view.rs
@@ -18,7 +18,7 @@
     /// Which calls its server gets.
     pub intake: CallIntake,
     /// It is about to end, and no call may be sent to it any more.
-    pub(super) ends: bool,
+    pub(super) is_stopping: bool,
     /// State of its server; none before the first report.
     pub server: Option<ServerReport>,
     /// When its process ends, while it drains.
@@ -42,7 +42,7 @@
         Self {
             last_heard: now,
             intake: CallIntake::Open,
-            ends: false,
+            is_stopping: false,
             server: None,
             leaves_at: now,
             turn: None,
@@ -138,7 +138,7 @@
         let now = clock::now();
         self.clock.observe(pulse.clock, now);
         self.intake = pulse.intake;
-        self.ends |= pulse.farewell == Some(Farewell::Said);
+        self.is_stopping |= pulse.farewell == Some(Farewell::Said);
         if let CallIntake::FallbackOnly { left } = pulse.intake {
             self.leaves_at = now.plus(left);
         }
--- a/crates/seamhatchd/tests/links.rs
+++ b/crates/seamhatchd/tests/links.rs
@@ -73,7 +73,7 @@
             turn: None::<TurnReport>,
             notice: None,
             pace: None,
-            ends: false,
+            is_stopping: false,
         }
     }
 
