--- a/crates/seamhatchd/src/peer/link.rs
+++ b/crates/seamhatchd/src/peer/link.rs
@@ -206,7 +206,8 @@
     peer: Address,
     to_peer_clock: &impl Fn(Instant) -> Instant,
 ) -> Pulse {
-    let LocalState { generation, intake, server, proof, turn, notice, pace, is_stopping } = host.local_state(peer);
+    let LocalState { generation, intake, server, proof, turn, notice, pace, is_stopping } =
+        host.local_state(peer);
     let proof = proof.map(|proof| FreshnessProof { at: to_peer_clock(proof.at), ..proof });
     let farewell = is_stopping.then_some(Farewell::Said);
     Pulse { clock: clock::now(), generation, intake, server, proof, turn, notice, farewell, pace }
--- a/crates/seamhatchd/src/peer/mod.rs
+++ b/crates/seamhatchd/src/peer/mod.rs
@@ -7,7 +7,6 @@
 mod call;
 mod connection;
 mod credit;
-mod farewells;
 mod handshake;
 mod host;
 mod incoming;
@@ -16,16 +15,17 @@
 mod outgoing_calls;
 mod pending_replies;
 mod pool;
+mod shutdown_acks;
 mod upkeep;
 mod view;
 
 pub use call::{AnswerBody, AnswerPiece, CallEvent, CallStream};
 pub use connection::PeerConnection;
 pub use credit::{CreditWindow, owed_credit};
-pub use farewells::{AwaitedFarewell, Farewells};
 pub use host::{LinkHost, LocalState};
 pub use link::{LinkClosed, Outbox, UnwrittenMessages};
 pub use pool::{PeerPool, PeerUnreachable, PoolReader};
+pub use shutdown_acks::{PendingShutdownAck, ShutdownAcks};
 pub use view::PeerView;
 
 /// Bytes of a body that may be sent before its receiver gives credit.
--- a/crates/seamhatchd/src/peer_server/session.rs
+++ b/crates/seamhatchd/src/peer_server/session.rs
@@ -8,7 +8,7 @@
 use crate::base::metrics::BadInput;
 use crate::intake::RequestEntry;
 use crate::limits::quota;
-use crate::peer::{AwaitedFarewell, CreditWindow, Outbox, owed_credit};
+use crate::peer::{CreditWindow, Outbox, PendingShutdownAck, owed_credit};
 use crate::peer_server::call::ServerCall;
 use crate::peer_server::incoming_calls::{IncomingCall, IncomingCalls};
 use crate::server::backend;
@@ -63,7 +63,7 @@
     pub(super) hello: Hello,
     pub(super) calls: IncomingCalls,
     pub(super) peer_clock: SenderClock,
-    pub(super) farewell: AwaitedFarewell,
+    pub(super) farewell: PendingShutdownAck,
 }
 
 impl Session {
@@ -107,7 +107,7 @@
     fn handle_pulse(&self, pulse: &Pulse) {
         self.peer_clock.observe(pulse.clock);
         if pulse.farewell == Some(Farewell::Heard) {
-            self.farewell.note_heard();
+            self.farewell.acknowledge();
         }
         pulse.proof.into_iter().for_each(|proof| self.shared.limits.freshness.prove(proof));
         self.shared.control.note_peer_generation(self.hello.peer, pulse.generation);
--- a/crates/seamhatchd/src/shared.rs
+++ b/crates/seamhatchd/src/shared.rs
@@ -15,7 +15,7 @@
 use crate::limits::chain_costs::ChainCosts;
 use crate::limits::entry_floors::EntryFloors;
 use crate::limits::quota::QuotaContext;
-use crate::peer::{Farewells, PeerPool, UnwrittenMessages};
+use crate::peer::{PeerPool, ShutdownAcks, UnwrittenMessages};
 use crate::server::ServerSide;
 use crate::server::crashes::{CrashContext, SuspectBook};
 use crate::settings::Settings;
@@ -48,7 +48,7 @@
     /// Messages to other daemons that are not written yet.
     pub unwritten: UnwrittenMessages,
     /// Daemons that may send calls here and have not heard that this one ends.
-    pub farewells: Farewells,
+    pub farewells: ShutdownAcks,
     /// Connections to other daemons.
     pub pool: Arc<PeerPool>,
     /// Claims, as a witness and as a claimant.
--- a/crates/seamhatchd/src/startup.rs
+++ b/crates/seamhatchd/src/startup.rs
@@ -19,7 +19,7 @@
 use crate::limits::retry_budget::RetryBudget;
 use crate::limits::service_floors::ServiceFloors;
 use crate::listeners::Listeners;
-use crate::peer::{Farewells, PeerPool, UnwrittenMessages};
+use crate::peer::{PeerPool, ShutdownAcks, UnwrittenMessages};
 use crate::peer_server;
 use crate::ports::Ports;
 use crate::reload;
@@ -188,7 +188,7 @@
         lifecycle: DaemonLifecycle::starting(settings.grace),
         intake: Arc::default(),
         unwritten: UnwrittenMessages::default(),
-        farewells: Farewells::default(),
+        farewells: ShutdownAcks::default(),
         next_call: AtomicU64::new(1),
         metrics,
         settings,
--- a/crates/seamhatchd/src/stop/mod.rs
+++ b/crates/seamhatchd/src/stop/mod.rs
@@ -116,7 +116,7 @@
 /// `longest` has passed since `started`.
 async fn until_peers_know(shared: &Shared, started: Instant, longest: Duration) {
     let due = longest.min(passed_since(started) + LONGEST_TO_KNOW);
-    while shared.farewells.awaited() > 0 && passed_since(started) < due {
+    while shared.farewells.pending() > 0 && passed_since(started) < due {
         tokio::time::sleep(DRAIN_POLL).await;
     }
 }
