--- a/crates/seamhatchd/src/dispatch/suspects.rs
+++ b/crates/seamhatchd/src/dispatch/suspects.rs
@@ -43,7 +43,7 @@
     /// Reports a run as evidence against its request, and those that were lost with it, where the daemon that got them has ended.
     /// Before the caller is answered, as its next attempt may come at once.
     pub(super) async fn report_lost_daemon(&self, connection: &PeerConnection, run: LostRun) {
-        let runs = connection.lost_runs(run).await;
+        let runs = connection.record_lost_run(run).await;
         if !runs.is_empty() {
             self.shared.crash_context().daemon_lost(connection.address, connection.incarnation, &runs);
         }
--- a/crates/seamhatchd/src/peer/connection.rs
+++ b/crates/seamhatchd/src/peer/connection.rs
@@ -181,7 +181,7 @@
 
     /// Records a call that was lost with this connection. Returns all that were lost so far and that nobody has reported, where the
     /// daemon has ended without having said that it leaves.
-    pub async fn lost_runs(&self, run: LostRun) -> Vec<LostRun> {
+    pub async fn record_lost_run(&self, run: LostRun) -> Vec<LostRun> {
         let leaves = self.with_view(|view| view.intake != CallIntake::Open);
         if self.is_open() || leaves {
             return Vec::new();
