--- a/crates/seamhatchd/src/dispatch/attempt.rs
+++ b/crates/seamhatchd/src/dispatch/attempt.rs
@@ -48,7 +48,7 @@
             // Closed between the choice and here: nothing was written.
             return Err(AttemptFailure::Refused(not_sent(self.ledger_entry.handed_over)));
         };
-        self.request.progress.reach(RequestStage::Sent(connection.address));
+        self.request.progress.set_stage(RequestStage::Sent(connection.address));
         for piece in &self.body.prefix {
             stream.send_piece(piece);
         }
--- a/crates/seamhatchd/src/intake/progress.rs
+++ b/crates/seamhatchd/src/intake/progress.rs
@@ -110,7 +110,7 @@
     }
 
     /// It has come this far.
-    pub fn reach(&self, stage: RequestStage) {
+    pub fn set_stage(&self, stage: RequestStage) {
         *lock(&self.stage) = stage;
     }
 }
--- a/crates/seamhatchd/src/listeners/responses.rs
+++ b/crates/seamhatchd/src/listeners/responses.rs
@@ -28,7 +28,7 @@
         answer: Answer,
         taken: TakenRequest,
     ) -> Response<CallerBody> {
-        request.progress.reach(RequestStage::Answering(answer.server));
+        request.progress.set_stage(RequestStage::Answering(answer.server));
         let took = clock::now().since(request.arrived);
         self.shared.metrics.request_ended(Outcome::Answered, request.class, took);
         info!(
@@ -79,7 +79,7 @@
 
     /// The daemon's own answer to a request that no back end answers.
     pub(super) fn reject(&self, request: &RequestState, rejection: &Rejection) -> Response<CallerBody> {
-        request.progress.reach(RequestStage::Refused);
+        request.progress.set_stage(RequestStage::Refused);
         let took = clock::now().since(request.arrived);
         self.shared.metrics.refusal(rejection.outcome, rejection.reason, request.class);
         self.shared.metrics.request_ended(rejection.outcome, request.class, took);
--- a/crates/seamhatchd/src/peer_server/call/execute.rs
+++ b/crates/seamhatchd/src/peer_server/call/execute.rs
@@ -54,7 +54,7 @@
         };
         self.shared.metrics.execution(running.priority.class);
         let work = self.shared.server.crashes.begin(instance.as_ref(), self.head.request, mode);
-        self.reach(RequestStage::Sent);
+        self.set_stage(RequestStage::Sent);
         let run = BackendRun { instance, work, mode, started: clock::now() };
         let exchanged = tokio::select! {
             exchanged = self.exchange(running, &run, registration.header(), body) => exchanged,
@@ -67,8 +67,8 @@
     }
 
     /// Records how far the call has come at the back end beside this daemon.
-    fn reach(&self, stage: impl FnOnce(Address) -> RequestStage) {
-        self.progress.reach(stage(self.shared.settings.advertise.peer));
+    fn set_stage(&self, stage: impl FnOnce(Address) -> RequestStage) {
+        self.progress.set_stage(stage(self.shared.settings.advertise.peer));
     }
 
     /// Refuses a call whose turn at the back end another one can have.
@@ -158,7 +158,7 @@
         if let Some(load) = self.shared.conventions.back_end_load(&answer.headers) {
             permit.note_load(load);
         }
-        self.reach(RequestStage::Answering);
+        self.set_stage(RequestStage::Answering);
         let status = answer.status.as_u16();
         let passed = tokio::select! {
             complete = self.pass_answer(running, run.started, answer, start) => Some(complete),
--- a/crates/seamhatchd/src/peer_server/call/refusal.rs
+++ b/crates/seamhatchd/src/peer_server/call/refusal.rs
@@ -26,7 +26,7 @@
         detail: &str,
         retry_after: Microseconds,
     ) {
-        self.progress.reach(RequestStage::Refused);
+        self.progress.set_stage(RequestStage::Refused);
         self.shared.metrics.refusal(outcome, reason, running.priority.class);
         let server = self.shared.server.gate.report();
         self.log_refusal(running, outcome, reason, detail, server);
