--- a/crates/seamhatchd/src/listeners/ahead.rs
+++ b/crates/seamhatchd/src/listeners/ahead.rs
@@ -2,7 +2,7 @@
 
 use super::body::CallerBody;
 use super::connection::ConnectionRequests;
-use super::head::PlainRequest;
+use super::head::BodilessRequest;
 use super::proxy::{RequestHandler, failed_task};
 use crate::filters::{self, RequestState};
 use crate::intake::{RequestEntry, TakenRequest};
@@ -44,7 +44,7 @@
 
 impl RequestHandler {
     /// Takes a request that was read ahead, and starts it where it may run more than once. None where nothing is taken any more.
-    pub(super) fn start_ahead(self: &Arc<Self>, request: PlainRequest) -> Option<AheadRequest> {
+    pub(super) fn start_ahead(self: &Arc<Self>, request: BodilessRequest) -> Option<AheadRequest> {
         // A daemon that drains ends the connection with the next answer that it can.
         if self.shared.is_draining() {
             return None;
--- a/crates/seamhatchd/src/listeners/connection.rs
+++ b/crates/seamhatchd/src/listeners/connection.rs
@@ -59,7 +59,7 @@
     /// The library has read a request: returns what was done for it ahead.
     pub fn reach(&self, parts: &Parts, body: &Incoming) -> Option<AheadRequest> {
         self.begun.store(true, Ordering::Relaxed);
-        let goes_on = head::goes_on_after(parts);
+        let goes_on = head::keeps_connection_open(parts);
         // Dropped after the lock: the intake has one of its own.
         let mut cancelled = VecDeque::new();
         let mut state = self.lock();
--- a/crates/seamhatchd/src/listeners/head.rs
+++ b/crates/seamhatchd/src/listeners/head.rs
@@ -24,18 +24,18 @@
 
 /// A request at the start of bytes that were read ahead.
 #[derive(Debug)]
-pub enum SentAhead {
+pub enum PipelinedHead {
     /// More bytes are needed.
     Incomplete,
     /// Not one that may be started ahead.
-    Unsuited,
+    Ineligible,
     /// Well-formed, without a body, and its connection goes on after it.
-    Plain(Box<PlainRequest>),
+    Eligible(Box<BodilessRequest>),
 }
 
 /// A well-formed request without a body, after which its connection goes on.
 #[derive(Debug)]
-pub struct PlainRequest {
+pub struct BodilessRequest {
     /// What the library makes of its head, too.
     pub parts: Parts,
     /// Bytes of its head.
@@ -44,7 +44,7 @@
 
 /// Whether bytes whose first `seen` held no whole head may hold one: as the library, this looks for an empty line only.
 #[must_use]
-pub fn may_be_whole(bytes: &[u8], seen: usize) -> bool {
+pub fn may_contain_head_end(bytes: &[u8], seen: usize) -> bool {
     if seen == 0 {
         return !bytes.is_empty();
     }
@@ -66,7 +66,7 @@
 
 /// Whether all these bytes belong to one request, whose head is complete: then, how many of them belong to its body.
 #[must_use]
-pub fn body_bytes_of_one(bytes: &[u8]) -> Option<u64> {
+pub fn single_request_body_bytes(bytes: &[u8]) -> Option<u64> {
     let mut fields = [const { MaybeUninit::uninit() }; HEADER_FIELDS];
     let mut head = httparse::Request::new(&mut []);
     let Ok(Status::Complete(length)) = head.parse_with_uninit_headers(bytes, &mut fields) else {
@@ -94,20 +94,20 @@
 
 /// Reads the request at the start of bytes that were read ahead.
 #[must_use]
-pub fn sent_ahead(bytes: &[u8]) -> SentAhead {
+pub fn parse_pipelined(bytes: &[u8]) -> PipelinedHead {
     let mut fields = [const { MaybeUninit::uninit() }; HEADER_FIELDS];
     let mut head = httparse::Request::new(&mut []);
     let length = match head.parse_with_uninit_headers(bytes, &mut fields) {
         Ok(Status::Complete(length)) => length,
-        Ok(Status::Partial) => return SentAhead::Incomplete,
-        Err(_) => return SentAhead::Unsuited,
+        Ok(Status::Partial) => return PipelinedHead::Incomplete,
+        Err(_) => return PipelinedHead::Ineligible,
     };
     let is_strict = ends_lines_by_both(&bytes[..length]);
     match parts_of(&head) {
-        Some(parts) if is_strict && goes_on_after(&parts) && !has_body(&parts.headers) => {
-            SentAhead::Plain(Box::new(PlainRequest { parts, length }))
+        Some(parts) if is_strict && keeps_connection_open(&parts) && !has_body(&parts.headers) => {
+            PipelinedHead::Eligible(Box::new(BodilessRequest { parts, length }))
         }
-        _ => SentAhead::Unsuited,
+        _ => PipelinedHead::Ineligible,
     }
 }
 
@@ -134,7 +134,7 @@
 
 /// Whether a connection serves further requests after this one.
 #[must_use]
-pub fn goes_on_after(parts: &Parts) -> bool {
+pub fn keeps_connection_open(parts: &Parts) -> bool {
     let named = |text: &str| text.split(',').any(|option| !option.trim().eq_ignore_ascii_case("keep-alive"));
     let mut options = parts.headers.get_all(CONNECTION).iter();
     parts.version == Version::HTTP_11
--- a/crates/seamhatchd/src/listeners/read_ahead.rs
+++ b/crates/seamhatchd/src/listeners/read_ahead.rs
@@ -5,7 +5,7 @@
 //! may be read when is decided by [`seamhatch_core::pipeline`]. A connection on which nothing is sent ahead has no buffer.
 
 use super::connection::ConnectionRequests;
-use super::head::{self, HeadEnd, SentAhead};
+use super::head::{self, HeadEnd, PipelinedHead};
 use super::proxy::RequestHandler;
 use bytes::{Buf, BytesMut};
 use futures_util::FutureExt;
@@ -124,7 +124,7 @@
             }
             let all = buffer.filled().len();
             let bytes = &buffer.filled()[all - count..];
-            if let Some(body_bytes) = head::body_bytes_of_one(bytes) {
+            if let Some(body_bytes) = head::single_request_body_bytes(bytes) {
                 self.connection.give_head(body_bytes);
                 return Poll::Ready(Ok(()));
             }
@@ -134,7 +134,7 @@
         loop {
             let end = match self.connection.next_head_bytes() {
                 Some(length) => HeadEnd::At(length),
-                None if head::may_be_whole(&self.ahead, self.seen) => head::head_end(&self.ahead),
+                None if head::may_contain_head_end(&self.ahead, self.seen) => head::head_end(&self.ahead),
                 None => HeadEnd::Incomplete,
             };
             match end {
@@ -182,16 +182,16 @@
     fn start_ahead(&mut self) {
         while !self.unsuited && self.connection.may_start() {
             let rest = &self.ahead[self.started..];
-            if !head::may_be_whole(rest, self.seen) {
+            if !head::may_contain_head_end(rest, self.seen) {
                 return;
             }
-            match head::sent_ahead(rest) {
-                SentAhead::Incomplete => {
+            match head::parse_pipelined(rest) {
+                PipelinedHead::Incomplete => {
                     self.seen = rest.len();
                     return;
                 }
-                SentAhead::Unsuited => self.unsuited = true,
-                SentAhead::Plain(request) => {
+                PipelinedHead::Ineligible => self.unsuited = true,
+                PipelinedHead::Eligible(request) => {
                     let length = request.length;
                     let Some(request) = self.handler.start_ahead(*request) else { return };
                     self.connection.start(request);
--- a/crates/seamhatchd/tests/heads.rs
+++ b/crates/seamhatchd/tests/heads.rs
@@ -8,7 +8,8 @@
 use hyper_util::rt::TokioIo;
 use proptest::prelude::*;
 use seamhatchd::listeners::head::{
-    HEADER_FIELDS, HeadEnd, SentAhead, body_bytes_of_one, head_end, may_be_whole, sent_ahead,
+    HEADER_FIELDS, HeadEnd, PipelinedHead, head_end, may_contain_head_end, parse_pipelined,
+    single_request_body_bytes,
 };
 use std::convert::Infallible;
 use std::sync::{Arc, Mutex};
@@ -25,10 +26,10 @@
 }
 
 fn taken(bytes: &[u8]) -> Taken {
-    match sent_ahead(bytes) {
-        SentAhead::Plain(_) => Taken::Started,
-        SentAhead::Unsuited => Taken::Left,
-        SentAhead::Incomplete => Taken::WaitsForMore,
+    match parse_pipelined(bytes) {
+        PipelinedHead::Eligible(_) => Taken::Started,
+        PipelinedHead::Ineligible => Taken::Left,
+        PipelinedHead::Incomplete => Taken::WaitsForMore,
     }
 }
 
@@ -88,7 +89,7 @@
         ("no request", "no request\r\n\r\n".to_owned(), None),
     ];
     for (name, bytes, expected) in cases {
-        assert_eq!(body_bytes_of_one(bytes.as_bytes()), expected, "{name}");
+        assert_eq!(single_request_body_bytes(bytes.as_bytes()), expected, "{name}");
     }
 }
 
@@ -98,7 +99,7 @@
     for head in [PLAIN, "GET / HTTP/1.1\nhost: x\n\n", "GET / HTTP/1.1\r\nhost: x\n\r\n"] {
         let bytes = head.as_bytes();
         for seen in 1..bytes.len() {
-            assert!(may_be_whole(bytes, seen), "{head:?} after {seen}");
+            assert!(may_contain_head_end(bytes, seen), "{head:?} after {seen}");
             assert_eq!(head_end(&bytes[..seen]), HeadEnd::Incomplete, "{head:?} until {seen}");
         }
         assert_eq!(head_end(bytes), HeadEnd::At(bytes.len()));
@@ -195,7 +196,7 @@
     /// What is started ahead is read by the library in the same way, has no body, and the next request begins where it ends.
     #[test]
     fn the_library_reads_what_is_started_ahead(bytes in heads()) {
-        let SentAhead::Plain(plain) = sent_ahead(&bytes) else { return Ok(()) };
+        let PipelinedHead::Eligible(plain) = parse_pipelined(&bytes) else { return Ok(()) };
         let mut followed = bytes[..plain.length].to_vec();
         followed.extend_from_slice(b"GET /next HTTP/1.1\r\n\r\n");
         let read = read_by_the_library(&followed);
