--- a/crates/seamhatchd/src/listeners/admin.rs
+++ b/crates/seamhatchd/src/listeners/admin.rs
@@ -5,7 +5,7 @@
 
 use crate::control::{DrainTarget, SubmitError, SubmitRequest};
 use crate::intake::RequestEntry;
-use crate::listeners::answers::{self, json, typed};
+use crate::listeners::json_http::{self, json, typed};
 use crate::server::crashes::crash_report;
 use crate::shared::Shared;
 use http::{Method, StatusCode};
@@ -236,7 +236,7 @@
 }
 
 async fn read_json<T: serde::de::DeserializeOwned>(body: RequestBody) -> Result<T, WebResponse> {
-    answers::read_json(body, LARGEST_BODY).await.map_err(|unusable| {
+    json_http::read_json(body, LARGEST_BODY).await.map_err(|unusable| {
         let too_large = unusable.status == StatusCode::PAYLOAD_TOO_LARGE;
         problem(unusable.status, if too_large { "too-large" } else { "bad-request" }, unusable.detail)
     })
--- a/crates/seamhatchd/src/listeners/callers.rs
+++ b/crates/seamhatchd/src/listeners/callers.rs
@@ -5,8 +5,8 @@
 //! in force when a connection opens.
 
 use crate::listeners::connection::ConnectionRequests;
+use crate::listeners::graceful_close;
 use crate::listeners::head::HEADER_FIELDS;
-use crate::listeners::last_connections;
 use crate::listeners::proxy::RequestHandler;
 use crate::listeners::read_ahead::WatchedStream;
 use hyper::Request;
@@ -71,7 +71,7 @@
             }
         }
     }
-    match last_connections::close(listener) {
+    match graceful_close::close(listener) {
         Ok(last) => {
             for stream in last {
                 tokio::spawn(serve(stream, handler.clone(), closing.clone()));
--- a/crates/seamhatchd/src/listeners/connection.rs
+++ b/crates/seamhatchd/src/listeners/connection.rs
@@ -7,9 +7,9 @@
 //! The HTTP library takes an answer long before a slow caller does. It flushes its stream once everything that it holds was written; of each
 //! flush [`ConnectionRequests`] is told, lets go of the requests that nothing works on any more, and releases the next head.
 
-use super::ahead::AheadRequest;
 use super::body::{BrokenBody, CallerBody};
 use super::head;
+use super::pipelined::PipelinedRequest;
 use crate::base::lock::lock;
 use crate::intake::TakenRequest;
 use bytes::Bytes;
@@ -38,7 +38,7 @@
     pipeline: Pipeline,
     unwritten: Vec<TakenRequest>,
     /// Those that were taken ahead and that the library has not reached.
-    ahead: VecDeque<AheadRequest>,
+    ahead: VecDeque<PipelinedRequest>,
     /// The library works on a request.
     in_progress: bool,
     /// The library may be given the next head, of which something was read, and has not asked for it yet.
@@ -57,7 +57,7 @@
 
 impl ConnectionRequests {
     /// The library has read a request: returns what was done for it ahead.
-    pub fn reach(&self, parts: &Parts, body: &Incoming) -> Option<AheadRequest> {
+    pub fn reach(&self, parts: &Parts, body: &Incoming) -> Option<PipelinedRequest> {
         self.begun.store(true, Ordering::Relaxed);
         let goes_on = head::keeps_connection_open(parts);
         // Dropped after the lock: the intake has one of its own.
@@ -165,7 +165,7 @@
         self.lock().pipeline.may_start()
     }
 
-    pub(super) fn start(&self, request: AheadRequest) {
+    pub(super) fn start(&self, request: PipelinedRequest) {
         let mut state = self.lock();
         state.pipeline.start(request.repeatable);
         state.ahead.push_back(request);
--- a/crates/seamhatchd/src/listeners/mod.rs
+++ b/crates/seamhatchd/src/listeners/mod.rs
@@ -5,13 +5,13 @@
 //! through [`Listeners::close`].
 
 mod admin;
-mod ahead;
-mod answers;
 mod body;
 mod callers;
 mod connection;
+mod graceful_close;
 pub mod head;
-mod last_connections;
+mod json_http;
+mod pipelined;
 mod proxy;
 mod read_ahead;
 mod registry;
--- a/crates/seamhatchd/src/listeners/ahead.rs
+++ b/crates/seamhatchd/src/listeners/pipelined.rs
@@ -12,7 +12,7 @@
 use tokio::task::JoinHandle;
 
 /// A request that was taken before the library has read it. Dropping it cancels the request.
-pub struct AheadRequest {
+pub struct PipelinedRequest {
     /// Bytes of its head.
     pub head_bytes: usize,
     /// Method and target, by which the library's reading is compared with this one.
@@ -21,10 +21,10 @@
     pub repeatable: bool,
     root: RootId,
     taken: TakenRequest,
-    answer: AheadAnswer,
+    answer: PipelinedAnswer,
 }
 
-enum AheadAnswer {
+enum PipelinedAnswer {
     /// The filters refused it.
     Refused(Box<Response<CallerBody>>),
     /// It runs.
@@ -44,7 +44,7 @@
 
 impl RequestHandler {
     /// Takes a request that was read ahead, and starts it where it may run more than once. None where nothing is taken any more.
-    pub(super) fn start_ahead(self: &Arc<Self>, request: BodilessRequest) -> Option<AheadRequest> {
+    pub(super) fn start_ahead(self: &Arc<Self>, request: BodilessRequest) -> Option<PipelinedRequest> {
         // A daemon that drains ends the connection with the next answer that it can.
         if self.shared.is_draining() {
             return None;
@@ -56,33 +56,33 @@
         state.progress.set_name(state.log_name());
         let root = state.root;
         let answer = match filters::run_chain(&self.chain, &self.shared, &mut state) {
-            Err(rejection) => AheadAnswer::Refused(Box::new(self.reject(&state, &rejection))),
+            Err(rejection) => PipelinedAnswer::Refused(Box::new(self.reject(&state, &rejection))),
             Ok(()) if state.repeatable && state.claim_text.is_none() => {
                 self.shared.metrics.started_ahead.inc();
                 let (handler, state, taken) = (self.clone(), Arc::new(state), taken.clone());
                 let running = async move { handler.answer_filtered(state, None, taken).await };
-                AheadAnswer::Running(RunningAnswer(tokio::spawn(running)))
+                PipelinedAnswer::Running(RunningAnswer(tokio::spawn(running)))
             }
-            Ok(()) => AheadAnswer::InTurn(Arc::new(state)),
+            Ok(()) => PipelinedAnswer::InTurn(Arc::new(state)),
         };
-        let repeatable = !matches!(answer, AheadAnswer::InTurn(_));
-        Some(AheadRequest { head_bytes: request.length, line, repeatable, root, taken, answer })
+        let repeatable = !matches!(answer, PipelinedAnswer::InTurn(_));
+        Some(PipelinedRequest { head_bytes: request.length, line, repeatable, root, taken, answer })
     }
 
     /// The answer to a request that was taken ahead, now that the library has read it.
     pub(super) async fn answer_ahead(
         self: Arc<Self>,
-        request: AheadRequest,
+        request: PipelinedRequest,
         connection: &ConnectionRequests,
     ) -> Response<CallerBody> {
         connection.hold(request.taken.clone());
         match request.answer {
-            AheadAnswer::Refused(response) => *response,
-            AheadAnswer::Running(mut running) => match (&mut running.0).await {
+            PipelinedAnswer::Refused(response) => *response,
+            PipelinedAnswer::Running(mut running) => match (&mut running.0).await {
                 Ok(response) => response,
                 Err(error) => failed_task(request.root, &error),
             },
-            AheadAnswer::InTurn(state) => self.answer_filtered(state, None, request.taken).await,
+            PipelinedAnswer::InTurn(state) => self.answer_filtered(state, None, request.taken).await,
         }
     }
 }
--- a/crates/seamhatchd/src/listeners/proxy.rs
+++ b/crates/seamhatchd/src/listeners/proxy.rs
@@ -9,9 +9,9 @@
 use crate::dispatch::{self, Answer, CallResult, ReplayBody};
 use crate::filters::{self, Entry, FilterChain, Rejection, RequestState};
 use crate::intake::{RequestEntry, RequestStage, TakenRequest};
-use crate::listeners::ahead::AheadRequest;
 use crate::listeners::body::{self, CallerBody};
 use crate::listeners::connection::{ConnectionRequests, WatchedBody};
+use crate::listeners::pipelined::PipelinedRequest;
 use crate::shared::Shared;
 use bytes::Bytes;
 use http::header::{CONNECTION, CONTENT_LENGTH, HOST};
@@ -72,7 +72,7 @@
     pub async fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
-        ahead: Option<AheadRequest>,
+        ahead: Option<PipelinedRequest>,
         connection: Arc<ConnectionRequests>,
     ) -> Result<Response<WatchedBody>, Infallible> {
         let mut response = match ahead {
--- a/crates/seamhatchd/src/listeners/registry.rs
+++ b/crates/seamhatchd/src/listeners/registry.rs
@@ -6,7 +6,7 @@
 use crate::base::metrics::BadInput;
 use crate::control::InstanceAnswer;
 use crate::intake::RequestEntry;
-use crate::listeners::answers::{json, read_json, typed};
+use crate::listeners::json_http::{json, read_json, typed};
 use crate::shared::Shared;
 use http::{Method, StatusCode};
 use log::warn;
--- a/crates/seamhatchd/src/peer/connection.rs
+++ b/crates/seamhatchd/src/peer/connection.rs
@@ -1,7 +1,7 @@
 //! The sending end of a connection to another daemon: calls, claims and control requests go out on it.
 //!
 //! Owns the outbox, the table of calls and requests that wait for their end, and the view of the peer. Opened by the
-//! [`PeerPool`](crate::peer::PeerPool); `handshake` opens it, `incoming` handles what the peer sends, `upkeep` runs
+//! [`PeerPool`](crate::peer::PeerPool); `handshake` opens it, `incoming` handles what the peer sends, `connection_task` runs
 //! its tasks and ends it. Used by dispatch, claims and controllers.
 
 use crate::base::clock;
--- a/crates/seamhatchd/src/peer/handshake.rs
+++ b/crates/seamhatchd/src/peer/handshake.rs
@@ -4,10 +4,10 @@
 //! repeat elsewhere.
 
 use crate::peer::connection::{ConnectionState, PeerConnection};
+use crate::peer::connection_task;
 use crate::peer::host::LinkHost;
 use crate::peer::link::{self, Outbox};
 use crate::peer::pool::PeerPool;
-use crate::peer::upkeep;
 use seamhatch_core::identity::Address;
 use seamhatch_wire::{FrameReader, PeerMessage, WireError, read_preface, write_preface};
 use std::net::{IpAddr, SocketAddr};
@@ -60,7 +60,7 @@
         outbox,
         state: Arc::new(ConnectionState::new(hello.clock)),
     };
-    upkeep::spawn(&connection, pool, host, frames, writing);
+    connection_task::spawn(&connection, pool, host, frames, writing);
     Ok(connection)
 }
 
--- a/crates/seamhatchd/src/peer/mod.rs
+++ b/crates/seamhatchd/src/peer/mod.rs
@@ -1,11 +1,12 @@
 //! Connections that this daemon opens to other daemons, for calls, claims and control requests.
 //!
-//! [`PeerPool`] owns the connections. `handshake` opens a [`PeerConnection`], `upkeep` runs and ends it, `incoming` handles what
+//! [`PeerPool`] owns the connections. `handshake` opens a [`PeerConnection`], `connection_task` runs and ends it, `incoming` handles what
 //! comes back, [`CallStream`] is one call on it. `link` (outbox, writer, heartbeats) and [`CreditWindow`] are shared with the
 //! other end, `peer_server`. Of the daemon around it this module sees only its [`LinkHost`].
 
 mod call;
 mod connection;
+mod connection_task;
 mod credit;
 mod handshake;
 mod host;
@@ -16,7 +17,6 @@
 mod pending_replies;
 mod pool;
 mod shutdown_acks;
-mod upkeep;
 mod view;
 
 pub use call::{AnswerBody, AnswerPiece, CallEvent, CallStream};
