--- a/crates/seamhatchd/src/link_host.rs
+++ b/crates/seamhatchd/src/link_host.rs
@@ -43,7 +43,7 @@
             turn: self.server.notices.turn_of(peer),
             notice: self.server.notices.notice_for_peers(),
             pace: self.server.gate.pace(),
-            ends: self.intake.phase() != IntakePhase::Open,
+            is_stopping: self.intake.phase() != IntakePhase::Open,
         }
     }
 
@@ -51,7 +51,7 @@
         self.lifecycle.work_changed()
     }
 
-    fn peer_pulse(&self, service: &str, peer: Address, pulse: &Pulse) {
+    fn heartbeat_received(&self, service: &str, peer: Address, pulse: &Pulse) {
         pulse.proof.into_iter().for_each(|proof| self.limits.freshness.record(proof));
         if pulse.intake == CallIntake::Closed {
             self.limits.service_floors.forget(service, peer);
--- a/crates/seamhatchd/src/peer/connection.rs
+++ b/crates/seamhatchd/src/peer/connection.rs
@@ -1,7 +1,7 @@
 //! The sending end of a connection to another daemon: calls, claims and control requests go out on it.
 //!
 //! Owns the outbox, the table of calls and requests that wait for their end, and the view of the peer. Opened by the
-//! [`PeerPool`](crate::peer::PeerPool); `handshake` opens it, `incoming` handles what the peer sends, `upkeep` runs
+//! [`PeerPool`](crate::peer::PeerPool); `handshake` opens it, `incoming` handles what the peer sends, `connection_task` runs
 //! its tasks and ends it. Used by dispatch, claims and controllers.
 
 use crate::base::clock;
@@ -106,7 +106,7 @@
     /// Holds the view while it sends, so that no call follows the answer to a farewell.
     fn send_unless_ending(&self, head: CallHead) -> Result<(), LinkClosed> {
         let mut view = self.state.view();
-        if view.ends {
+        if view.is_stopping {
             return Err(LinkClosed);
         }
         view.note_sent(clock::now());
@@ -181,7 +181,7 @@
 
     /// Records a call that was lost with this connection. Returns all that were lost so far and that nobody has reported, where the
     /// daemon has ended without having said that it leaves.
-    pub async fn lost_runs(&self, run: LostRun) -> Vec<LostRun> {
+    pub async fn record_lost_run(&self, run: LostRun) -> Vec<LostRun> {
         let leaves = self.with_view(|view| view.intake != CallIntake::Open);
         if self.is_open() || leaves {
             return Vec::new();
--- a/crates/seamhatchd/src/peer/host.rs
+++ b/crates/seamhatchd/src/peer/host.rs
@@ -34,7 +34,7 @@
     /// How long work takes at the back end, where it tells that.
     pub pace: Option<ServerPace>,
     /// The daemon is about to end and takes no more calls.
-    pub ends: bool,
+    pub is_stopping: bool,
 }
 
 /// The daemon at this end of its connections. Its methods are called for each message and must not block.
@@ -55,7 +55,7 @@
     fn intake_changed(&self) -> Notified<'_>;
 
     /// A heartbeat came from the daemon at `peer`, beside a server of `service`, on a connection opened here.
-    fn peer_pulse(&self, service: &str, peer: Address, pulse: &Pulse);
+    fn heartbeat_received(&self, service: &str, peer: Address, pulse: &Pulse);
 
     /// A peer reported the state of its server beside an answer.
     fn server_report(&self, service: &str, peer: Address, report: ServerReport);
