--- a/crates/seamhatch-core/src/retry/mod.rs
+++ b/crates/seamhatch-core/src/retry/mod.rs
@@ -1,8 +1,8 @@
-//! Retries: how many a request and a daemon may cause, and when a call may be sent again.
+//! Retries: how many a request and a daemon may cause, and when a failed call is sent again.
 //!
-//! Three rules, each in its file: the tokens of one request over its whole chain ([`RetryLedger`]), the share of first
-//! tries that a daemon may repeat at one service ([`RetryRatio`]), and whether a failed attempt is followed by another one
-//! ([`FailedAttempt`]).
+//! Three rules, each in its own file: the retry tokens of one request over its whole chain ([`RetryLedger`]),
+//! the retry budget of a daemon at one service ([`RetryRatio`]), and whether a failed attempt is followed by
+//! another one ([`FailedAttempt`]).
 
 mod budget;
 mod resend;
--- a/crates/seamhatch-core/src/retry/tokens.rs
+++ b/crates/seamhatch-core/src/retry/tokens.rs
@@ -1,32 +1,33 @@
-//! The retry tokens of one request over its whole chain of calls.
+//! Retry tokens of one request over its whole chain of calls.
 //!
-//! Decides whether a dispatch of a call costs a token and whether one is left, and how many tokens travel with a child call.
-//! Inputs are the dispatches of child calls of one running call and how they ended.
+//! Decides whether a dispatch of a call costs a token, whether a token is left, and how many tokens go with a
+//! child call. The inputs are the dispatches of the child calls of one running call and how they ended.
 //!
-//! Tokens are split, never copied: a child gets tokens that leave this ledger, and what it did not spend comes back with its
-//! answer. What went out with a lost answer is spent. So the sum over all ledgers of a request, plus tokens in messages, plus
-//! tokens spent, never exceeds what the root was given: retries caused by one request stay within a fixed total, however deep
-//! the chain is. Alternatives: docs/DESIGN.md#tokens-of-one-request. A model check searches this rule.
+//! Tokens are split, never copied: tokens given to a child leave this ledger, and what the child did not
+//! spend comes back with its answer. Tokens whose answer is lost count as spent. So the tokens in all ledgers
+//! of a request, plus those in messages and those spent, never exceed what the root was given, and the
+//! retries caused by one request stay within a fixed total however deep the chain is. Alternatives:
+//! docs/DESIGN.md#tokens-of-one-request. A model check covers this rule.
 
 use crate::identity::Fingerprint;
 
-/// What a dispatch of a child call means for the daemon that runs it.
+/// Result of registering a dispatch of a child call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Dispatch {
-    /// It cost a token.
+    /// The dispatch cost a token.
     pub charged: bool,
-    /// An earlier dispatch of the same call may have run, so its children may have too.
+    /// An earlier dispatch of the same call may have run, and so may its children.
     pub repeat: bool,
 }
 
-/// How one dispatch of a child call ended, as far as its parent's ledger is concerned.
+/// How one dispatch of a child call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChildEnd {
-    /// A complete answer that is not a failure.
+    /// With a complete answer that is not a failure.
     Succeeded,
-    /// Anything else that may have run.
+    /// In any other way after which the call may have run.
     Failed,
-    /// Proven not run.
+    /// Proven not to have run.
     NotRun,
 }
 
@@ -43,34 +44,36 @@
     may_have_run: bool,
 }
 
-/// The retry tokens that one running call holds, and the child calls it made.
+/// The retry tokens that one running call holds, and the child calls that it made.
 ///
-/// A call that is itself a repeat (`repeat`) of one that may have run has children that may have run too. Each of its child
-/// dispatches costs a token, so that a whole chain does at most `tokens` dispatches beyond its distinct calls, at any depth.
+/// If a call repeats one that may have run (`repeat`), its children may have run too. Each of its child
+/// dispatches then costs a token, so that a whole chain makes at most `tokens` dispatches beyond its distinct
+/// calls, at any depth.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RetryLedger {
     tokens: u32,
     repeat: bool,
-    /// The call has ended, and what was left has gone back.
+    /// The call has ended and its remaining tokens were returned.
     closed: bool,
     children: Vec<Child>,
 }
 
 impl RetryLedger {
-    /// A ledger that holds `tokens`; `repeat` says that this call may have run before.
+    /// Creates a ledger that holds `tokens`; `repeat` tells whether this call may have run before.
     #[must_use]
     pub fn new(tokens: u32, repeat: bool) -> Self {
         Self { tokens, repeat, closed: false, children: Vec::new() }
     }
 
-    /// Tokens that are left.
+    /// Tokens left.
     #[must_use]
     pub fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// Ends the call. Returns the tokens that it did not spend, which go back to its parent. Calls that it still has on their
-    /// way, as when a server breaks off its answer and goes on calling, can't spend them any more.
+    /// Ends the call and returns its unspent tokens, which go back to the parent. Child calls that are still
+    /// in flight, for example of a server that breaks off its answer and goes on calling, cannot spend them
+    /// any more.
     pub fn close(&mut self) -> u32 {
         self.closed = true;
         std::mem::take(&mut self.tokens)
@@ -82,13 +85,13 @@
         self.repeat
     }
 
-    /// Registers a dispatch of the child call `call`, charging a token when it is a retry.
+    /// Registers a dispatch of the child call `call`, charging a token if it is a retry.
     ///
-    /// A call whose earlier dispatches have all succeeded is a new call of the
-    /// same content, not a retry.
+    /// A call whose earlier dispatches have all succeeded counts as a new call with the same content, not as
+    /// a retry.
     ///
     /// # Errors
-    /// [`TokensExhausted`] when it costs a token and none is left; nothing is changed then.
+    /// [`TokensExhausted`] if the dispatch costs a token and none is left; the ledger is unchanged then.
     pub fn begin(&mut self, call: Fingerprint) -> Result<Dispatch, TokensExhausted> {
         let earlier = self.children.iter().position(|child| child.call == call);
         let unresolved = earlier.is_some_and(|index| {
@@ -110,33 +113,33 @@
         Ok(Dispatch { charged, repeat: self.repeat || ran_before })
     }
 
-    /// Charges the daemon's own re-dispatch of a call that is already registered.
+    /// Charges a resend by this daemon of a call that is already registered.
     ///
     /// # Errors
-    /// [`TokensExhausted`] when none is left.
+    /// [`TokensExhausted`] if none is left.
     pub fn spend(&mut self) -> Result<(), TokensExhausted> {
         self.tokens = self.tokens.checked_sub(1).ok_or(TokensExhausted)?;
         Ok(())
     }
 
-    /// Whether a child call was made.
+    /// Whether any child call was made.
     #[must_use]
     pub fn has_children(&self) -> bool {
         !self.children.is_empty()
     }
 
-    /// Removes the share of tokens that goes out with a child call: half, rounded up.
+    /// Takes out the tokens that go with a child call: half of them, rounded up.
     ///
-    /// Rounding up lets a last token travel to the deepest call, nearest to the failure; keeping half leaves this level
-    /// something when the answer is lost.
+    /// Rounding up lets the last token reach the deepest call, which is nearest to the failure; keeping half
+    /// leaves this level some tokens if the answer is lost.
     pub fn hand_over(&mut self) -> u32 {
         let share = self.tokens.div_ceil(2);
         self.tokens -= share;
         share
     }
 
-    /// Adds what a child did not spend, at most what was `handed_over` to it, so that a peer can't create tokens. After the end
-    /// of this call nobody can use them.
+    /// Returns the tokens that a child did not spend, at most the `handed_over` ones, so that a peer cannot
+    /// create tokens. Has no effect once this call has ended.
     pub fn give_back(&mut self, unspent: u32, handed_over: u32) {
         if !self.closed {
             self.tokens += unspent.min(handed_over);
