--- a/crates/seamhatch-core/src/crashes/ledger.rs
+++ b/crates/seamhatch-core/src/crashes/ledger.rs
@@ -1,6 +1,7 @@
-//! What a daemon knows of requests that ran when servers crashed, and what may be done with each.
+//! Evidence that a daemon has against requests that ran during crashes, and the resulting standing of each
+//! request.
 //!
-//! Owns the records of all suspects, bounded in number; [`CrashPolicy`] says which evidence is enough.
+//! Owns the bounded set of records; [`CrashPolicy`] tells which evidence is enough.
 
 use super::{CrashPolicy, InstanceDigest, LostRun, SuspectRecord, SuspectReport};
 use crate::clock::{Instant, Microseconds};
@@ -10,24 +11,25 @@
 /// What may be done with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SuspectStanding {
-    /// Nothing speaks against it.
+    /// There is no evidence against it.
     Clear,
-    /// It may run, but no two copies of it at once: it ran in this many crashes and has not ended well since.
+    /// It may run, but only one copy at a time: it ran in this many crashes and has had no successful run
+    /// since.
     Suspect {
-        /// The crashes.
+        /// Number of crashes.
         crashes: u32,
     },
     /// It is refused.
     Condemned {
-        /// The crashes during which it ran.
+        /// Number of crashes during which it ran.
         crashes: u32,
-        /// When the trial run of one copy may begin; [`Instant::NEVER`] when it has had its trial runs.
+        /// When the trial run of one copy may start; [`Instant::NEVER`] if no trial run is left.
         until: Instant,
     },
 }
 
 impl SuspectStanding {
-    /// Crashes that speak against it.
+    /// Number of crashes that count against the request.
     #[must_use]
     pub fn crashes(self) -> u32 {
         match self {
@@ -40,13 +42,13 @@
 /// What new evidence changes for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EvidenceEffect {
-    /// Nothing: it was known.
+    /// Nothing; the evidence was known.
     Known,
-    /// There is more or less against it than before.
+    /// There is more or less evidence against it than before.
     Changed,
-    /// It is condemned now.
+    /// The evidence condemns it now.
     Condemned,
-    /// It was condemned, and is not any more.
+    /// It was condemned and no longer is.
     Released,
 }
 
@@ -64,24 +66,24 @@
 }
 
 impl CrashLedger {
-    /// Nothing known yet.
+    /// Creates an empty ledger.
     #[must_use]
     pub fn new(policy: CrashPolicy) -> Self {
         Self { policy, entries: HashMap::new() }
     }
 
-    /// Other rules from now on, for what is known already too.
+    /// Replaces the policy, also for evidence that is already known.
     pub fn set_policy(&mut self, policy: CrashPolicy) {
         self.policy = policy;
     }
 
-    /// Records that are kept, cleared ones included.
+    /// Number of records, including cleared ones.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is known.
+    /// Whether no record is kept.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
@@ -93,7 +95,7 @@
         self.entries.get(&request).map_or(SuspectStanding::Clear, |entry| self.standing_of(entry, now))
     }
 
-    /// Time that callers of a condemned request are told to stay away, in microseconds; zero for any other.
+    /// How long callers of a condemned request are told to wait, in microseconds; zero for any other request.
     #[must_use]
     pub fn pause_left(&self, request: RequestDigest, now: Instant) -> Microseconds {
         match self.standing(request, now) {
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Records that a request ran, on trial or not, when an instance of a server ended in a crash.
+    /// Records that a request ran, on trial or not, when an instance of a server crashed.
     pub fn report(
         &mut self,
         life: InstanceDigest,
@@ -110,14 +112,15 @@
         on_trial: bool,
         now: Instant,
     ) -> EvidenceEffect {
-        self.change(request, now, now, |record| record.add(life, on_trial))
+        self.update(request, now, now, |record| record.add(life, on_trial))
     }
 
-    /// Records that a request was at work at a daemon that was lost together with its server, in this run.
+    /// Records that a request ran at a daemon that was lost together with its server.
     ///
-    /// Only those that had calls there can tell, and it looks the same where machines are killed or lose power. So runs that were
-    /// under way together count as one, however many machines are lost: a further loss counts where its run was sent after the one before
-    /// was known. A trial run has counted since it began.
+    /// Only daemons with calls there can report this, and a killed machine or a power failure looks the same
+    /// to them. So runs that were in flight together count as one crash, however many machines are lost: a
+    /// further loss counts only if its run was sent after the previous loss was known. A trial run has
+    /// counted since it was started.
     pub fn report_loss(&mut self, life: InstanceDigest, run: LostRun, now: Instant) -> EvidenceEffect {
         let LostRun { request, sent, isolated } = run;
         let counted = self.entries.get(&request).is_some_and(|entry| {
@@ -130,30 +133,31 @@
         self.report(life, request, isolated, now)
     }
 
-    /// Begins the trial run of a condemned request, named by `mark`: false where the request is not condemned. It counts as a
-    /// crash from now on, so that no daemon begins another one, and none is forgotten that ends its server together with the
-    /// daemon that could tell. A good end clears it.
+    /// Starts the trial run of a condemned request, identified by `mark`; returns `false` if the request is
+    /// not condemned. The trial run counts as a crash from now on, so that no other daemon starts one, and so
+    /// that it is not forgotten if it ends its server together with the daemon that could report it. A
+    /// successful run clears it.
     pub fn begin_trial(&mut self, request: RequestDigest, mark: InstanceDigest, now: Instant) -> bool {
         let is_condemned =
             self.entries.get(&request).is_some_and(|entry| self.policy.condemns(&entry.record));
         if is_condemned {
-            self.change(request, now, now, |record| record.add(mark, true));
+            self.update(request, now, now, |record| record.add(mark, true));
         }
         is_condemned
     }
 
-    /// Takes back a trial run that its server did not begin.
+    /// Withdraws a trial run that the server did not start.
     pub fn withdraw_trial(&mut self, request: RequestDigest, mark: InstanceDigest) {
         if let Some(entry) = self.entries.get_mut(&request) {
             entry.record.withdraw(mark);
         }
     }
 
-    /// Records that a request has ended well, or that an operator clears it.
+    /// Records a successful run of a request, or that an operator clears it.
     pub fn clear(&mut self, request: RequestDigest, now: Instant) -> EvidenceEffect {
         let Some(entry) = self.entries.get_mut(&request) else { return EvidenceEffect::Known };
         let condemned = self.policy.condemns(&entry.record);
-        // Others may still report a crash that they know of: the record stays, so that it is known as cleared.
+        // The record is kept as cleared, since other daemons may still report crashes that it contains.
         match (entry.record.clear(), condemned) {
             (false, _) => EvidenceEffect::Known,
             (true, true) => {
@@ -164,23 +168,23 @@
         }
     }
 
-    /// Records what another daemon knows.
+    /// Merges the evidence of another daemon.
     pub fn merge(&mut self, report: &SuspectReport, now: Instant) -> EvidenceEffect {
         let at = now.minus(report.age);
-        if self.policy.lapses(&report.record) && now.since(at) > self.policy.memory {
+        if self.policy.expires(&report.record) && now.since(at) > self.policy.evidence_lifetime {
             return EvidenceEffect::Known;
         }
-        self.change(report.record.request, at, now, |record| record.merge(&report.record))
+        self.update(report.record.request, at, now, |record| record.merge(&report.record))
     }
 
-    /// What is known of these requests, for other daemons.
+    /// Evidence on these requests, to be sent to other daemons.
     #[must_use]
     pub fn reports(&self, requests: &[RequestDigest], now: Instant) -> Vec<SuspectReport> {
         let entries = requests.iter().filter_map(|request| self.entries.get(request));
         entries.map(|entry| entry.report(now)).collect()
     }
 
-    /// What is known of the `most` requests with the most crashes, cleared ones included.
+    /// Evidence on the `most` requests with the most crashes, including cleared ones.
     #[must_use]
     pub fn with_most_crashes(&self, most: usize, now: Instant) -> Vec<SuspectReport> {
         let mut entries: Vec<&LedgerEntry> = self.entries.values().collect();
@@ -188,7 +192,7 @@
         entries.into_iter().take(most).map(|entry| entry.report(now)).collect()
     }
 
-    /// Requests with open crashes and what may be done with them, those with the most crashes first.
+    /// Requests with open crashes and their standing, those with the most crashes first.
     #[must_use]
     pub fn suspects(&self, now: Instant) -> Vec<(RequestDigest, SuspectStanding)> {
         let entries = self.entries.values();
@@ -198,15 +202,15 @@
         suspects
     }
 
-    /// Forgets what is too old to count.
+    /// Removes expired evidence.
     pub fn forget_old(&mut self, now: Instant) {
         let policy = self.policy;
-        self.entries.retain(|_, entry| !entry.has_lapsed(&policy, now));
+        self.entries.retain(|_, entry| !entry.has_expired(&policy, now));
     }
 
     fn standing_of(&self, entry: &LedgerEntry, now: Instant) -> SuspectStanding {
         let crashes = entry.record.open_crashes();
-        if crashes == 0 || entry.has_lapsed(&self.policy, now) {
+        if crashes == 0 || entry.has_expired(&self.policy, now) {
             return SuspectStanding::Clear;
         }
         let until = match self.policy.has_trials(&entry.record) {
@@ -219,8 +223,8 @@
         SuspectStanding::Suspect { crashes }
     }
 
-    /// Changes a record, which is made where there is none. `at` is the time of the evidence.
-    fn change(
+    /// Updates a record, creating it if there is none. `at` is the time of the evidence.
+    fn update(
         &mut self,
         request: RequestDigest,
         at: Instant,
@@ -238,7 +242,7 @@
         }
         entry.last_crash = entry.last_crash.max(at);
         let after = self.policy.condemns(&entry.record);
-        self.make_room(now);
+        self.evict_excess(now);
         match (before, after) {
             (false, true) => EvidenceEffect::Condemned,
             (true, false) => EvidenceEffect::Released,
@@ -246,7 +250,7 @@
         }
     }
 
-    fn make_room(&mut self, now: Instant) {
+    fn evict_excess(&mut self, now: Instant) {
         if self.entries.len() <= self.policy.most_suspects {
             return;
         }
@@ -261,7 +265,7 @@
             [(condemned, self.policy.most_condemned), (suspects, self.policy.most_suspects)]
         {
             list.sort_unstable();
-            // An eighth more, so that a flood doesn't sort the list each time.
+            // Drops an eighth more than needed, so that a flood of suspects does not sort the list each time.
             let dropped = if list.len() > most { list.len() - most + most / 8 } else { 0 };
             for (_, _, request) in list.into_iter().take(dropped) {
                 self.entries.remove(&request);
@@ -275,7 +279,7 @@
         SuspectReport { record: self.record.clone(), age: now.since(self.last_crash) }
     }
 
-    fn has_lapsed(&self, policy: &CrashPolicy, now: Instant) -> bool {
-        policy.lapses(&self.record) && now.since(self.last_crash) > policy.memory
+    fn has_expired(&self, policy: &CrashPolicy, now: Instant) -> bool {
+        policy.expires(&self.record) && now.since(self.last_crash) > policy.evidence_lifetime
     }
 }
--- a/crates/seamhatch-core/src/crashes/policy.rs
+++ b/crates/seamhatch-core/src/crashes/policy.rs
@@ -1,4 +1,5 @@
-//! Which evidence condemns a request, for how long, how often it is tried again, and what is forgotten.
+//! Limits for condemning a request: the evidence needed, the pauses, the number of trial runs, and what is
+//! forgotten.
 
 use super::SuspectRecord;
 use crate::clock::{Microseconds, SECOND};
@@ -6,36 +7,38 @@
 /// When a request is condemned, and for how long.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CrashPolicy {
-    /// Crashes without a good end between them after which a request isn't sent to servers any more, where the last one
-    /// happened on its trial.
+    /// Crashes without a successful run in between that condemn a request, if at least one of them happened
+    /// on trial.
     pub condemned_after: u32,
-    /// Pause after the crash that condemned it, before the trial run of one copy. Doubled by each further crash.
+    /// Pause between the condemning crash and the trial run of one copy. Each further crash doubles it.
     pub first_pause: Microseconds,
-    /// Crashes on trial runs after which there are no more of them.
+    /// Crashes on trial after which no trial run follows.
     pub most_trials: u32,
-    /// Longest such pause.
+    /// Upper bound of the doubled pause.
     pub longest_pause: Microseconds,
-    /// How long evidence of fewer crashes than condemn a request counts after the last one.
-    pub memory: Microseconds,
-    /// Requests that are kept as suspects; the ones with the least and oldest evidence are dropped first.
+    /// How long evidence of fewer crashes than condemn a request counts after the last crash.
+    pub evidence_lifetime: Microseconds,
+    /// Maximum number of requests that are kept as suspects; those with the least and oldest evidence are
+    /// dropped first.
     pub most_suspects: usize,
-    /// Requests that are kept as condemned. Suspects never push one of them out.
+    /// Maximum number of requests that are kept as condemned. Suspects never displace them.
     pub most_condemned: usize,
 }
 
 impl Default for CrashPolicy {
     fn default() -> Self {
         Self {
-            // One crash makes a suspect of every call that ran; a third one, alone among its kind, is no accident. Without
-            // the trial run, a popular request whose copies ran at three servers that were lost at once was condemned.
+            // The first crash makes suspects of all calls that ran. A third one while the request runs
+            // isolated is not a coincidence. Without the condition on isolation, a popular request with
+            // copies on three servers that are lost at once would be condemned.
             condemned_after: 3,
-            // A trial run may cost a server that is away for some seconds, once in half a minute.
+            // A trial run may make a server unavailable for some seconds; this limits that to once in 30 s.
             first_pause: 30 * SECOND,
-            // With copies that crash three servers in one moment, the first trial run follows the third crash.
+            // If copies crash three servers at the same time, the first trial run follows the third crash.
             most_trials: 3,
             longest_pause: 3600 * SECOND,
-            memory: 600 * SECOND,
-            // At 80 bytes each, a third of a megabyte.
+            evidence_lifetime: 600 * SECOND,
+            // About a third of a megabyte at 80 bytes each.
             most_suspects: 4096,
             most_condemned: 1024,
         }
@@ -43,23 +46,24 @@
 }
 
 impl CrashPolicy {
-    /// Whether the evidence is enough.
+    /// Whether the evidence condemns the request.
     pub(super) fn condemns(&self, record: &SuspectRecord) -> bool {
         record.open_crashes() >= self.condemned_after && record.failed_trials() > 0
     }
 
-    /// Whether a request may have another trial run. Without an end, callers who insist would crash servers for ever.
+    /// Whether the request may have another trial run. Without this bound, callers that keep sending it would
+    /// crash servers indefinitely.
     pub(super) fn has_trials(&self, record: &SuspectRecord) -> bool {
         record.failed_trials() < self.most_trials && record.has_room_for_trial()
     }
 
-    /// Whether the evidence is forgotten with time. What is enough to condemn is not, as each return of the request would
-    /// crash as many servers again; a good end or an operator clears it.
-    pub(super) fn lapses(&self, record: &SuspectRecord) -> bool {
+    /// Whether the evidence expires with time. Evidence that condemns a request does not, since each return
+    /// of the request would crash as many servers again; a successful run or an operator clears it.
+    pub(super) fn expires(&self, record: &SuspectRecord) -> bool {
         record.open_crashes() < self.condemned_after
     }
 
-    /// Pause after this many crashes.
+    /// Pause after this number of crashes.
     #[must_use]
     pub fn pause_after(&self, crashes: u32) -> Microseconds {
         let doublings = crashes.saturating_sub(self.condemned_after).min(20);
--- a/crates/seamhatch-core/src/crashes/quarantine.rs
+++ b/crates/seamhatch-core/src/crashes/quarantine.rs
@@ -1,36 +1,40 @@
-//! Quarantine of suspects: where a suspect runs, beside what, and when its try ends.
+//! Isolation of suspects: on which server a suspect runs, what may run beside it, and when it is not sent
+//! again.
 //!
-//! Decides from the crashes that count against a request ([`super::CrashLedger`]). It protects the servers that have not
-//! crashed yet: all copies of a suspect go to one server, where they run one at a time, and a request of several crashes
-//! runs there alone among its kind, so that the next crash shows which one it was. Alternatives:
-//! docs/DESIGN.md#requests-that-crash-servers. The daemon's part is `seamhatchd::server::crashes` and
-//! `seamhatchd::dispatch::suspects`.
+//! Decides from the crashes that count against a request ([`super::CrashLedger`]). This protects the servers
+//! that have not crashed yet: all copies of a suspect go to one server, where they run one at a time. A
+//! suspect of several crashes is the only such suspect that runs there, so that the next crash identifies the
+//! request. Alternatives: docs/DESIGN.md#requests-that-crash-servers. The daemon's part is
+//! `seamhatchd::server::crashes` and `seamhatchd::dispatch::suspects`.
 
 use crate::identity::RequestDigest;
 use crate::outcome::Reason;
 use crate::rendezvous;
 
-/// Crashes from which on a suspect runs alone among its kind. Each call that was at work in one crash is a suspect, so
+/// Crashes from which on a suspect runs isolated. Every call that ran during a crash makes a suspect, so
 /// suspects of one crash are many and would wait for each other; two crashes leave few.
 const CRASHES_TO_ISOLATE: u32 = 2;
 
-/// Crashes after which a request isn't sent again within the same try. One is most often an accident, and a repeat at
-/// once saves the calls that ran beside the cause.
-const CRASHES_PER_TRY: u32 = 2;
+/// Crashes from which on a failed call is not sent again. A single crash is mostly an accident, and an
+/// immediate resend saves the calls that ran beside the one that caused it.
+const CRASHES_TO_FORBID_RESEND: u32 = 2;
 
-/// Whether a suspect of this many crashes runs alone among the suspects of several crashes.
+/// Whether a suspect with this many crashes runs isolated, without another suspect of several crashes beside
+/// it.
 #[must_use]
 pub fn runs_isolated(crashes: u32) -> bool {
     crashes >= CRASHES_TO_ISOLATE
 }
 
-/// Whether a refusal for `reason`, or the loss of the daemon that was asked, ends the try of a request with this many crashes.
+/// Whether a request with this many crashes is not sent again after a refusal for `reason` or the loss of the
+/// daemon that was asked.
 #[must_use]
 pub fn forbids_resend(reason: Reason, crashes: u32) -> bool {
-    matches!(reason, Reason::BackendCrashed | Reason::PeerLost) && crashes >= CRASHES_PER_TRY
+    matches!(reason, Reason::BackendCrashed | Reason::PeerLost) && crashes >= CRASHES_TO_FORBID_RESEND
 }
 
-/// The server that runs a suspect, the same one at all daemons; `key` names a server the same way everywhere.
+/// The server that runs a suspect. All daemons choose the same one, as `key` identifies a server the same way
+/// everywhere.
 pub fn server_for_suspect<'a, T>(
     request: RequestDigest,
     servers: impl Iterator<Item = &'a T>,
