--- a/crates/seamhatch-core/src/quota/bucket.rs
+++ b/crates/seamhatch-core/src/quota/bucket.rs
@@ -1,25 +1,25 @@
-//! The tokens of one tenant at one shard.
+//! Token bucket of one tenant at one shard.
 
 use super::{SHORTEST_PAUSE, TenantLimit};
 use crate::clock::{Instant, MILLISECOND, Microseconds, SECOND};
 
-/// Longest time after which a daemon that got no token asks the same shard again: the lifetime of a token with the default
-/// window of 5 s and overage of a tenth. Chosen, not measured.
+/// Longest time before a daemon that got no token asks the same shard again: the lifetime of a token with the
+/// default window of 5 s and an overage of a tenth.
 const LONGEST_PAUSE: Microseconds = 500 * MILLISECOND;
 
-/// Span over which the tokens asked for are counted. Chosen, not measured.
+/// Span over which the requested tokens are counted.
 const DEMAND_WINDOW: Microseconds = 500 * MILLISECOND;
 
-/// What the holder of a shard answers.
+/// Answer of the holder of a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuotaGrant {
-    /// Tokens handed out.
+    /// Tokens granted.
     pub tokens: u32,
-    /// Time until asking again, in microseconds; zero where there were some.
+    /// Time before asking again, in microseconds; zero if tokens were granted.
     pub pause: Microseconds,
 }
 
-/// The tokens of one tenant at one shard.
+/// Token bucket of one tenant at one shard.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaBucket {
     tokens: f64,
@@ -30,13 +30,13 @@
 }
 
 impl QuotaBucket {
-    /// An empty bucket: what an earlier holder has handed out is not known.
+    /// Creates an empty bucket, as it is unknown what an earlier holder of the shard has granted.
     #[must_use]
     pub fn empty(now: Instant) -> Self {
         Self { tokens: 0.0, filled_at: now, window_start: now, asked: 0, asked_before: 0 }
     }
 
-    /// Hands out up to `wanted` tokens of the shard's `limit`.
+    /// Grants up to `wanted` tokens within the shard's `limit`.
     pub fn grant(&mut self, limit: TenantLimit, wanted: u32, now: Instant) -> QuotaGrant {
         let passed = now.since(self.filled_at) as f64 / SECOND as f64;
         self.tokens = (self.tokens + passed * limit.rate).min(limit.burst);
@@ -58,7 +58,7 @@
         self.asked = self.asked.saturating_add(wanted);
     }
 
-    /// Until one of those who ask gets the next token, if all ask as often as now.
+    /// Time until one of the asking daemons gets the next token, if all keep asking at the current rate.
     fn pause(&self, limit: TenantLimit) -> Microseconds {
         let waiting = f64::from(self.asked.max(self.asked_before).max(1));
         let missing = (1.0 - self.tokens).max(0.0);
--- a/crates/seamhatch-core/src/quota/cache.rs
+++ b/crates/seamhatch-core/src/quota/cache.rs
@@ -1,12 +1,12 @@
-//! What one daemon holds of one tenant's limit.
+//! Tokens that one daemon holds for one tenant.
 
 use super::{QuotaGrant, ShardNumber};
 use crate::clock::{Instant, Microseconds, SECOND};
 use std::collections::VecDeque;
 
-/// Part of the requests expected within a lifetime that tokens are taken ahead for: the rest may arrive at other daemons.
-/// Chosen, not measured.
-const TAKEN_AHEAD: f64 = 0.5;
+/// Part of the requests expected within a token's lifetime for which tokens are fetched in advance; the rest
+/// may arrive at other daemons.
+const PREFETCH_SHARE: f64 = 0.5;
 
 /// Tokens of one grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -15,39 +15,39 @@
     until: Instant,
 }
 
-/// A token that was taken for a request.
+/// A token taken for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuotaToken {
-    /// When it ceases to count.
+    /// When the token expires.
     pub until: Instant,
 }
 
-/// What one daemon holds of one tenant's limit.
+/// Tokens that one daemon holds for one tenant.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct TokenCache {
     held: VecDeque<HeldTokens>,
-    /// Until when each shard that had no token is not asked again.
+    /// Shards that had no token, and when each may be asked again.
     paused: Vec<(ShardNumber, Instant)>,
     rate: f64,
     last_used: Instant,
 }
 
 impl TokenCache {
-    /// Records that a request has arrived.
+    /// Records the arrival of a request.
     pub fn note_request(&mut self, now: Instant) {
         let passed = now.since(self.last_used) as f64 / SECOND as f64;
-        // The mean over about a second.
+        // Average over about a second.
         self.rate = self.rate * (-passed).exp() + 1.0;
         self.last_used = now;
     }
 
-    /// When it was last used.
+    /// When the cache was last used.
     #[must_use]
     pub fn last_used(&self) -> Instant {
         self.last_used
     }
 
-    /// Takes a token, if there is one that still counts.
+    /// Takes a token that has not expired.
     pub fn take(&mut self, now: Instant) -> Option<QuotaToken> {
         self.held.retain(|held| held.count > 0 && held.until > now);
         let first = self.held.front_mut()?;
@@ -55,18 +55,19 @@
         Some(QuotaToken { until: first.until })
     }
 
-    /// Puts back the token of a request that did not run.
+    /// Returns the token of a request that did not run.
     pub fn put_back(&mut self, token: QuotaToken, now: Instant) {
         if token.until > now {
             self.held.push_front(HeldTokens { count: 1, until: token.until });
         }
     }
 
-    /// How many tokens to ask for: one for the request that waits, and some for the requests expected while they count.
+    /// Number of tokens to ask for: one for the waiting request, and some for the requests expected within
+    /// their lifetime.
     #[must_use]
     pub fn wanted(&self, lifetime: Microseconds) -> u32 {
         let expected = (self.rate - 1.0).max(0.0) * lifetime as f64 / SECOND as f64;
-        1 + (expected * TAKEN_AHEAD) as u32
+        1 + (expected * PREFETCH_SHARE) as u32
     }
 
     /// Records the grant of a shard that was asked at `asked`.
