--- a/crates/seamhatch-core/src/answer_times.rs
+++ b/crates/seamhatch-core/src/answer_times.rs
@@ -1,14 +1,15 @@
-//! How long requests of each kind take from their arrival to a good answer.
+//! Times from the arrival of a request to its successful answer, by kind of request.
 //!
-//! Follows the time that [`EARLY_SHARE`] of each kind stay within, in microseconds. Used for return times ([`crate::entry_floor`]), and by a daemon
-//! that stops for the calls that it still takes ([`crate::drain`]).
+//! Tracks the time within which [`ON_TIME_SHARE`] of the requests of each kind are answered, in microseconds.
+//! Used for return times ([`crate::entry_floor`]), and by a stopping daemon for the calls that it still
+//! accepts ([`crate::drain`]).
 
 use crate::clock::Microseconds;
-use crate::return_time::EARLY_SHARE;
+use crate::return_time::ON_TIME_SHARE;
 use crate::running_quantile::RunningQuantile;
 use std::collections::HashMap;
 
-/// Kinds of requests that are remembered at most; all are forgotten when there are more.
+/// Maximum number of kinds of requests that are remembered; all are forgotten when there are more.
 const MOST_KINDS: usize = 4_096;
 
 /// Answer times by kind of request.
@@ -24,12 +25,12 @@
         match self.0.get_mut(kind) {
             Some(quantile) => quantile.observe(took),
             None => {
-                self.0.insert(kind.to_owned(), RunningQuantile::of(EARLY_SHARE, took));
+                self.0.insert(kind.to_owned(), RunningQuantile::of(ON_TIME_SHARE, took));
             }
         }
     }
 
-    /// The time that most requests of this kind stay within; none before the first.
+    /// The time within which most requests of this kind are answered; `None` before the first.
     #[must_use]
     pub fn quantile(&self, kind: &str) -> Option<Microseconds> {
         self.0.get(kind).map(|quantile| quantile.value())
--- a/crates/seamhatch-core/src/chain_cost.rs
+++ b/crates/seamhatch-core/src/chain_cost.rs
@@ -1,14 +1,16 @@
-//! What a request of each kind costs: the slot time that its chain of calls uses at each service.
+//! Cost of a request by kind: the slot time that its chain of calls uses at each service.
 //!
-//! Decides the bucket of a request from outside where a service on its way sheds. Inputs: the usage that answers report
-//! (slot time by service, summed along the chain), the kind and class of a request, the uniform draw from its root id, and
-//! the service that binds it. Within a class, of two kinds the one that uses less of that service is shed less, in
-//! proportion: a kind of cost `c` is admitted as often as `mean / c`, with the factor bounded on both sides.
+//! Decides the bucket of an external request when a service on its path sheds load. The inputs are the usage
+//! that answers report (slot time by service, summed along the chain), the kind and class of the request, the
+//! uniform draw from its root id, and the service that is its bottleneck. Within a class, a kind that uses
+//! less of that service is shed less, in proportion: a kind of cost `c` is admitted as often as `mean / c`,
+//! with bounds on the factor on both sides.
 //!
-//! It protects the number of answers at a service that is full: a request that makes eight calls there takes the place of
-//! eight that make one. Usage comes from other daemons and may be wrong: one answer moves a mean by its weight only, a
-//! sample is bounded, and the factor has bounds, so that no kind is starved. Alternatives:
-//! docs/DESIGN.md#order-by-cost. The daemon's part is `seamhatchd::limits::chain_costs`.
+//! This keeps up the number of answers of a fully loaded service, since a request that makes eight calls
+//! there displaces eight requests that make one. Usage comes from other daemons and may be wrong. So one
+//! answer moves a mean only by its weight, a sample is bounded, and the factor has bounds, so that no kind is
+//! starved. Alternatives: docs/DESIGN.md#order-by-cost. The daemon's part is
+//! `seamhatchd::limits::chain_costs`.
 
 use crate::clock::{Instant, Microseconds, SECOND};
 use crate::identity::RootId;
@@ -16,47 +18,49 @@
 use speedy::{Readable, Writable};
 use std::collections::HashMap;
 
-/// Costs that were not confirmed for this long are forgotten, as the service may have been removed or the route changed.
+/// Costs that were not confirmed for this long are forgotten, as the service may have been removed or the
+/// route changed.
 const COST_LIFETIME: Microseconds = 60 * SECOND;
 
-/// Kinds of requests that are remembered at most; all are forgotten when there are more.
+/// Maximum number of kinds of requests that are remembered; all are forgotten when there are more.
 const MOST_KINDS: usize = 4_096;
 
-/// Services that an answer reports, and that are remembered for each kind, at most.
+/// Maximum number of services that an answer reports, and that are remembered for each kind.
 pub const MOST_SERVICES: usize = 16;
 
-/// Weight of one answer in the mean of its kind, once there are enough: a wrong answer moves the mean by a sixteenth of the difference.
+/// Weight of one answer in the mean of its kind, after the first ones: a wrong answer moves the mean by a
+/// sixteenth of the difference.
 const ANSWER_WEIGHT: f64 = 1.0 / 16.0;
 
-/// Weight of one request in the mean of its class, once there are enough. It is smaller than that of an answer, as the costs of the kinds
-/// of a class differ.
+/// Weight of one request in the mean of its class, after the first ones. It is smaller than that of an answer
+/// because the costs of the kinds in a class differ.
 const REQUEST_WEIGHT: f64 = 1.0 / 64.0;
 
-/// Most slot time that one answer may report of a service, in milliseconds. What is above counts as this much, so that a
-/// wrong report is outweighed by the answers that follow.
+/// Maximum slot time that one answer may report for a service, in milliseconds. Larger values count as this
+/// one, so that the answers that follow outweigh a wrong report.
 const MOST_SLOT_MS: u32 = 60_000;
 
-/// Bounds of the factor on a bucket. With them, the dearest kind of a class is admitted at least a quarter as often as the
-/// cheapest.
+/// Bounds of the factor on a bucket. They let the most expensive kind of a class be admitted at least a
+/// quarter as often as the cheapest.
 const FACTOR_BOUNDS: (f64, f64) = (0.5, 2.0);
 
 /// What a call and the calls below it have used of one service.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
 pub struct ServiceUsage {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Calls to it.
+    /// Number of calls to the service.
     pub calls: u32,
-    /// Time in milliseconds for which they held their slots, waits for their own calls included.
+    /// Time in milliseconds for which these calls held their slots, including waits for their own calls.
     pub slot_ms: u32,
 }
 
-/// Sum of what the answers to the calls of one call report.
+/// Sum of the usage that the answers to the child calls of one call report.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ChainUsage(Vec<ServiceUsage>);
 
 impl ChainUsage {
-    /// Adds what one answer reports. Of more services than [`MOST_SERVICES`] the greatest are kept.
+    /// Adds the usage that one answer reports. Keeps the [`MOST_SERVICES`] services with the largest usage.
     pub fn add(&mut self, reported: &[ServiceUsage]) {
         for usage in reported.iter().take(MOST_SERVICES) {
             match self.0.iter_mut().find(|known| known.service == usage.service) {
@@ -71,32 +75,32 @@
         self.0.truncate(MOST_SERVICES);
     }
 
-    /// The sum, the greatest first.
+    /// The sum by service, largest first.
     #[must_use]
     pub fn services(&self) -> &[ServiceUsage] {
         &self.0
     }
 }
 
-/// What the kinds of requests cost that come in here.
+/// Costs of the kinds of requests that this daemon receives.
 #[derive(Debug, Default)]
 pub struct ChainCostTable {
     /// Slot time in milliseconds by kind and service, over answered requests.
-    kinds: HashMap<String, HashMap<String, LearntMean>>,
-    /// The same by service and class, over requests that were admitted or refused.
-    classes: HashMap<String, [LearntMean; PriorityClass::ALL.len()]>,
-    /// When old costs were last forgotten.
-    swept: Instant,
+    kinds: HashMap<String, HashMap<String, RunningMean>>,
+    /// Slot time by service and class, over requests that were admitted or refused.
+    classes: HashMap<String, [RunningMean; PriorityClass::ALL.len()]>,
+    /// When expired costs were last removed.
+    last_sweep: Instant,
 }
 
-/// One learnt cost, for operators.
+/// One known cost, for operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KindCost {
     /// Kind of request.
     pub kind: String,
     /// Service whose slots it uses.
     pub service: String,
-    /// Slot time for each answered request, in milliseconds.
+    /// Slot time of an answered request, in milliseconds.
     pub slot_ms: f64,
 }
 
@@ -106,7 +110,7 @@
         if usage.is_empty() {
             return;
         }
-        if now.since(self.swept) > COST_LIFETIME {
+        if now.since(self.last_sweep) > COST_LIFETIME {
             self.forget_old(now);
         }
         if self.kinds.len() >= MOST_KINDS && !self.kinds.contains_key(kind) {
@@ -125,7 +129,7 @@
     }
 
     fn forget_old(&mut self, now: Instant) {
-        self.swept = now;
+        self.last_sweep = now;
         for costs in self.kinds.values_mut() {
             costs.retain(|_, cost| cost.is_fresh(now));
         }
@@ -133,8 +137,9 @@
         self.classes.retain(|_, means| means.iter().any(|mean| mean.is_fresh(now)));
     }
 
-    /// The priority of a request from outside. `bottleneck` is the service with the lowest floor on its way, none where no
-    /// service sheds. The request counts in the mean of its class, whether it is admitted then or not.
+    /// Priority of an external request. `bottleneck` is the service with the lowest floor on its path; `None`
+    /// if no service sheds load. The request counts in the mean of its class, whether it is admitted
+    /// afterwards or not.
     pub fn priority(
         &mut self,
         kind: &str,
@@ -147,7 +152,7 @@
         Priority::scaled(class, root, factor.unwrap_or(1.0))
     }
 
-    /// The `most` dearest of the costs that are known at `now`, the dearest first.
+    /// The `most` highest costs that are known at `now`, the highest first.
     #[must_use]
     pub fn costs(&self, most: usize, now: Instant) -> Vec<KindCost> {
         let mut known: Vec<(f64, &str, &str)> = Vec::new();
@@ -156,10 +161,10 @@
             known.extend(fresh.map(|(service, cost)| (cost.mean, kind.as_str(), service.as_str())));
         }
         known.sort_by(|left, right| {
-            let dearest = right.0.total_cmp(&left.0);
-            dearest.then_with(|| (left.1, left.2).cmp(&(right.1, right.2)))
+            let by_cost = right.0.total_cmp(&left.0);
+            by_cost.then_with(|| (left.1, left.2).cmp(&(right.1, right.2)))
         });
-        // Only what is shown is copied: requests wait for the lock meanwhile.
+        // Copies only what is returned, because requests wait for the lock meanwhile.
         known.truncate(most);
         let owned = |(slot_ms, kind, service): (f64, &str, &str)| KindCost {
             kind: kind.into(),
@@ -169,7 +174,8 @@
         known.into_iter().map(owned).collect()
     }
 
-    /// Cost of the kind over the mean cost of its class at this service; none where its cost is not known.
+    /// Cost of the kind relative to the mean cost of its class at this service; `None` if its cost is not
+    /// known.
     fn factor(&mut self, kind: &str, class: PriorityClass, service: &str, now: Instant) -> Option<f64> {
         let cost = self.kinds.get(kind)?.get(service).filter(|cost| cost.is_fresh(now))?.mean;
         if !self.classes.contains_key(service) {
@@ -181,16 +187,16 @@
     }
 }
 
-/// A mean of the first samples, then an exponential one.
+/// Arithmetic mean of the first samples, exponential moving average afterwards.
 #[derive(Debug, Clone, Copy, Default)]
-struct LearntMean {
+struct RunningMean {
     mean: f64,
     samples: u32,
     confirmed: Instant,
 }
 
-impl LearntMean {
-    /// Adds a sample. What was learnt too long ago counts for nothing.
+impl RunningMean {
+    /// Adds a sample. Earlier samples that have expired are discarded.
     fn add(&mut self, sample: f64, weight: f64, now: Instant) {
         if !self.is_fresh(now) {
             *self = Self::default();
--- a/crates/seamhatch-core/src/entry_floor.rs
+++ b/crates/seamhatch-core/src/entry_floor.rs
@@ -1,15 +1,16 @@
-//! Overload at the entry: which requests from outside are refused on behalf of the services behind it.
+//! Overload at the entry: which external requests are refused on behalf of the services behind it.
 //!
-//! Decides whether a request of one kind (service and route) and priority is admitted, and when a refused one may
-//! return. Inputs: the lowest admission floor that an answer's chain met, the floor of each service that heartbeats
-//! bring (each at most `FLOOR_LIFETIME` old before it begins to rise), and the time that requests of each kind needed
-//! from arrival to a good answer, in microseconds.
+//! Decides whether a request of one kind (service and route) and priority is admitted, and when a refused one
+//! may return. The inputs are the lowest admission floor that the chain of an answer met, the floor of each
+//! service as reported by heartbeats (each valid for `FLOOR_LIFETIME` before it begins to rise), and the time
+//! in microseconds that requests of each kind take from arrival to a successful answer.
 //!
-//! It protects the work done above a service that refuses: a request that would fail at its tenth call is not begun.
-//! Floors are kept by service, not by kind of request: a kind whose answers are rare or slow would otherwise find out by
-//! itself what the others know. One request has the same priority at every daemon, so the entry's verdict is that of the
-//! service below (H. Zhou et al., "Overload Control for Scaling WeChat Microservices", 2018). Alternatives and figures:
-//! docs/DESIGN.md#floors-at-the-entry. The daemon's part is `seamhatchd::filters::entry_floor`.
+//! This saves the work done above a service that refuses: a request that would fail at its tenth call is not
+//! started. Floors are kept by service rather than by kind of request, since a kind whose answers are rare or
+//! slow would otherwise have to find out by itself what others know. A request has the same priority at every
+//! daemon, so the decision of the entry equals that of the service below (H. Zhou et al., "Overload Control
+//! for Scaling WeChat Microservices", 2018). Alternatives and figures: docs/DESIGN.md#floors-at-the-entry.
+//! The daemon's part is `seamhatchd::filters::entry_floor`.
 
 use crate::answer_times::AnswerTimes;
 use crate::clock::{Instant, MILLISECOND, Microseconds};
@@ -17,39 +18,39 @@
 use crate::return_time;
 use std::collections::HashMap;
 
-/// A floor that was not confirmed for this long begins to rise. Chosen, not measured: a little longer than the 400 ms
-/// between the heartbeats of idle daemons.
+/// Time without confirmation after which a floor begins to rise: a little longer than the 400 ms between the
+/// heartbeats of idle daemons.
 const FLOOR_LIFETIME: Microseconds = 500 * MILLISECOND;
 
-/// A higher floor replaces a lower one only when that is older than this, as another server of the service may still
-/// report the lower one.
-const LOWER_COUNTS_FOR: Microseconds = FLOOR_LIFETIME / 4;
+/// A higher floor replaces a lower one only if that is older than this, as another server of the service may
+/// still report the lower one.
+const LOWER_FLOOR_LIFETIME: Microseconds = FLOOR_LIFETIME / 4;
 
-/// Levels that an unconfirmed floor rises in a millisecond: through all 512 in 1.6 s. It rises instead of opening at
-/// once, so that a few requests get through as probes and not a burst. The figure is chosen; that floors rise was
-/// measured at four times the capacity of the deepest service: critical work answered 1.000 in four runs, 0.87 to 0.96
-/// without.
+/// Levels per millisecond by which an unconfirmed floor rises; all 512 levels take 1.6 s. The floor rises
+/// gradually instead of opening at once, so that a few requests get through as probes instead of a burst. At
+/// four times the capacity of the deepest service, the answered share of critical requests is 1.000 with
+/// rising floors and 0.87 to 0.96 without.
 const LEVELS_PER_MILLISECOND: f64 = 0.32;
 
-/// Kinds of requests that are remembered at most; all are forgotten when there are more.
+/// Maximum number of kinds of requests that are remembered; all are forgotten when there are more.
 const MOST_KINDS: usize = 4_096;
 
-/// Services that are remembered as the bounds of one kind of request, the latest ones. Chosen, not measured.
+/// Maximum number of bottleneck services that are remembered for one kind of request, the latest ones.
 const MOST_BOTTLENECKS: usize = 4;
 
-/// What is known of the floors behind the entry.
+/// Known floors of the services behind the entry.
 #[derive(Debug, Default)]
 pub struct EntryFloorTable {
-    /// Floors of the services that shed, or did recently.
-    by_service: HashMap<String, LearntFloor>,
-    /// Services that bound each kind of request.
+    /// Floors of the services that shed load now or did recently.
+    by_service: HashMap<String, KnownFloor>,
+    /// Bottleneck services of each kind of request.
     by_kind: HashMap<String, Vec<String>>,
     answer_times: AnswerTimes,
 }
 
 impl EntryFloorTable {
-    /// Records the lowest floor that the chain of an answered request met, and whose it is; `None` where all services
-    /// were open.
+    /// Records the lowest floor that the chain of an answered request met, with its service; `None` if all
+    /// services were open.
     pub fn learn(&mut self, kind: &str, met: Option<(&str, AdmissionFloor)>, now: Instant) {
         match met {
             Some((service, floor)) => {
@@ -64,23 +65,24 @@
         }
     }
 
-    /// Records what `service` admits. A lower floor counts at once; a higher one only when the known one is old.
+    /// Records the floor of `service`. A lower floor applies at once, a higher one only if the known floor is
+    /// old.
     pub fn learn_service(&mut self, service: &str, floor: AdmissionFloor, now: Instant) {
         let Some(known) = self.by_service.get_mut(service) else {
             if !floor.is_open() {
-                let learnt = LearntFloor { floor, confirmed: now, closed_since: now };
+                let learnt = KnownFloor { floor, confirmed: now, closed_since: now };
                 self.by_service.insert(service.to_owned(), learnt);
             }
             return;
         };
-        let old = now.since(known.confirmed) > LOWER_COUNTS_FOR;
+        let old = now.since(known.confirmed) > LOWER_FLOOR_LIFETIME;
         if floor <= known.at(now) || old {
             let closed_since = if known.at(now).is_open() { now } else { known.closed_since };
-            *known = LearntFloor { floor, confirmed: now, closed_since };
+            *known = KnownFloor { floor, confirmed: now, closed_since };
         }
     }
 
-    /// Records how long a request of this kind took from its arrival to a good answer.
+    /// Records the time from the arrival of a request of this kind to its successful answer.
     pub fn learn_answer_time(&mut self, kind: &str, took: Microseconds) {
         self.answer_times.learn(kind, took);
     }
@@ -91,7 +93,7 @@
         self.closed_floors(kind, priority, now).next().is_none()
     }
 
-    /// The service with the lowest floor among those that bound this kind of request; none where all are open.
+    /// The bottleneck of this kind of request with the lowest floor; `None` if all are open.
     #[must_use]
     pub fn bottleneck(&self, kind: &str, now: Instant) -> Option<&str> {
         let services = self.by_kind.get(kind)?.iter();
@@ -100,8 +102,8 @@
         closed.min_by_key(|(floor, _)| *floor).map(|(_, service)| service.as_str())
     }
 
-    /// When a refused request of this kind and priority should return, before jitter; `objective` is the latency
-    /// objective of its route in microseconds.
+    /// When a refused request of this kind and priority should return, before jitter. `objective` is the
+    /// latency objective of its route in microseconds.
     #[must_use]
     pub fn return_after(
         &self,
@@ -111,9 +113,9 @@
         now: Instant,
     ) -> Microseconds {
         let closed = self.closed_floors(kind, priority, now);
-        let longest = closed.map(|known| now.since(known.closed_since)).max().unwrap_or_default();
-        let usual_answer = self.answer_times.quantile(kind).unwrap_or_default();
-        return_time::after_overload(longest, usual_answer, objective)
+        let closed_for = closed.map(|known| now.since(known.closed_since)).max().unwrap_or_default();
+        let answer_time = self.answer_times.quantile(kind).unwrap_or_default();
+        return_time::after_overload(closed_for, answer_time, objective)
     }
 
     /// Floors that refuse a request of this kind and priority.
@@ -122,7 +124,7 @@
         kind: &str,
         priority: Priority,
         now: Instant,
-    ) -> impl Iterator<Item = &LearntFloor> {
+    ) -> impl Iterator<Item = &KnownFloor> {
         let services = self.by_kind.get(kind).into_iter().flatten();
         let floors = services.filter_map(|service| self.by_service.get(service));
         floors.filter(move |known| !known.at(now).admits(priority))
@@ -143,17 +145,17 @@
     }
 }
 
-/// The floor of one service.
+/// Floor of one service.
 #[derive(Debug, Clone, Copy)]
-struct LearntFloor {
+struct KnownFloor {
     floor: AdmissionFloor,
     confirmed: Instant,
-    /// Since when it has not been open.
+    /// When the floor last ceased to be open.
     closed_since: Instant,
 }
 
-impl LearntFloor {
-    /// The floor as it counts at `now`: once it is old, it rises.
+impl KnownFloor {
+    /// The floor at `now`: an unconfirmed floor rises after its lifetime.
     fn at(&self, now: Instant) -> AdmissionFloor {
         let unconfirmed = now.since(self.confirmed).saturating_sub(FLOOR_LIFETIME);
         let risen = unconfirmed as f64 / MILLISECOND as f64 * LEVELS_PER_MILLISECOND;
--- a/crates/seamhatch-core/src/notice.rs
+++ b/crates/seamhatch-core/src/notice.rs
@@ -1,12 +1,13 @@
-//! Notices: what a back end says of itself in its answers, and which word of it counts.
+//! Notices: what a back end reports about itself in its answers, and which of these reports apply.
 //!
-//! A back end in need names the rate at which it takes requests, for as long as it says so; one that leaves says that too. The answers
-//! of its present instance are the only evidence, and they arrive in any order: an answer that was begun before a change may come after it.
-//! So a tighter word counts at once; a looser one, or none, counts only in an answer to a request that was sent after each tighter word had
-//! come. What is lost with the daemon beside the back end is handed back by the daemons that were told ([`BackEndNotice`]), and counts until
-//! the back end's own first word.
+//! An overloaded back end names the rate at which it takes requests, in each answer for as long as the rate
+//! applies; a back end that leaves reports that too. Only answers of the present instance count, and they
+//! arrive in any order: an answer that was started before a change may arrive after it. So a lower rate
+//! applies at once. A higher rate, or none, applies only from an answer to a request that was sent after the
+//! last answer with each lower rate had arrived. If the daemon beside the back end restarts, the daemons that
+//! know the rate hand it back ([`BackEndNotice`]), and it applies until the back end's first own answer.
 //!
-//! Who calls it: `seamhatchd::server::notices`, and the model check of notices.
+//! Used by `seamhatchd::server::notices` and the model check of notices.
 
 use crate::clock::{Instant, Microseconds};
 use crate::instance::InstanceId;
@@ -14,112 +15,114 @@
 use speedy::{Readable, Writable};
 use std::collections::VecDeque;
 
-/// Handed back words that are kept for instances that have not registered yet, the latest ones.
+/// Maximum number of rates that are kept after being handed back for instances that have not registered yet,
+/// the latest ones.
 const MOST_HANDED_BACK: usize = 8;
-/// Words of the present instance that are kept apart.
-const MOST_WORDS: usize = 8;
+/// Maximum number of rates that are tracked for the present instance.
+const MOST_ANNOUNCEMENTS: usize = 8;
 
-/// The rate that an answer names.
+/// Rate that an answer names.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum NamedRate {
-    /// None.
+    /// The answer names no rate.
     #[default]
     NotNamed,
-    /// At most so many requests, from all daemons together.
+    /// At most this many requests, from all daemons together.
     Named(RequestRate),
-    /// Something that can't be read, which says nothing.
+    /// The value cannot be parsed and is ignored.
     Unreadable,
 }
 
-/// What one answer says of its back end.
+/// What one answer reports about its back end.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AnswerNotice {
-    /// The rate that it names.
+    /// Rate that the answer names.
     pub rate: NamedRate,
-    /// The back end leaves.
+    /// The back end is leaving.
     pub leaving: bool,
-    /// The answer is surely the back end's own, so that what it doesn't say counts too.
+    /// The answer is certainly from the back end itself, so that what it omits counts too.
     pub proven: bool,
-    /// When the caller should come back, where the back end has refused the call and says so.
+    /// When the caller should return, if the back end refused the call and states it.
     pub return_after: Option<Microseconds>,
 }
 
-/// What is known of an instance from its answers, as daemons tell each other.
+/// What is known of an instance from its answers, as daemons exchange it.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
 pub struct BackEndNotice {
-    /// The instance; none where instances don't register.
+    /// The instance; `None` if instances do not register.
     pub instance: Option<InstanceId>,
-    /// The rate that it names.
+    /// Rate that the instance names.
     pub rate: Option<RequestRate>,
-    /// It has said that it leaves.
+    /// The instance has reported that it leaves.
     pub leaving: bool,
 }
 
-/// What an answer changes.
+/// Effect of an answer on the rate in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RateChange {
-    /// Nothing.
+    /// The rate is unchanged.
     Unchanged,
-    /// From now on this rate holds.
+    /// This rate applies from now on.
     HoldTo(RequestRate),
-    /// No rate is named any more.
+    /// No rate applies any more.
     Lifted,
 }
 
 /// A rate that an answer has named.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Word {
+struct Announcement {
     rate: RequestRate,
-    /// When the last such answer came.
-    heard: Instant,
+    /// When the last answer with this rate arrived.
+    received: Instant,
 }
 
-impl Word {
-    /// A rate that was named before this process started: any answer since then is newer.
+impl Announcement {
+    /// A rate that was named before this process started; any answer since then is newer.
     fn handed_back(rate: RequestRate) -> Self {
-        Self { rate, heard: Instant::default() }
+        Self { rate, received: Instant::default() }
     }
 }
 
-/// Which rate the present instance of a back end names.
+/// Tracks which rate the present instance of a back end names.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct RateTracker {
     instance: Option<InstanceId>,
-    /// The word that holds, and looser ones that came later in answers which may have been begun before it; each later and looser than the
-    /// one before.
-    words: Vec<Word>,
-    /// The instance itself has been heard since this process started.
-    heard: bool,
-    /// By instances that have not registered here.
+    /// The rate in force, and higher rates from later answers that may have been started before it was named.
+    /// Each is later and higher than the one before.
+    announcements: Vec<Announcement>,
+    /// The instance itself has answered since this process started.
+    has_answered: bool,
+    /// Rates handed back for instances that have not registered here.
     handed_back: VecDeque<(Option<InstanceId>, RequestRate)>,
 }
 
 impl RateTracker {
-    /// The rate that holds.
+    /// Rate in force.
     #[must_use]
     pub fn rate(&self) -> Option<RequestRate> {
-        self.words.first().map(|word| word.rate)
+        self.announcements.first().map(|announcement| announcement.rate)
     }
 
-    /// The instance that it is about.
+    /// Instance that the rate applies to.
     #[must_use]
     pub fn instance(&self) -> Option<&InstanceId> {
         self.instance.as_ref()
     }
 
-    /// An instance takes calls from now on. Another one than before begins without a rate, unless one was handed back for it.
+    /// Records that an instance takes calls from now on. A new instance starts without a rate, unless one was
+    /// handed back for it.
     pub fn open(&mut self, instance: Option<&InstanceId>) -> RateChange {
         if self.instance.as_ref() == instance {
             return RateChange::Unchanged;
         }
         let before = self.rate();
         self.instance = instance.cloned();
-        self.heard = false;
-        self.words = self.tightest_handed_back().map(Word::handed_back).into_iter().collect();
+        self.has_answered = false;
+        self.announcements = self.lowest_handed_back().map(Announcement::handed_back).into_iter().collect();
         self.change_from(before)
     }
 
-    /// An answer of `instance` has come, to a request that was sent at `sent`.
+    /// Records an answer of `instance` to a request that was sent at `sent`.
     pub fn observe(
         &mut self,
         instance: Option<&InstanceId>,
@@ -132,14 +135,14 @@
         }
         let before = self.rate();
         match notice.rate {
-            NamedRate::Named(rate) => self.hear_rate(rate, sent, now),
-            NamedRate::NotNamed if notice.proven => self.hear_none(sent),
+            NamedRate::Named(rate) => self.observe_rate(rate, sent, now),
+            NamedRate::NotNamed if notice.proven => self.observe_no_rate(sent),
             NamedRate::NotNamed | NamedRate::Unreadable => {}
         }
         self.change_from(before)
     }
 
-    /// Another daemon knows this rate of an instance, from before this process started.
+    /// Records a rate that another daemon knows for an instance from before this process started.
     pub fn hand_back(&mut self, instance: Option<&InstanceId>, rate: RequestRate) -> RateChange {
         if self.instance.as_ref() != instance {
             if self.handed_back.len() == MOST_HANDED_BACK {
@@ -149,14 +152,14 @@
             return RateChange::Unchanged;
         }
         let before = self.rate();
-        if !self.heard && before.is_none_or(|known| rate < known) {
-            self.words = vec![Word::handed_back(rate)];
+        if !self.has_answered && before.is_none_or(|known| rate < known) {
+            self.announcements = vec![Announcement::handed_back(rate)];
         }
         self.change_from(before)
     }
 
-    /// What other daemons are to hand back, should this one restart. Until an instance has registered, that is what was handed back for
-    /// the latest one.
+    /// Rate that other daemons should hand back if this one restarts. Until an instance has registered, it is
+    /// the rate that was handed back for the latest one.
     #[must_use]
     pub fn rate_for_peers(&self) -> Option<(Option<&InstanceId>, RequestRate)> {
         if let Some(rate) = self.rate() {
@@ -166,24 +169,27 @@
         Some((instance.as_ref(), *rate))
     }
 
-    fn hear_rate(&mut self, rate: RequestRate, sent: Instant, now: Instant) {
-        self.heard = true;
-        let tighter = |word: &Word| word.rate < rate;
-        let is_out_of_date = self.words.iter().any(|word| tighter(word) && sent <= word.heard);
-        self.words.retain(|word| is_out_of_date && tighter(word));
-        if self.words.len() == MOST_WORDS {
-            // The two loosest become one, which errs on the tighter side.
-            self.words.pop();
-            self.words.last_mut().into_iter().for_each(|word| word.heard = now);
+    fn observe_rate(&mut self, rate: RequestRate, sent: Instant, now: Instant) {
+        self.has_answered = true;
+        let lower = |announcement: &Announcement| announcement.rate < rate;
+        let is_out_of_date = self
+            .announcements
+            .iter()
+            .any(|announcement| lower(announcement) && sent <= announcement.received);
+        self.announcements.retain(|announcement| is_out_of_date && lower(announcement));
+        if self.announcements.len() == MOST_ANNOUNCEMENTS {
+            // Keeps only the lower one of the two highest rates, which errs on the safe side.
+            self.announcements.pop();
+            self.announcements.last_mut().into_iter().for_each(|announcement| announcement.received = now);
         } else {
-            self.words.push(Word { rate, heard: now });
+            self.announcements.push(Announcement { rate, received: now });
         }
     }
 
-    fn hear_none(&mut self, sent: Instant) {
-        if self.words.iter().all(|word| sent > word.heard) {
-            self.heard = true;
-            self.words.clear();
+    fn observe_no_rate(&mut self, sent: Instant) {
+        if self.announcements.iter().all(|announcement| sent > announcement.received) {
+            self.has_answered = true;
+            self.announcements.clear();
         }
     }
 
@@ -195,10 +201,10 @@
         }
     }
 
-    fn tightest_handed_back(&mut self) -> Option<RequestRate> {
+    fn lowest_handed_back(&mut self) -> Option<RequestRate> {
         let own = self.handed_back.iter().filter(|(instance, _)| *instance == self.instance);
-        let tightest = own.map(|(_, rate)| *rate).min();
+        let lowest = own.map(|(_, rate)| *rate).min();
         self.handed_back.clear();
-        tightest
+        lowest
     }
 }
--- a/crates/seamhatch-core/src/outcome.rs
+++ b/crates/seamhatch-core/src/outcome.rs
@@ -1,7 +1,7 @@
-//! What became of a call, as its sender is told, and why.
+//! Outcome of a call as reported to its sender, and the reason for it.
 //!
-//! These names travel between daemons and appear in answers, logs and metrics. What each reason means for the caller and
-//! for the sender stands in [`crate::refusal`].
+//! These names are sent between daemons and appear in answers, logs and metrics. [`crate::refusal`] defines
+//! what each reason means for the caller and for the sender.
 
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
@@ -11,18 +11,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Readable, Writable, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The back end's own answer.
+    /// The answer of the back end itself.
     Answered,
     /// Proven never to have been written to a back end, now or later.
     NotRun,
-    /// It may have run, may be running or may not have.
+    /// The call may have run, may be running, or may not have run.
     Unknown,
     /// Another dispatch holds this idempotency key.
     Duplicate,
 }
 
 impl Outcome {
-    /// The value of the `Seamhatch-Outcome` header.
+    /// Value of the `Seamhatch-Outcome` header.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Why a call was refused or given up.
+/// Why a call was refused or failed.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
@@ -44,7 +44,7 @@
     BadRequest,
     /// No route or service has this path.
     NoRoute,
-    /// The context header wasn't made by this daemon.
+    /// The context header was not issued by this daemon.
     BadContext,
     /// The daemon has no configuration yet.
     NotReady,
@@ -52,19 +52,19 @@
     Draining,
     /// Refused at the entry because a service below refuses this priority.
     AdmissionFloor,
-    /// The waiting queue is full of more important work.
+    /// The queue is full of more important calls.
     QueueFull,
-    /// A more important request took the place in the waiting queue.
+    /// A more important request took the call's place in the queue.
     Evicted,
-    /// The deadline passed, or would pass before the call could run.
+    /// The deadline has passed, or would pass before the call could run.
     DeadlineExceeded,
-    /// The caller went away while the call was waiting.
+    /// The caller disconnected while the call was waiting.
     Cancelled,
     /// No server of the service can be reached.
     NoServer,
-    /// The request has no retry tokens left for this repeat.
+    /// The request has no retry token left for this repeat.
     RetriesExhausted,
-    /// The daemon's share of retries to this service is used up.
+    /// The daemon's retry budget for this service is used up.
     RetryRatio,
     /// The idempotency key could not be claimed at a majority of its witnesses.
     NoClaimMajority,
@@ -74,17 +74,17 @@
     KeyMismatch,
     /// The connection to the daemon beside the server was lost after the call was sent.
     PeerLost,
-    /// The back end could not be connected to.
+    /// The connection to the back end failed.
     BackendUnreachable,
     /// The back end closed the connection before a complete answer.
     BackendFailed,
-    /// The back end has crashed with the call at work on it.
+    /// The back end crashed while the call ran on it.
     BackendCrashed,
-    /// The back end itself said that it did not run the call.
+    /// The back end itself reported that it did not run the call.
     BackendRefused,
     /// No instance of the back end is registered and ready beside the daemon.
     NoInstance,
-    /// Another instance than the registered one has the back end's address.
+    /// Another instance than the registered one listens at the back end's address.
     OtherInstance,
     /// The request's head is larger than the configuration allows.
     HeadTooLarge,
@@ -92,24 +92,24 @@
     BodyTooLarge,
     /// The request has crashed several servers, so it is not sent to any for now.
     CrashesServers,
-    /// The daemon is beside a server of another service: the sender's membership is out of date.
+    /// The daemon is beside a server of another service; the sender's membership is out of date.
     OtherService,
-    /// The request needs a tenant's key and has none.
+    /// The request requires a tenant's key and has none.
     NoKey,
     /// No tenant has the request's key.
     UnknownKey,
-    /// The daemon can't show that its configuration is new enough to go by a tenant's key.
+    /// The daemon cannot prove that its configuration is new enough to check a tenant's key.
     NoProof,
     /// The request's tenant is at its limit.
     OverQuota,
-    /// Nobody can tell what is left of the tenant's limit.
+    /// No shard of the tenant's limit can be asked.
     NoQuotaShard,
     /// The back end has named a rate, and the call's turn would come too late.
     BackendRate,
 }
 
 impl Reason {
-    /// The value of the `Seamhatch-Reason` header and of the metric label.
+    /// Value of the `Seamhatch-Reason` header and of the metric label.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
--- a/crates/seamhatch-core/src/priority.rs
+++ b/crates/seamhatch-core/src/priority.rs
@@ -1,9 +1,9 @@
 //! Priority: which requests are shed first under overload.
 //!
-//! A request's priority is its class, chosen by the policy program, and a bucket that follows from its root id alone. So every
-//! daemon of a chain gives one request the same verdict, and a chain that is admitted at the entry is admitted all the way
-//! down. An [`AdmissionFloor`] says which priorities a server or a service admits. Alternatives:
-//! docs/DESIGN.md#the-admission-floor.
+//! The priority of a request is its class, set by the policy program, and a bucket derived from its root id.
+//! So every daemon of a chain makes the same decision about a request, and a chain that is admitted at the
+//! entry is admitted all the way down. An [`AdmissionFloor`] tells which priorities a server or a service
+//! admits. Alternatives: docs/DESIGN.md#the-admission-floor.
 
 use crate::identity::RootId;
 use serde::{Deserialize, Serialize};
@@ -11,27 +11,27 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Priority classes, the first shed last.
+/// Priority classes, from the one that is shed last to the one that is shed first.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum PriorityClass {
-    /// Work whose loss harms someone: shed last.
+    /// Work whose loss harms someone; shed last.
     Critical,
-    /// Interactive work of ordinary worth; the default.
+    /// Ordinary interactive work; the default.
     Normal,
     /// Large transfers that can wait.
     Bulk,
-    /// Work nobody is waiting for: shed first.
+    /// Work that nobody waits for; shed first.
     Background,
 }
 
 impl PriorityClass {
-    /// All classes, the most important first.
+    /// All classes, most important first.
     pub const ALL: [Self; 4] = [Self::Critical, Self::Normal, Self::Bulk, Self::Background];
 
-    /// The class's name in policies, logs and metrics.
+    /// Name of the class in policies, logs and metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Position in [`Self::ALL`]; 0 is the most important.
+    /// Position in [`Self::ALL`]; 0 is the most important class.
     #[must_use]
     pub fn rank(self) -> usize {
         self as usize
@@ -55,11 +55,11 @@
     }
 }
 
-/// A class name that no priority class has.
+/// Error for a name that is not a priority class.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("unknown priority class {name:?}: use critical, normal, bulk or background")]
 pub struct UnknownClass {
-    /// The name as given.
+    /// The given name.
     pub name: String,
 }
 
@@ -74,54 +74,55 @@
     }
 }
 
-/// Buckets in a class. Chosen, not measured.
+/// Number of buckets in a class.
 pub const BUCKETS: u8 = 128;
 
-/// Fractions are below 1, so that a factor of 1 leaves the bucket unchanged.
+/// Upper bound of the fraction within a bucket; below 1, so that a factor of 1 leaves the bucket unchanged.
 const GREATEST_FRACTION: f64 = 0.999;
 
-/// A request's place in the order of shedding: class first, then bucket.
+/// Position of a request in the order of shedding: by class, then by bucket. Smaller is more important.
 ///
-/// The entry draws the bucket from the root id, in some deployments scaled by
-/// the request's cost, and it travels with each call, so every daemon of a
-/// chain gives one request the same verdict. Smaller is more important.
+/// The entry draws the bucket from the root id, in some deployments scaled by the cost of the request. It
+/// travels with each call, so every daemon of a chain makes the same decision about a request.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
 pub struct Priority {
-    /// The class that the policy chose.
+    /// Class set by the policy program.
     pub class: PriorityClass,
-    /// 0 to [`BUCKETS`] - 1.
+    /// From 0 to [`BUCKETS`] - 1.
     pub bucket: u8,
 }
 
 impl Priority {
-    /// The priority of a request of `class` with this root id.
+    /// Priority of a request of `class` with this root id.
     #[must_use]
     pub fn new(class: PriorityClass, root: RootId) -> Self {
         Self::scaled(class, root, 1.0)
     }
 
-    /// The same with the bucket scaled by `factor`: below 1 the request is shed later than one of factor 1, above 1
-    /// earlier. What exceeds the last bucket is put into it, so a floor there sheds all of that at once.
+    /// Like [`Self::new`], with the bucket scaled by `factor`: a request with a factor below 1 is shed later
+    /// than one with factor 1, above 1 earlier. Values beyond the last bucket go into it, so a floor there
+    /// sheds all of them at once.
     #[must_use]
     pub fn scaled(class: PriorityClass, root: RootId, factor: f64) -> Self {
         let hash = xxhash_rust::xxh3::xxh3_64(&root.0.to_le_bytes());
         let buckets = u64::from(BUCKETS);
-        // The upper bits of the hash give a fraction within the bucket, so that scaled values reach every bucket.
+        // The upper bits of the hash give a fraction within the bucket, so that scaled values reach every
+        // bucket.
         let fraction = (hash / buckets) as f64 / (u64::MAX / buckets) as f64;
         let drawn = (hash % buckets) as f64 + fraction.min(GREATEST_FRACTION);
-        // The conversion saturates.
+        // The conversion to `u8` saturates.
         Self { class, bucket: ((drawn * factor) as u8).min(BUCKETS - 1) }
     }
 
-    /// Position on a single scale from 0 (most important) upward: class first, then bucket.
+    /// Position on a single scale from 0 (most important): by class, then by bucket.
     #[must_use]
     pub fn level(self) -> u16 {
         self.class.rank() as u16 * u16::from(BUCKETS) + u16::from(self.bucket)
     }
 
-    /// The priority at this position; the least important one beyond the end.
+    /// Priority at this level; the least important one beyond the end of the scale.
     #[must_use]
     pub fn at_level(level: u16) -> Self {
         let rank = usize::from(level / u16::from(BUCKETS)).min(PriorityClass::ALL.len() - 1);
@@ -129,29 +130,29 @@
     }
 }
 
-/// What a server admits: a request whose level lies below `level`, or whose bucket is one of the kept buckets of its class, so
-/// that no class is starved by more important ones.
+/// Set of requests that a server admits: those whose level lies below `level`, and those in the kept buckets
+/// of their class, so that no class is starved by more important ones.
 ///
-/// It admits the same requests at every daemon. Floors are compared by their level first.
+/// A floor admits the same requests at every daemon. Floors are compared by their level first.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
 pub struct AdmissionFloor {
-    /// The first level that is refused.
+    /// Lowest level that is refused.
     pub level: u16,
-    /// Buckets of each class that pass whatever the level, from 0 on.
+    /// Number of buckets of each class, from 0 on, that pass at any level.
     pub kept: [u8; PriorityClass::ALL.len()],
 }
 
 impl AdmissionFloor {
-    /// Admits every request.
+    /// Floor that admits every request.
     pub const OPEN: Self = Self::at(PriorityClass::ALL.len() as u16 * BUCKETS as u16);
 
-    /// Buckets of each class that are kept before a server has learnt how many fit: one request in 32. Chosen; one in 8
-    /// halved the critical requests that were served.
+    /// Kept buckets of each class until a server has learnt how many fit: one request in 32. Keeping one in 8
+    /// halves the critical requests that are served.
     pub const INITIAL_KEPT: u8 = 4;
 
-    /// The floor at this level that keeps one in 32 requests of each class.
+    /// Floor at this level that keeps one in 32 requests of each class.
     #[must_use]
     pub const fn at(level: u16) -> Self {
         Self { level, kept: [Self::INITIAL_KEPT; PriorityClass::ALL.len()] }
@@ -163,14 +164,14 @@
         self.level >= Self::OPEN.level
     }
 
-    /// Whether a request of this priority passes.
+    /// Whether a request of this priority is admitted.
     #[must_use]
     pub fn admits(self, priority: Priority) -> bool {
         priority.level() < self.level || priority.bucket < self.kept[priority.class.rank()]
     }
 
-    /// The floor of several servers together: the mean of theirs, weighted by the slots of each. What one of them can't take
-    /// goes to the others. None where there are no slots.
+    /// Common floor of several servers: the mean of their floors, weighted by slots. Other servers take the
+    /// requests that one of them refuses. `None` if there are no slots.
     #[must_use]
     pub fn mean(floors: impl IntoIterator<Item = (Self, u32)>) -> Option<Self> {
         let mut slots = 0.0;
--- a/crates/seamhatch-core/src/refusal.rs
+++ b/crates/seamhatch-core/src/refusal.rs
@@ -1,9 +1,10 @@
-//! Refusals: what each [`Reason`] means, one row a reason.
+//! Refusals: the meaning of each [`Reason`], as a table with one row per reason.
 //!
-//! Decides, from the reason and who says it, what the caller gets (status, return time) and whether the sender may
-//! try another server. It protects two promises: what is called not run was not run anywhere, and only what the entry
-//! itself finds wrong with a request is held against its caller, since a peer knows only the sender's view of the
-//! request, which may be out of date. There are no constants here but statuses of HTTP (RFC 9110, RFC 6585).
+//! Decides, from the reason and its issuer, what the caller gets (status and return time) and whether the
+//! sender may try another server. The table keeps two promises. A call that is reported as not run was not
+//! run anywhere. And a client error is reported only for what the entry itself finds wrong with a request,
+//! since a peer knows only the sender's view of the request, which may be out of date. The only constants are
+//! HTTP statuses (RFC 9110, RFC 6585).
 //!
 //! Used by the listeners (statuses, return times), by the daemon beside a server (return times) and by
 //! [`crate::retry`] (another server).
@@ -12,66 +13,66 @@
 use crate::outcome::{Outcome, Reason};
 use crate::return_time::{DEFAULT_RETURN, PROOF_RETURN, SHARD_RETURN};
 
-/// Who may say a reason.
+/// Component that may issue a reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Speaker {
+pub enum Issuer {
     /// The daemon that takes a request or call from its caller and sends it on.
     Sender,
     /// The daemon beside the server.
     Server,
-    /// The back end, which its daemon passes on.
+    /// The back end; its daemon passes the reason on.
     BackEnd,
 }
 
-/// What a reason proves about the attempt that was refused.
+/// What a reason proves about the refused attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Proof {
     /// Nothing was written to a back end, now or later.
     NotRun,
-    /// It may have run.
+    /// The attempt may have run.
     Unknown,
-    /// One or the other: it depends on the moment, and the outcome beside the reason says which.
+    /// Either of these, depending on the situation; the outcome sent with the reason tells which.
     AsStated,
 }
 
 /// Whether the sender may try another server after this reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Elsewhere {
-    /// Another server would say the same.
+pub enum Failover {
+    /// No; another server would refuse as well.
     No,
-    /// Another server may do better.
+    /// Yes; another server may succeed.
     Yes,
-    /// This server is under pressure; a few others may have room.
-    FewTimes,
+    /// A limited number of times; this server is overloaded and others may have room.
+    Limited,
 }
 
-/// Which return time the caller gets.
+/// Rule for the return time that the caller gets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReturnTime {
-    /// None: coming back does not help.
+    /// None; returning does not help.
     Never,
     /// A fixed span.
     After(Microseconds),
-    /// [`crate::return_time::after_queue`], where a server's gate refuses.
+    /// [`crate::return_time::after_queue`], if the gate of a server refuses.
     AfterQueue,
     /// [`crate::return_time::after_overload`].
     AfterOverload,
     /// [`crate::return_time::at_limit`].
     AtLimit,
-    /// Until one copy of the request is tried again ([`crate::crashes`]).
+    /// Until the next trial run of the request ([`crate::crashes`]).
     UntilTrial,
 }
 
 /// HTTP statuses of a reason by outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Statuses {
-    /// Proven not run.
+    /// Status if the call is proven not to have run.
     pub not_run: u16,
-    /// It may have run.
+    /// Status if the call may have run.
     pub unknown: u16,
 }
 
-/// Whose verdict the caller gets.
+/// Where the decision that the caller gets was made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VerdictSource {
     /// The daemon that took the request from its caller.
@@ -80,42 +81,42 @@
     Peer,
 }
 
-/// One row of the table.
+/// Properties of one reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RefusalRule {
-    /// Who may say it.
-    pub said_by: &'static [Speaker],
-    /// What it proves about the attempt.
+    /// Components that may issue the reason.
+    pub issued_by: &'static [Issuer],
+    /// What the reason proves about the attempt.
     pub proves: Proof,
     /// Whether another server may be tried.
-    pub elsewhere: Elsewhere,
-    /// The call may have been shown to the back end, which counts it as an attempt: a repeat is then charged.
+    pub failover: Failover,
+    /// The back end may have seen the call and counts it as an attempt; a repeat is then charged.
     pub reached_back_end: bool,
-    /// Outlier ejection counts it as a lost call of its server.
+    /// Outlier ejection counts the refusal as a lost call of its server.
     pub counts_as_lost: bool,
-    /// Statuses where the entry says it.
+    /// Statuses if the entry issues the reason.
     pub entry: Statuses,
-    /// Statuses where a peer says it.
+    /// Statuses if a peer issues the reason.
     pub peer: Statuses,
-    /// When to come back.
+    /// When the caller should return.
     pub return_time: ReturnTime,
-    /// The verdict is true only while the configuration that decided is the one in force.
+    /// The reason holds only while the configuration that led to it is in force.
     pub depends_on_configuration: bool,
 }
 
-/// The usual failure: 503 promises that nothing ran, 502 promises nothing.
+/// Default statuses: 503 promises that nothing ran, 502 makes no promise.
 const FAILURE: Statuses = Statuses { not_run: 503, unknown: 502 };
 
-const SENDER: &[Speaker] = &[Speaker::Sender];
-const SERVER: &[Speaker] = &[Speaker::Server];
-const BACK_END: &[Speaker] = &[Speaker::BackEnd];
-const SENDER_OR_SERVER: &[Speaker] = &[Speaker::Sender, Speaker::Server];
+const SENDER: &[Issuer] = &[Issuer::Sender];
+const SERVER: &[Issuer] = &[Issuer::Server];
+const BACK_END: &[Issuer] = &[Issuer::BackEnd];
+const SENDER_OR_SERVER: &[Issuer] = &[Issuer::Sender, Issuer::Server];
 
-const fn failure(said_by: &'static [Speaker], proves: Proof) -> RefusalRule {
+const fn failure(issued_by: &'static [Issuer], proves: Proof) -> RefusalRule {
     RefusalRule {
-        said_by,
+        issued_by,
         proves,
-        elsewhere: Elsewhere::No,
+        failover: Failover::No,
         reached_back_end: false,
         counts_as_lost: false,
         entry: FAILURE,
@@ -125,13 +126,13 @@
     }
 }
 
-/// The entry's word that holds whatever became of earlier attempts.
-const fn unavailable(said_by: &'static [Speaker], proves: Proof) -> RefusalRule {
-    RefusalRule { entry: Statuses { not_run: 503, unknown: 503 }, ..failure(said_by, proves) }
+/// Refusal by the entry that has status 503 whatever became of earlier attempts.
+const fn unavailable(issued_by: &'static [Issuer], proves: Proof) -> RefusalRule {
+    RefusalRule { entry: Statuses { not_run: 503, unknown: 503 }, ..failure(issued_by, proves) }
 }
 
-/// The caller's fault, where the entry finds it.
-const fn callers_fault(status: u16) -> RefusalRule {
+/// Client error found by the entry.
+const fn client_error(status: u16) -> RefusalRule {
     RefusalRule {
         entry: Statuses { not_run: status, unknown: status },
         return_time: ReturnTime::Never,
@@ -139,22 +140,22 @@
     }
 }
 
-/// The caller's fault by the configuration that decided.
-const fn callers_fault_for_now(status: u16) -> RefusalRule {
-    RefusalRule { depends_on_configuration: true, ..callers_fault(status) }
+/// Client error under the configuration in force.
+const fn client_error_by_configuration(status: u16) -> RefusalRule {
+    RefusalRule { depends_on_configuration: true, ..client_error(status) }
 }
 
-/// A server that can't take the call while others may.
-const fn other_server(said_by: &'static [Speaker], proves: Proof) -> RefusalRule {
-    RefusalRule { elsewhere: Elsewhere::Yes, ..failure(said_by, proves) }
+/// A server cannot take the call, but others may.
+const fn other_server(issued_by: &'static [Issuer], proves: Proof) -> RefusalRule {
+    RefusalRule { failover: Failover::Yes, ..failure(issued_by, proves) }
 }
 
-/// A server's gate under pressure.
-const fn pressure(said_by: &'static [Speaker], proves: Proof) -> RefusalRule {
+/// The gate of a server is overloaded.
+const fn server_overload(issued_by: &'static [Issuer], proves: Proof) -> RefusalRule {
     RefusalRule {
-        elsewhere: Elsewhere::FewTimes,
+        failover: Failover::Limited,
         return_time: ReturnTime::AfterQueue,
-        ..failure(said_by, proves)
+        ..failure(issued_by, proves)
     }
 }
 
@@ -163,75 +164,77 @@
     RefusalRule { reached_back_end: true, ..rule }
 }
 
-/// The server failed the call: outlier ejection counts it.
+/// The server failed the call; outlier ejection counts it.
 const fn lost(rule: RefusalRule) -> RefusalRule {
     RefusalRule { counts_as_lost: true, ..rule }
 }
 
-const fn returning(return_time: ReturnTime, rule: RefusalRule) -> RefusalRule {
+const fn with_return_time(return_time: ReturnTime, rule: RefusalRule) -> RefusalRule {
     RefusalRule { return_time, ..rule }
 }
 
 impl Reason {
-    /// Its row.
+    /// Properties of this reason.
     #[must_use]
     pub const fn rule(self) -> RefusalRule {
         use Proof::{AsStated, NotRun, Unknown};
         match self {
             // Found by the entry before anything is sent.
-            Self::BadRequest => RefusalRule { said_by: SENDER_OR_SERVER, ..callers_fault(400) },
-            Self::HeadTooLarge => callers_fault_for_now(431),
-            Self::BodyTooLarge => callers_fault_for_now(413),
-            Self::NoRoute => callers_fault_for_now(404),
-            Self::NoKey | Self::UnknownKey => callers_fault_for_now(401),
-            Self::BadContext => callers_fault(403),
-            Self::KeyMismatch => callers_fault(409),
-            // Another attempt with the key runs or has run; its answer can be asked for.
-            Self::KeyHeld => returning(ReturnTime::After(DEFAULT_RETURN), callers_fault(409)),
-            Self::NoProof => returning(ReturnTime::After(PROOF_RETURN), failure(SENDER, NotRun)),
+            Self::BadRequest => RefusalRule { issued_by: SENDER_OR_SERVER, ..client_error(400) },
+            Self::HeadTooLarge => client_error_by_configuration(431),
+            Self::BodyTooLarge => client_error_by_configuration(413),
+            Self::NoRoute => client_error_by_configuration(404),
+            Self::NoKey | Self::UnknownKey => client_error_by_configuration(401),
+            Self::BadContext => client_error(403),
+            Self::KeyMismatch => client_error(409),
+            // Another attempt with the key runs or has run; its answer can be requested.
+            Self::KeyHeld => with_return_time(ReturnTime::After(DEFAULT_RETURN), client_error(409)),
+            Self::NoProof => with_return_time(ReturnTime::After(PROOF_RETURN), failure(SENDER, NotRun)),
             Self::OverQuota => RefusalRule {
                 entry: Statuses { not_run: 429, unknown: 502 },
                 peer: Statuses { not_run: 429, unknown: 502 },
-                ..returning(ReturnTime::AtLimit, failure(SENDER, NotRun))
+                ..with_return_time(ReturnTime::AtLimit, failure(SENDER, NotRun))
             },
-            Self::NoQuotaShard => returning(ReturnTime::After(SHARD_RETURN), failure(SENDER, NotRun)),
-            Self::AdmissionFloor => returning(ReturnTime::AfterOverload, failure(SENDER, NotRun)),
-            Self::CrashesServers => returning(ReturnTime::UntilTrial, failure(SENDER_OR_SERVER, NotRun)),
+            Self::NoQuotaShard => with_return_time(ReturnTime::After(SHARD_RETURN), failure(SENDER, NotRun)),
+            Self::AdmissionFloor => with_return_time(ReturnTime::AfterOverload, failure(SENDER, NotRun)),
+            Self::CrashesServers => {
+                with_return_time(ReturnTime::UntilTrial, failure(SENDER_OR_SERVER, NotRun))
+            }
             Self::NoClaimMajority => unavailable(SENDER, Unknown),
-            // Limits on repeats.
+            // Limits on retries.
             Self::RetriesExhausted | Self::RetryRatio => failure(SENDER, NotRun),
-            // The daemon is not there to serve. With an idempotency key, an earlier attempt may have run.
-            Self::NotReady => RefusalRule { elsewhere: Elsewhere::Yes, ..unavailable(SENDER, AsStated) },
+            // The daemon does not serve. With an idempotency key, an earlier attempt may have run.
+            Self::NotReady => RefusalRule { failover: Failover::Yes, ..unavailable(SENDER, AsStated) },
             Self::Draining => {
-                RefusalRule { elsewhere: Elsewhere::Yes, ..unavailable(SENDER_OR_SERVER, AsStated) }
+                RefusalRule { failover: Failover::Yes, ..unavailable(SENDER_OR_SERVER, AsStated) }
             }
             Self::NoServer => other_server(SENDER, NotRun),
             Self::PeerLost => other_server(SENDER, AsStated),
             Self::OtherService | Self::NoInstance => other_server(SERVER, NotRun),
             Self::BackendUnreachable => lost(other_server(SERVER, NotRun)),
-            // The gate of a server, or a deadline that passed with the call under way.
-            Self::QueueFull | Self::Evicted | Self::BackendRate => pressure(SERVER, NotRun),
+            // Refusals at the gate of a server, and deadlines that pass while the call is in flight.
+            Self::QueueFull | Self::Evicted | Self::BackendRate => server_overload(SERVER, NotRun),
             Self::DeadlineExceeded => RefusalRule {
                 entry: Statuses { not_run: 503, unknown: 504 },
                 peer: Statuses { not_run: 503, unknown: 504 },
-                ..pressure(SENDER_OR_SERVER, AsStated)
+                ..server_overload(SENDER_OR_SERVER, AsStated)
             },
             Self::Cancelled => failure(SERVER, AsStated),
-            // The back end.
+            // Failures and refusals of the back end.
             Self::OtherInstance | Self::BackendRefused => reached(other_server(BACK_END, NotRun)),
             Self::BackendFailed => lost(reached(failure(SENDER_OR_SERVER, Unknown))),
             Self::BackendCrashed => lost(reached(failure(SERVER, Unknown))),
         }
     }
 
-    /// Whether another server may do better, so that a call that was not run is worth sending again.
+    /// Whether another server may succeed, so that a call that was not run is worth sending again.
     #[must_use]
     pub fn worth_another_server(self) -> bool {
-        self.rule().elsewhere == Elsewhere::Yes
+        self.rule().failover == Failover::Yes
     }
 
-    /// Whether the refusing daemon may have shown the call to its back end, which then counts it as
-    /// an attempt. A call that a daemon turned away by itself costs no attempt and no retry.
+    /// Whether the refusing daemon may have passed the call to its back end, which then counts it as an
+    /// attempt. A refusal by the daemon itself costs no attempt and no retry.
     #[must_use]
     pub fn reached_back_end(self) -> bool {
         self.rule().reached_back_end
@@ -243,15 +246,15 @@
         self.rule().counts_as_lost
     }
 
-    /// Whether the refusal comes from pressure at one server only, so that another may have room.
+    /// Whether the reason is overload of a single server, so that another one may have room.
     #[must_use]
     pub fn is_server_overload(self) -> bool {
-        self.rule().elsewhere == Elsewhere::FewTimes
+        self.rule().failover == Failover::Limited
     }
 }
 
 impl RefusalRule {
-    /// The status that the caller gets. Any outcome but unknown counts as not run here.
+    /// Status that the caller gets. Any outcome but [`Outcome::Unknown`] counts as not run.
     #[must_use]
     pub fn status(&self, source: VerdictSource, outcome: Outcome) -> u16 {
         let statuses = match source {
@@ -261,7 +264,7 @@
         if outcome == Outcome::Unknown { statuses.unknown } else { statuses.not_run }
     }
 
-    /// The return time that the entry sends unless it knows better; none where coming back does not help.
+    /// Return time that the entry sends unless it has a better estimate; `None` if returning does not help.
     #[must_use]
     pub fn default_return(&self) -> Option<Microseconds> {
         match self.return_time {
--- a/crates/seamhatch-core/src/return_time.rs
+++ b/crates/seamhatch-core/src/return_time.rs
@@ -1,38 +1,38 @@
 //! Return times: when a refused caller should come back.
 //!
-//! Decides the span of `Retry-After` for each refusal; which rule a reason follows stands in [`crate::refusal`]. All
-//! spans are in microseconds and before jitter, which the listener adds last by [`jittered`]. The inputs are read at the
-//! moment of the refusal.
+//! Decides the span of `Retry-After` for each refusal; [`crate::refusal`] assigns a rule to each reason. All
+//! spans are in microseconds and before jitter, which the listener adds last with [`jittered`]. The inputs
+//! are read at the moment of the refusal.
 //!
-//! It protects a service under overload from meeting the same callers again at once, and callers from staying away
-//! longer than the overload lasts. An overload that has lasted for a while is expected to last about as long again; the
-//! drain time of the entry's own queue has nothing to do with a bottleneck further down.
+//! The rules keep the same callers from returning at once to an overloaded service, and callers from staying
+//! away longer than the overload lasts. An overload is expected to last about as long again as it has lasted
+//! so far; the drain time of the entry's own queue says nothing about a bottleneck further down.
 //! Alternatives: docs/DESIGN.md#when-to-come-back.
 
 use crate::clock::{MILLISECOND, Microseconds, SECOND};
 
-/// Sent by the daemon that took the request where the reason has nothing to do with load.
+/// Sent by the daemon that took the request if the reason is unrelated to load.
 pub const DEFAULT_RETURN: Microseconds = 500 * MILLISECOND;
 
-/// Shortest span that is sent: sooner, little will have changed.
+/// Shortest span that is sent after a refusal at the entry; little changes in less time.
 pub const SHORTEST_RETURN: Microseconds = 200 * MILLISECOND;
 
-/// Longest span after a refusal at the entry: callers have a few seconds in all, and an overload may end at any
-/// moment.
+/// Longest span after a refusal at the entry: callers wait a few seconds in total, and an overload may end at
+/// any moment.
 pub const LONGEST_RETURN: Microseconds = 2 * SECOND;
 
-/// Sent by the daemon beside the server where the reason has nothing to do with load.
+/// Sent by the daemon beside the server if the reason is unrelated to load.
 pub const SERVER_RETURN: Microseconds = SHORTEST_RETURN;
 
-/// Sent where no daemon that holds a shard of the tenant's limit answers: a lost shard is taken
-/// over by another daemon within seconds.
+/// Sent if no daemon that holds a shard of the tenant's limit answers. Another daemon takes over a lost shard
+/// within seconds.
 pub const SHARD_RETURN: Microseconds = 500 * MILLISECOND;
 
-/// Sent where the daemon can't prove that its keys are the newest: it asks the store again
-/// within about this time.
+/// Sent if the daemon cannot prove that its keys are the newest. It asks the store again within about this
+/// time.
 pub const PROOF_RETURN: Microseconds = 500 * MILLISECOND;
 
-/// Sent near the end of a planned stop: a restarted daemon usually serves again by then.
+/// Sent near the end of a planned stop; a restarted daemon usually serves again by then.
 pub const RESTART_RETURN: Microseconds = 800 * MILLISECOND;
 
 /// Shortest span that the gate of a server sends.
@@ -41,50 +41,52 @@
 /// Longest span that the gate of a server sends.
 const LONGEST_QUEUE_RETURN: Microseconds = 10 * SECOND;
 
-/// Part of the span that is added at random at most, so that callers refused together come back apart.
+/// Largest part of the span that is added at random, so that callers that were refused together return at
+/// different times.
 const RETURN_JITTER: f64 = 0.5;
 
-/// Share of the callers coming back at the last moment that are to be answered within their objective. Measured on a
-/// day of scaling with a service at its limit: 1,110 answers came late with 0.9, 1,337 with the median, 2,868 without
-/// any such bound; as many requests were refused.
-pub const EARLY_SHARE: f64 = 0.9;
+/// Share of the callers returning at the last moment whose answers should meet their objective. With the
+/// median instead, or without this bound, more answers come late while as many requests are refused.
+pub const ON_TIME_SHARE: f64 = 0.9;
 
-/// After a refusal at the entry: `closed_for` is the time since when the service has not admitted everything,
-/// `usual_answer` the time within which [`EARLY_SHARE`] of the requests of this kind are answered, and `objective` the time
-/// within which the answer counts as early.
+/// Return time after a refusal at the entry. `closed_for` is the time since the service last admitted
+/// everything, `answer_time` the time within which [`ON_TIME_SHARE`] of the requests of this kind are
+/// answered, and `objective` the time within which an answer counts as on time.
 ///
-/// A caller comes back sooner than the overload suggests where its answer can then still be early. Where no return could
-/// make it early, it gets the expected time.
+/// A caller returns earlier than the overload suggests if its answer can then still be on time. If no return
+/// time achieves that, the caller gets the expected end of the overload.
 #[must_use]
 pub fn after_overload(
     closed_for: Microseconds,
-    usual_answer: Microseconds,
+    answer_time: Microseconds,
     objective: Microseconds,
 ) -> Microseconds {
     let expected = closed_for.clamp(SHORTEST_RETURN, LONGEST_RETURN);
-    let last_early = (objective.saturating_sub(usual_answer) as f64 / (1.0 + RETURN_JITTER)) as Microseconds;
-    if last_early < SHORTEST_RETURN { expected } else { expected.min(last_early) }
+    let latest_on_time =
+        (objective.saturating_sub(answer_time) as f64 / (1.0 + RETURN_JITTER)) as Microseconds;
+    if latest_on_time < SHORTEST_RETURN { expected } else { expected.min(latest_on_time) }
 }
 
-/// After a refusal at a server's gate whose queue takes `wait` to drain.
+/// Return time after a refusal at the gate of a server whose queue takes `wait` to drain.
 #[must_use]
 pub fn after_queue(wait: Microseconds) -> Microseconds {
     wait.clamp(SHORTEST_QUEUE_RETURN, LONGEST_QUEUE_RETURN)
 }
 
-/// After a refusal of the back end that states this span itself.
+/// Return time after a refusal by a back end that states this span itself.
 #[must_use]
 pub fn as_stated(span: Microseconds) -> Microseconds {
     after_queue(span)
 }
 
-/// For a tenant at its limit: `room_in` is the time until a shard may be asked again, none where none is waited for.
+/// Return time for a tenant at its limit. `next_ask_in` is the time until a shard may be asked again; `None`
+/// if no shard is waited for.
 #[must_use]
-pub fn at_limit(room_in: Option<Microseconds>) -> Microseconds {
-    room_in.unwrap_or_default().max(SHORTEST_RETURN)
+pub fn at_limit(next_ask_in: Option<Microseconds>) -> Microseconds {
+    next_ask_in.unwrap_or_default().max(SHORTEST_RETURN)
 }
 
-/// The span with jitter; `random` is drawn evenly from 0 to 1.
+/// Adds jitter to the span; `random` is drawn uniformly from 0 to 1.
 #[must_use]
 pub fn jittered(span: Microseconds, random: f64) -> Microseconds {
     (span as f64 * (1.0 + RETURN_JITTER * random)) as Microseconds
--- a/crates/seamhatch-core/src/service_floor.rs
+++ b/crates/seamhatch-core/src/service_floor.rs
@@ -1,50 +1,51 @@
-//! The floor of a service: what its servers admit together.
+//! Admission floor of a service, combined from the floors of its servers.
 //!
-//! Decides one admission floor for a service from the reports of its servers: the mean of their floors, weighted by their
-//! concurrency limits. Inputs are the last report of each server that this daemon is connected to, at most
-//! `REPORT_LIFETIME` old.
+//! Decides one admission floor for a service from the reports of its servers: the mean of their floors,
+//! weighted by their concurrency limits. The input is the last report of each server that this daemon is
+//! connected to, at most `REPORT_LIFETIME` old.
 //!
-//! It protects the capacity of a service of which one server is cold or slow: the choice of a server moves calls to those
-//! that have room, so the weakest server must not close the service. With the lowest floor of any server, two of three
-//! servers used a quarter of their slots for three seconds. Alternatives: docs/DESIGN.md#the-floor-of-a-service. The
-//! daemon's part is `seamhatchd::limits::service_floors`.
+//! This protects the capacity of a service that has a cold or slow server. Calls are routed to the servers
+//! that have room, so the weakest server must not close the whole service: with the lowest floor of any
+//! server, two of three servers use a quarter of their slots for three seconds. Alternatives:
+//! docs/DESIGN.md#the-floor-of-a-service. The daemon's part is `seamhatchd::limits::service_floors`.
 
 use crate::clock::{Instant, Microseconds, SECOND};
 use crate::identity::Address;
 use crate::priority::{AdmissionFloor, PriorityClass};
 use std::collections::HashMap;
 
-/// A report that is older than this counts for nothing: its server has ended or can't be reached. Chosen, not measured:
-/// two heartbeats of an idle daemon (400 ms each) with room for a late one.
+/// Reports older than this are ignored, as the server has ended or cannot be reached: two heartbeats of an
+/// idle daemon (400 ms each) with a margin for a late one.
 const REPORT_LIFETIME: Microseconds = SECOND;
 
-/// What one server admits.
+/// Report of one server.
 #[derive(Debug, Clone, Copy)]
 struct ServerFloor {
     floor: AdmissionFloor,
-    /// Calls that may run there at once.
+    /// Concurrency limit of the server.
     limit: u32,
     reported: Instant,
 }
 
-/// The last report of each server, by service.
+/// Last report of each server, by service.
 #[derive(Debug, Default)]
 pub struct ServiceFloorTable {
     services: HashMap<String, ServiceReports>,
 }
 
-/// The last reports of the servers of one service, and their sums. Reports come with each answer, so the mean is kept as sums and costs
-/// the same for any number of servers.
+/// Last reports of the servers of one service, and their sums. Reports come with each answer, so sums are
+/// kept to get the mean at a cost that does not depend on the number of servers.
 #[derive(Debug, Default)]
 struct ServiceReports {
     reports: HashMap<Address, ServerFloor>,
-    /// Over all of `reports`.
+    /// Sums over all of `reports`.
     sums: FloorSums,
     /// No report is older than this.
     oldest: Option<Instant>,
 }
 
-/// Sums of floors, each times the slots of its server. Whole numbers, so that a report can be subtracted exactly.
+/// Sums of floors, each weighted by the slots of its server. Integers, so that a report can be subtracted
+/// exactly.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct FloorSums {
     slots: u64,
@@ -53,8 +54,8 @@
 }
 
 impl ServiceFloorTable {
-    /// Records the floor and the concurrency limit that a server reports. Returns what the service admits by all
-    /// reports.
+    /// Records the floor and the concurrency limit that a server reports. Returns the floor of the service
+    /// over all reports.
     pub fn record(
         &mut self,
         service: &str,
@@ -70,14 +71,14 @@
         self.services.entry(service.to_owned()).or_default().record(server, report)
     }
 
-    /// Forgets a server that accepts no more calls, or to which there is no connection any more.
+    /// Removes a server that accepts no more calls, or to which there is no connection any more.
     pub fn forget(&mut self, service: &str, server: Address) {
         if let Some(reports) = self.services.get_mut(service) {
             reports.remove(server);
         }
     }
 
-    /// What the service admits; none where it admits everything, as far as is known.
+    /// Floor of the service; `None` if it admits everything, as far as is known.
     #[must_use]
     pub fn floor(&self, service: &str, now: Instant) -> Option<AdmissionFloor> {
         let floor = self.services.get(service)?.mean(now);
@@ -109,13 +110,13 @@
         if self.are_fresh(now) {
             return self.sums.mean();
         }
-        // Until the next report drops those that are old.
+        // Until the next report removes the expired ones.
         let mut sums = FloorSums::default();
         self.reports.values().filter(|report| report.is_fresh(now)).for_each(|report| sums.add(*report));
         sums.mean()
     }
 
-    /// Whether no report can be too old.
+    /// Whether no report can have expired.
     fn are_fresh(&self, now: Instant) -> bool {
         self.oldest.is_none_or(|oldest| is_fresh(oldest, now))
     }
@@ -140,7 +141,7 @@
         self.kept.iter_mut().zip(report.floor.kept).for_each(|(sum, kept)| *sum += weight * u64::from(kept));
     }
 
-    /// Takes away a report that was added.
+    /// Subtracts a report that was added before.
     fn subtract(&mut self, report: ServerFloor) {
         let weight = u64::from(report.limit);
         self.slots -= weight;
@@ -148,7 +149,7 @@
         self.kept.iter_mut().zip(report.floor.kept).for_each(|(sum, kept)| *sum -= weight * u64::from(kept));
     }
 
-    /// As [`AdmissionFloor::mean`] of all that were added; open where there are no slots.
+    /// Like [`AdmissionFloor::mean`] over all added reports; open if there are no slots.
     fn mean(&self) -> AdmissionFloor {
         if self.slots == 0 {
             return AdmissionFloor::OPEN;
--- a/crates/seamhatch-core/tests/refusals.rs
+++ b/crates/seamhatch-core/tests/refusals.rs
@@ -1,8 +1,9 @@
-//! What each refusal means: who may say it, what it proves, whether another server may be tried, when to return.
+//! Rules for refusals: who may issue a reason, what it proves, whether another server may be tried, when to
+//! return.
 
 use seamhatch_core::clock::MILLISECOND;
 use seamhatch_core::outcome::{Outcome, Reason};
-use seamhatch_core::refusal::{Elsewhere, Proof, ReturnTime, Speaker, VerdictSource};
+use seamhatch_core::refusal::{Failover, Issuer, Proof, ReturnTime, VerdictSource};
 use std::collections::BTreeSet;
 
 const REASONS: [Reason; 33] = [
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn each_property_holds_for_just_these_reasons() {
+fn each_property_holds_for_exactly_these_reasons() {
     let cases = [
         SetCase {
             name: "another server may do better",
@@ -91,7 +92,7 @@
             reasons: &[Reason::BackendUnreachable, Reason::BackendFailed, Reason::BackendCrashed],
         },
         SetCase {
-            name: "true by one configuration only",
+            name: "holds under one configuration only",
             has: |reason| reason.rule().depends_on_configuration,
             reasons: &[
                 Reason::NoRoute,
@@ -116,7 +117,7 @@
             ],
         },
         SetCase {
-            name: "a server tells the drain time of its queue",
+            name: "a server sends the drain time of its queue",
             has: |reason| reason.rule().return_time == ReturnTime::AfterQueue,
             reasons: &[Reason::QueueFull, Reason::Evicted, Reason::DeadlineExceeded, Reason::BackendRate],
         },
@@ -127,16 +128,19 @@
     }
 }
 
-/// What the caller is told never depends on more than the reason, the outcome and whose verdict it is.
+/// The status depends only on the reason, the outcome and where the decision was made.
 #[test]
-fn no_row_promises_more_than_is_proved() {
+fn no_rule_promises_more_than_is_proved() {
     for reason in REASONS {
         let rule = reason.rule();
-        assert!(!rule.said_by.is_empty(), "{reason}: nobody says it");
-        let back_end_says = rule.said_by.contains(&Speaker::BackEnd);
-        assert!(!back_end_says || rule.reached_back_end, "{reason}: said by a back end that was not reached");
+        assert!(!rule.issued_by.is_empty(), "{reason}: no issuer");
+        let back_end_issues = rule.issued_by.contains(&Issuer::BackEnd);
+        assert!(
+            !back_end_issues || rule.reached_back_end,
+            "{reason}: issued by a back end that was not reached"
+        );
         let unknown = rule.proves == Proof::Unknown;
-        assert!(!unknown || rule.elsewhere != Elsewhere::Yes, "{reason}: sent elsewhere, may have run");
+        assert!(!unknown || rule.failover != Failover::Yes, "{reason}: sent to another server, may have run");
         let [not_run, unknown] =
             [Outcome::NotRun, Outcome::Unknown].map(|outcome| rule.status(VerdictSource::Peer, outcome));
         assert!([429, 503].contains(&not_run), "{reason}: a peer never blames the caller");
@@ -145,14 +149,14 @@
 }
 
 #[test]
-fn names_tell_reasons_apart() {
+fn reason_names_are_distinct() {
     let names: BTreeSet<&str> = REASONS.iter().map(|reason| reason.name()).collect();
     assert_eq!(names.len(), REASONS.len());
 }
 
-/// What the entry tells where it knows nothing better.
+/// Return time that the entry sends if it has no better estimate.
 #[test]
-fn the_usual_return_time_is_half_a_second() {
+fn the_default_return_time_is_half_a_second() {
     let returning = reasons_that(|reason| reason.rule().default_return().is_some());
     for reason in returning {
         assert_eq!(reason.rule().default_return(), Some(500 * MILLISECOND), "{reason}");
