--- a/crates/seamhatch-core/tests/chain_cost.rs
+++ b/crates/seamhatch-core/tests/chain_cost.rs
@@ -1,4 +1,5 @@
-//! Order by cost: the bucket of a request where a service on its way sheds, and calls of begun chains before first calls.
+//! Shedding by cost: buckets of requests if a service on their path sheds, and priority of begun chains over
+//! first calls.
 
 use seamhatch_core::Instant;
 use seamhatch_core::admission::{
@@ -22,7 +23,7 @@
     ServiceUsage { service: service.to_owned(), calls: 1, slot_ms }
 }
 
-/// Mean bucket of 2,000 requests of a kind, drawn in turn with those of the others.
+/// Mean bucket of 2,000 requests of each kind, with the kinds interleaved.
 fn mean_buckets(
     table: &mut ChainCostTable,
     kinds: &[&str],
@@ -40,8 +41,8 @@
     sums.iter().map(|sum| sum / 2_000.0).collect()
 }
 
-/// Guards against a dear kind that takes the slots of several cheap ones, and against usage that is wrong, missing or
-/// old: then buckets are drawn as if no cost were known, or the factor stays within its bounds.
+/// Guards against an expensive kind that displaces several cheap requests, and against usage that is wrong,
+/// missing or old: buckets are then drawn as if no cost were known, or the factor stays within its bounds.
 #[test]
 fn buckets_follow_the_cost_at_the_bottleneck() {
     type Report = (&'static str, &'static str, u32);
@@ -51,21 +52,21 @@
         bottleneck: Option<&'static str>,
         /// Seconds from the reports to the requests.
         later: u64,
-        /// Mean buckets of a cheap and of a dear kind.
+        /// Mean buckets of a cheap and of an expensive kind.
         expected: [f64; 2],
     }
-    // The mean of uniform draws is 63.5. A factor above 1 moves what lies beyond into the last bucket.
+    // The mean of uniform draws is 63.5. A factor above 1 moves larger values into the last bucket.
     let cases = [
         Case {
-            name: "one three times as dear",
-            reports: vec![("cheap", "deep", 40), ("dear", "deep", 120)],
+            name: "one three times as expensive",
+            reports: vec![("cheap", "deep", 40), ("expensive", "deep", 120)],
             bottleneck: Some("deep"),
             later: 0,
             expected: [31.5, 84.7],
         },
         Case {
             name: "no service sheds",
-            reports: vec![("cheap", "deep", 40), ("dear", "deep", 120)],
+            reports: vec![("cheap", "deep", 40), ("expensive", "deep", 120)],
             bottleneck: None,
             later: 0,
             expected: [63.5, 63.5],
@@ -79,42 +80,42 @@
         },
         Case {
             name: "usage of another service than the bottleneck",
-            reports: vec![("cheap", "front", 40), ("dear", "front", 120)],
+            reports: vec![("cheap", "front", 40), ("expensive", "front", 120)],
             bottleneck: Some("deep"),
             later: 0,
             expected: [63.5, 63.5],
         },
         Case {
-            name: "a kind of which nothing is known",
-            reports: vec![("dear", "deep", 120)],
+            name: "a kind without known cost",
+            reports: vec![("expensive", "deep", 120)],
             bottleneck: Some("deep"),
             later: 0,
             expected: [63.5, 63.5],
         },
         Case {
             name: "costs that were confirmed a minute ago",
-            reports: vec![("cheap", "deep", 40), ("dear", "deep", 120)],
+            reports: vec![("cheap", "deep", 40), ("expensive", "deep", 120)],
             bottleneck: Some("deep"),
             later: 60,
             expected: [31.5, 84.7],
         },
         Case {
             name: "costs that were confirmed longer ago",
-            reports: vec![("cheap", "deep", 40), ("dear", "deep", 120)],
+            reports: vec![("cheap", "deep", 40), ("expensive", "deep", 120)],
             bottleneck: Some("deep"),
             later: 61,
             expected: [63.5, 63.5],
         },
         Case {
             name: "usage beyond all bounds",
-            reports: vec![("cheap", "deep", 1), ("dear", "deep", u32::MAX)],
+            reports: vec![("cheap", "deep", 1), ("expensive", "deep", u32::MAX)],
             bottleneck: Some("deep"),
             later: 0,
             expected: [31.5, 95.2],
         },
         Case {
             name: "usage of nothing",
-            reports: vec![("cheap", "deep", 0), ("dear", "deep", 0)],
+            reports: vec![("cheap", "deep", 0), ("expensive", "deep", 0)],
             bottleneck: Some("deep"),
             later: 0,
             expected: [63.5, 63.5],
@@ -125,16 +126,17 @@
         for (kind, service, slot_ms) in case.reports {
             table.learn(kind, &[usage(service, slot_ms)], START);
         }
-        let means = mean_buckets(&mut table, &["cheap", "dear"], case.bottleneck, after(case.later));
+        let means = mean_buckets(&mut table, &["cheap", "expensive"], case.bottleneck, after(case.later));
         for (mean, expected) in means.iter().zip(case.expected) {
             assert!((mean - expected).abs() < 2.5, "{}: {means:?}", case.name);
         }
     }
 }
 
-/// Guards against a change of what is shed where costs are not known: daemons of two releases stand side by side.
+/// Guards against a change of what is shed if costs are not known, since daemons of two releases run side by
+/// side.
 #[test]
-fn without_costs_the_bucket_is_the_one_of_the_root_id() {
+fn without_costs_the_bucket_follows_from_the_root_id() {
     let mut table = ChainCostTable::default();
     for root in (0..10_000).map(|root| RootId(root * 77_777_777)) {
         let known = Priority::new(CLASS, root);
@@ -144,8 +146,8 @@
     }
 }
 
-/// Guards against one server whose usage is wrong: it moves the mean of a kind by its weight only, and answers of the
-/// others bring it back.
+/// Guards against one server that reports wrong usage: it moves the mean of a kind only by its weight, and
+/// the answers of other servers bring the mean back.
 #[test]
 fn wrong_usage_of_one_answer_is_outweighed() {
     let mut table = ChainCostTable::default();
@@ -163,9 +165,9 @@
     assert!((99.0..110.0).contains(&cost(&table)), "{}", cost(&table));
 }
 
-/// Guards against memory that grows with the kinds or services that requests and reports name.
+/// Guards against memory that grows with the kinds or services named in requests and reports.
 #[test]
-fn what_is_remembered_is_bounded() {
+fn memory_is_bounded() {
     let mut table = ChainCostTable::default();
     for kind in 0..4_096 {
         table.learn(&format!("kind {kind}"), &[usage("deep", 1)], START);
@@ -183,7 +185,8 @@
     assert_eq!(table.costs(usize::MAX, START).len(), 1);
 }
 
-/// Guards against answers whose reports grow with the calls of a chain, or that lose what a service used twice.
+/// Guards against reports that grow with the number of calls in a chain, or that lose usage of a service
+/// called twice.
 #[test]
 fn usage_is_summed_along_a_chain() {
     let mut chain = ChainUsage::default();
@@ -202,7 +205,7 @@
     assert_eq!((chain.services()[0].service.as_str(), chain.services()[1].slot_ms), ("deep", 99));
 }
 
-/// Guards against a bottleneck that is taken from a service that has opened again, or not from the lowest floor.
+/// Guards against taking as bottleneck a service that has opened again, or one without the lowest floor.
 #[test]
 fn the_bottleneck_is_the_service_with_the_lowest_floor() {
     let mut floors = EntryFloorTable::default();
@@ -230,7 +233,8 @@
     }
 }
 
-/// Guards against first calls that take the places of begun chains, within one class; classes keep their order.
+/// Guards against first calls that displace begun chains of the same class. The order of classes is
+/// unchanged.
 #[test]
 fn calls_of_begun_chains_go_before_first_calls_of_their_class() {
     let policy = AdmissionPolicy { slots: 1, queue_per_slot: 3, initial_slots: 1 };
@@ -239,7 +243,7 @@
     for waiting in [call(2, false, 1), call(3, true, 100), call(4, false, 2)] {
         assert_eq!(queue.offer(waiting, START), Admission::Wait { evicted: None });
     }
-    // The queue is full: a begun chain evicts the last first call, a first call no begun chain.
+    // The queue is full: a begun chain evicts the last first call; a first call evicts no begun chain.
     assert_eq!(queue.offer(call(5, true, 90), START), Admission::Wait { evicted: Some(Ticket(4)) });
     assert_eq!(queue.offer(call(6, true, 127), START), Admission::Wait { evicted: Some(Ticket(2)) });
     assert!(matches!(queue.offer(call(7, false, 0), START), Admission::Refuse(_)));
@@ -255,41 +259,42 @@
     assert_eq!(order, [5, 3, 8].map(|ticket| Dequeued::Run(Ticket(ticket))));
 }
 
-/// Requests of one kind that come to a service with [`SLOTS`] slots.
+/// Requests of one kind that arrive at a service with [`SLOTS`] slots.
 #[derive(Debug, Clone, Copy)]
 struct Kind {
     name: &'static str,
     per_second: u64,
-    /// Calls to the service, one after the other.
+    /// Number of calls to the service, one after the other.
     calls: u32,
     service_ms: u64,
-    /// Its call comes from outside, not from a chain that has begun above.
+    /// The call comes from outside instead of from a chain that began above the service.
     first: bool,
-    /// Slot time that its answers report in place of what it used.
+    /// Slot time that its answers report instead of the real one.
     wrong_ms: Option<u32>,
 }
 
-/// What became of the requests of a kind.
+/// Results of the requests of a kind.
 #[derive(Debug, Clone, Copy, Default)]
-struct Ends {
+struct Totals {
     offered: u32,
     served: u32,
     /// Refused at the service after they had begun above it.
     wasted: u32,
 }
 
-impl Ends {
+impl Totals {
     fn share(self) -> f64 {
         f64::from(self.served) / f64::from(self.offered)
     }
 }
 
 const SLOTS: u32 = 40;
-/// Length of a run, and how long of that the service learns before requests are counted.
+/// Length of a simulation, and the part of it in which the service learns before requests are counted.
 const STEPS: u64 = 20_000;
 const LEARNING_STEPS: u64 = 4_000;
 
-/// A service behind one entry, in steps of a millisecond. The entry knows the floor of the last tick.
+/// A service behind one entry, simulated in steps of a millisecond. The entry knows the floor of the last
+/// tick.
 struct Run<'a> {
     kinds: &'a [Kind],
     by_cost: bool,
@@ -300,7 +305,7 @@
     next_ticket: u64,
     requests: HashMap<Ticket, Request>,
     running: BTreeSet<(Instant, Ticket)>,
-    ends: Vec<Ends>,
+    totals: Vec<Totals>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -313,7 +318,7 @@
     slot_ms: u64,
 }
 
-fn simulate(kinds: &[Kind], by_cost: bool) -> Vec<Ends> {
+fn simulate(kinds: &[Kind], by_cost: bool) -> Vec<Totals> {
     let policy = AdmissionPolicy { slots: SLOTS, queue_per_slot: 4, initial_slots: SLOTS };
     let mut run = Run {
         kinds,
@@ -325,7 +330,7 @@
         next_ticket: 0,
         requests: HashMap::new(),
         running: BTreeSet::new(),
-        ends: vec![Ends::default(); kinds.len()],
+        totals: vec![Totals::default(); kinds.len()],
     };
     for step in 0..STEPS {
         run.now = run.now.plus(MILLISECOND);
@@ -345,7 +350,7 @@
             run.floors.learn_service("deep", floor, run.now);
         }
     }
-    run.ends
+    run.totals
 }
 
 impl Run<'_> {
@@ -353,11 +358,11 @@
         let Kind { name, calls, .. } = self.kinds[kind];
         self.next_ticket += 1;
         let root = RootId(u128::from(self.next_ticket).wrapping_mul(0x9E37_79B9_7F4A_7C15) as _);
-        // As an answer tells the entry, that the service binds this kind.
+        // An answer tells the entry that the service is the bottleneck of this kind.
         self.floors.learn(name, Some(("deep", self.queue.floor())), self.now);
         let bottleneck = self.floors.bottleneck(name, self.now).filter(|_| self.by_cost);
         let priority = self.costs.priority(name, CLASS, root, bottleneck, self.now);
-        self.ends[kind].offered += u32::from(counts);
+        self.totals[kind].offered += u32::from(counts);
         if !self.floors.admits(name, priority, self.now) {
             return;
         }
@@ -389,10 +394,10 @@
     fn refuse(&mut self, ticket: Ticket) {
         let Some(request) = self.requests.remove(&ticket) else { return };
         let begun = !self.kinds[request.kind].first;
-        self.ends[request.kind].wasted += u32::from(request.counts && begun);
+        self.totals[request.kind].wasted += u32::from(request.counts && begun);
     }
 
-    /// Service times are drawn from half to one and a half of the mean.
+    /// Starts a call. Service times are drawn from half to one and a half of the mean.
     fn start(&mut self, ticket: Ticket) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let drawn = (ticket.0.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32) % 1000;
@@ -412,7 +417,7 @@
                 self.call(request);
                 continue;
             }
-            self.ends[request.kind].served += u32::from(request.counts);
+            self.totals[request.kind].served += u32::from(request.counts);
             let kind = self.kinds[request.kind];
             let reported = kind.wrong_ms.unwrap_or(request.slot_ms as u32);
             self.costs.learn(kind.name, &[usage("deep", reported)], self.now);
@@ -429,27 +434,27 @@
     }
 }
 
-/// Guards against a full service where a kind that uses three times the slot time takes the places of several requests
-/// of the other kind of its class: 500 requests a second of each, twice the capacity together.
+/// Guards against a kind with three times the slot time that displaces several requests of the other kind of
+/// its class at a fully loaded service: 500 requests per second of each, together twice the capacity.
 #[test]
 fn a_full_service_answers_more_requests_when_the_cheaper_kind_is_shed_less() {
     let kind =
         |name, service_ms| Kind { name, per_second: 500, calls: 1, service_ms, first: false, wrong_ms: None };
-    let kinds = [kind("cheap", 40), kind("dear", 120)];
+    let kinds = [kind("cheap", 40), kind("expensive", 120)];
     let (before, after) = (simulate(&kinds, false), simulate(&kinds, true));
     println!("one call each, 40 and 120 ms, before: {before:?}, by cost: {after:?}");
-    let [cheap, dear] = [after[0].share(), after[1].share()];
+    let [cheap, expensive] = [after[0].share(), after[1].share()];
     assert!(cheap > before[0].share() + 0.2, "before {before:?}, by cost {after:?}");
-    assert!(dear > cheap / 4.0, "starved: {after:?}");
-    let served = |ends: &[Ends]| ends.iter().map(|ends| ends.served).sum::<u32>();
+    assert!(expensive > cheap / 4.0, "starved: {after:?}");
+    let served = |totals: &[Totals]| totals.iter().map(|totals| totals.served).sum::<u32>();
     assert!(
         f64::from(served(&after)) > 1.15 * f64::from(served(&before)),
         "before {before:?}, by cost {after:?}"
     );
 }
 
-/// Guards against usage that is wrong at all servers: the cheap kind is taken for one that is dear without bounds, and is not
-/// starved all the same.
+/// Guards against usage that is wrong at all servers: a cheap kind that is reported as very expensive must
+/// not be starved.
 #[test]
 fn wrong_usage_starves_no_kind() {
     let kind = |name, service_ms, wrong_ms| Kind {
@@ -460,16 +465,16 @@
         first: false,
         wrong_ms,
     };
-    let ends = simulate(&[kind("cheap", 40, Some(u32::MAX)), kind("dear", 120, None)], true);
-    println!("cheap kind reported as dear: {ends:?}");
-    // A quarter by the bounds of the factor, less what the queue sheds by itself.
-    assert!(ends[0].share() > ends[1].share() / 5.0, "starved: {ends:?}");
+    let totals = simulate(&[kind("cheap", 40, Some(u32::MAX)), kind("expensive", 120, None)], true);
+    println!("cheap kind reported as expensive: {totals:?}");
+    // The bounds of the factor leave a quarter; the queue itself sheds some of that.
+    assert!(totals[0].share() > totals[1].share() / 5.0, "starved: {totals:?}");
 }
 
-/// Guards against begun chains of four calls that fail at a later call because first calls of their class take the places:
-/// the chains need the whole service, the first calls four fifths of it.
+/// Guards against begun chains of four calls that fail at a later call because first calls of their class
+/// displace them. The chains need the whole service, the first calls four fifths of it.
 #[test]
-fn fewer_begun_chains_fail_where_first_calls_come_at_once() {
+fn fewer_begun_chains_fail_if_first_calls_compete() {
     let kinds = [
         Kind { name: "chain", per_second: 250, calls: 4, service_ms: 40, first: false, wrong_ms: None },
         Kind { name: "single", per_second: 800, calls: 1, service_ms: 40, first: true, wrong_ms: None },
@@ -481,11 +486,12 @@
     assert!(chain > single / 4.0 && single > chain / 4.0, "starved: {after:?}");
 }
 
-/// Guards against costs that change anything at a service with room for all: nothing is shed, whatever the costs.
+/// Guards against costs that have an effect at a service with spare capacity: nothing is shed there, whatever
+/// the costs.
 #[test]
 fn a_service_that_does_not_shed_serves_all_kinds() {
     let kind =
         |name, service_ms| Kind { name, per_second: 150, calls: 1, service_ms, first: false, wrong_ms: None };
-    let ends = simulate(&[kind("cheap", 40), kind("dear", 120)], true);
-    assert!(ends.iter().all(|ends| ends.share() > 0.98 && ends.wasted == 0), "{ends:?}");
+    let totals = simulate(&[kind("cheap", 40), kind("expensive", 120)], true);
+    assert!(totals.iter().all(|totals| totals.share() > 0.98 && totals.wasted == 0), "{totals:?}");
 }
--- a/crates/seamhatch-core/tests/crashes.rs
+++ b/crates/seamhatch-core/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Evidence against requests that were at work when servers crashed.
+//! Evidence against requests that ran when servers crashed.
 
 use proptest::prelude::*;
 use seamhatch_core::clock::{MILLISECOND, SECOND};
@@ -13,28 +13,28 @@
 const REQUEST: RequestDigest = RequestDigest(7);
 const START: Instant = Instant(10_000 * SECOND);
 
-/// One thing that happens to a request.
+/// An event in the history of a request.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// This life of a server ends under it and others.
+    /// This instance of a server crashes while the request runs beside others.
     Crash(u64),
-    /// This life of a server ends under it, as the only suspect of several crashes.
+    /// This instance of a server crashes while the request runs isolated.
     Trial(u64),
-    /// It comes to a good end.
-    GoodEnd,
+    /// The request has a successful run.
+    SuccessfulRun,
     /// Time passes, in seconds.
     Wait(u64),
 }
 
-/// What is left of a request's evidence at the end.
+/// Expected standing of the request at the end.
 #[derive(Debug, PartialEq, Eq)]
 enum Standing {
     Clear,
     Suspect(u32),
-    /// Crashes, and seconds until a trial.
+    /// Crashes, and seconds until a trial run.
     Condemned(u32, u64),
-    /// Crashes; it has had its trials.
-    ForGood(u32),
+    /// Crashes; no trial run is left.
+    Permanent(u32),
 }
 
 struct StandingCase {
@@ -43,12 +43,12 @@
     standing: Standing,
 }
 
-use Step::{Crash, GoodEnd, Trial, Wait};
+use Step::{Crash, SuccessfulRun, Trial, Wait};
 
 const CASES: [StandingCase; 16] = [
     StandingCase { name: "unknown", steps: &[], standing: Standing::Clear },
     StandingCase { name: "one crash", steps: &[Crash(1)], standing: Standing::Suspect(1) },
-    StandingCase { name: "one crash told often", steps: &[Crash(1); 5], standing: Standing::Suspect(1) },
+    StandingCase { name: "one crash reported often", steps: &[Crash(1); 5], standing: Standing::Suspect(1) },
     StandingCase {
         name: "three crashes",
         steps: &[Crash(1), Crash(2), Wait(5), Trial(3), Wait(10)],
@@ -66,12 +66,12 @@
     },
     StandingCase {
         name: "cleared between",
-        steps: &[Crash(1), Crash(2), GoodEnd, Trial(3)],
+        steps: &[Crash(1), Crash(2), SuccessfulRun, Trial(3)],
         standing: Standing::Suspect(1),
     },
     StandingCase {
-        name: "a crash before the good end, told once more",
-        steps: &[Crash(1), Crash(2), GoodEnd, Crash(2), Crash(1)],
+        name: "a crash before the successful run, reported once more",
+        steps: &[Crash(1), Crash(2), SuccessfulRun, Crash(2), Crash(1)],
         standing: Standing::Clear,
     },
     StandingCase {
@@ -86,19 +86,19 @@
     },
     StandingCase {
         name: "the trial ends well",
-        steps: &[Crash(1), Crash(2), Trial(3), Wait(30), GoodEnd],
+        steps: &[Crash(1), Crash(2), Trial(3), Wait(30), SuccessfulRun],
         standing: Standing::Clear,
     },
     StandingCase { name: "long ago", steps: &[Crash(1), Crash(2), Wait(601)], standing: Standing::Clear },
     StandingCase {
         name: "the third trial crashes a server",
         steps: &[Crash(1), Crash(2), Trial(3), Wait(30), Trial(4), Wait(60), Trial(5)],
-        standing: Standing::ForGood(5),
+        standing: Standing::Permanent(5),
     },
     StandingCase {
         name: "and long after",
         steps: &[Crash(1), Crash(2), Trial(3), Trial(4), Trial(5), Wait(100_000)],
-        standing: Standing::ForGood(5),
+        standing: Standing::Permanent(5),
     },
     StandingCase {
         name: "condemned long ago",
@@ -107,22 +107,22 @@
     },
     StandingCase {
         name: "until an operator clears it",
-        steps: &[Crash(1), Crash(2), Trial(3), Trial(4), Trial(5), GoodEnd],
+        steps: &[Crash(1), Crash(2), Trial(3), Trial(4), Trial(5), SuccessfulRun],
         standing: Standing::Clear,
     },
 ];
 
-fn play(ledger: &mut CrashLedger, steps: &[Step]) -> Instant {
+fn apply_steps(ledger: &mut CrashLedger, steps: &[Step]) -> Instant {
     let mut now = START;
     for step in steps {
         match step {
-            Crash(life) => {
-                ledger.report(InstanceDigest(*life), REQUEST, false, now);
+            Crash(instance) => {
+                ledger.report(InstanceDigest(*instance), REQUEST, false, now);
             }
-            Trial(life) => {
-                ledger.report(InstanceDigest(*life), REQUEST, true, now);
+            Trial(instance) => {
+                ledger.report(InstanceDigest(*instance), REQUEST, true, now);
             }
-            GoodEnd => {
+            SuccessfulRun => {
                 ledger.clear(REQUEST, now);
             }
             Wait(seconds) => now = now.plus(seconds * SECOND),
@@ -135,7 +135,7 @@
     match ledger.standing(REQUEST, now) {
         SuspectStanding::Clear => Standing::Clear,
         SuspectStanding::Suspect { crashes } => Standing::Suspect(crashes),
-        SuspectStanding::Condemned { crashes, until: Instant::NEVER } => Standing::ForGood(crashes),
+        SuspectStanding::Condemned { crashes, until: Instant::NEVER } => Standing::Permanent(crashes),
         SuspectStanding::Condemned { crashes, until } => {
             Standing::Condemned(crashes, until.since(now) / SECOND)
         }
@@ -143,19 +143,20 @@
 }
 
 #[test]
-fn a_request_is_condemned_by_distinct_crashes_without_a_good_end_between() {
+fn distinct_crashes_without_a_successful_run_condemn_a_request() {
     for case in CASES {
         let mut ledger = CrashLedger::default();
-        let now = play(&mut ledger, case.steps);
+        let now = apply_steps(&mut ledger, case.steps);
         assert_eq!(standing(&ledger, now), case.standing, "{}", case.name);
     }
 }
 
 #[test]
-fn evidence_says_once_that_a_request_is_condemned_and_once_that_it_is_released() {
+fn the_ledger_reports_condemnation_and_release_once() {
     let mut ledger = CrashLedger::default();
-    let effects: Vec<EvidenceEffect> =
-        (1..=4).map(|life| ledger.report(InstanceDigest(life), REQUEST, life > 2, START)).collect();
+    let effects: Vec<EvidenceEffect> = (1..=4)
+        .map(|instance| ledger.report(InstanceDigest(instance), REQUEST, instance > 2, START))
+        .collect();
     use EvidenceEffect::{Changed, Condemned, Known, Released};
     assert_eq!(effects, [Changed, Changed, Condemned, Changed]);
     assert_eq!(ledger.clear(REQUEST, START), Released);
@@ -163,11 +164,11 @@
 }
 
 #[test]
-fn a_flood_of_suspects_pushes_no_condemned_request_out() {
+fn a_flood_of_suspects_evicts_no_condemned_request() {
     let policy = CrashPolicy { most_suspects: 64, most_condemned: 16, ..CrashPolicy::default() };
     let mut ledger = CrashLedger::new(policy);
-    for life in 1..=3 {
-        ledger.report(InstanceDigest(life), REQUEST, life > 2, START);
+    for instance in 1..=3 {
+        ledger.report(InstanceDigest(instance), REQUEST, instance > 2, START);
     }
     for number in 0..10_000 {
         let now = START.plus(number);
@@ -180,19 +181,19 @@
 }
 
 #[test]
-fn one_life_of_a_server_has_one_name_everywhere() {
-    let life = |name: &str| InstanceDigest::of_instance(&InstanceId::named(name));
-    assert_eq!(life("i-1"), life("i-1"));
-    assert_ne!(life("i-1"), life("i-2"));
+fn an_instance_has_the_same_digest_everywhere() {
+    let instance = |name: &str| InstanceDigest::of_instance(&InstanceId::named(name));
+    assert_eq!(instance("i-1"), instance("i-1"));
+    assert_ne!(instance("i-1"), instance("i-2"));
 }
 
-/// What one daemon has seen of a request, as reports: crashes and good ends in any order.
+/// Record of one daemon: crashes and successful runs in any order.
 fn record() -> impl Strategy<Value = SuspectRecord> {
     let seen = (0_u64..40, any::<bool>(), proptest::bool::weighted(0.1));
     proptest::collection::vec(seen, 0..30).prop_map(|seen| {
         let mut record = SuspectRecord::new(REQUEST);
-        for (life, on_trial, ends_well) in seen {
-            record.add(InstanceDigest(life), on_trial);
+        for (instance, on_trial, ends_well) in seen {
+            record.add(InstanceDigest(instance), on_trial);
             if ends_well {
                 record.clear();
             }
@@ -221,7 +222,7 @@
     }
 
     #[test]
-    fn a_crash_that_anybody_knows_as_cleared_never_counts_again(seen in record(), late in record()) {
+    fn a_cleared_crash_never_counts_again(seen in record(), late in record()) {
         let mut cleared = seen;
         cleared.clear();
         let before = merged(&[&cleared, &late]).open_crashes();
@@ -231,15 +232,15 @@
     }
 
     #[test]
-    fn reports_bring_all_daemons_to_the_same_verdict(
+    fn reports_converge_to_the_same_standing(
         crashes in proptest::collection::vec((0_usize..3, 1_u64..6), 0..8),
         order in proptest::collection::vec((0_usize..3, 0_usize..3), 0..12),
     ) {
         let mut ledgers = vec![CrashLedger::default(); 3];
-        for (daemon, life) in &crashes {
-            ledgers[*daemon].report(InstanceDigest(*life), REQUEST, false, START);
+        for (daemon, instance) in &crashes {
+            ledgers[*daemon].report(InstanceDigest(*instance), REQUEST, false, START);
         }
-        // Each tells each other in the end, whatever was told before.
+        // Finally each daemon reports to each other one, whatever was reported before.
         let complete = (0..3).flat_map(|from| (0..3).map(move |to| (from, to)));
         for (from, to) in order.into_iter().chain(complete.clone()).chain(complete) {
             let reports = ledgers[from].reports(&[REQUEST], START);
@@ -247,7 +248,7 @@
                 ledgers[to].merge(&report, START);
             }
         }
-        let distinct: std::collections::BTreeSet<u64> = crashes.iter().map(|(_, life)| *life).collect();
+        let distinct: std::collections::BTreeSet<u64> = crashes.iter().map(|(_, instance)| *instance).collect();
         for ledger in &ledgers {
             prop_assert_eq!(ledger.standing(REQUEST, START).crashes() as usize, distinct.len());
         }
@@ -255,31 +256,31 @@
 }
 
 #[test]
-fn a_report_counts_from_the_time_of_its_crash_and_of_few_crashes_not_at_all_when_that_is_long_ago() {
-    let told = |crashes: u64, age: Microseconds| {
-        let mut teller = CrashLedger::default();
-        for life in 1..=crashes {
-            teller.report(InstanceDigest(life), REQUEST, life > 2, START);
+fn a_report_counts_from_its_last_crash_and_expires_below_condemnation() {
+    let reported = |crashes: u64, age: Microseconds| {
+        let mut reporter = CrashLedger::default();
+        for instance in 1..=crashes {
+            reporter.report(InstanceDigest(instance), REQUEST, instance > 2, START);
         }
-        let report: SuspectReport = teller.reports(&[REQUEST], START.plus(age)).remove(0);
+        let report: SuspectReport = reporter.reports(&[REQUEST], START.plus(age)).remove(0);
         let mut ledger = CrashLedger::default();
         ledger.merge(&report, START);
         ledger.standing(REQUEST, START)
     };
     let until = START.plus(20 * SECOND);
-    assert_eq!(told(3, 10 * SECOND), SuspectStanding::Condemned { crashes: 3, until });
-    assert_eq!(told(3, 40 * SECOND), SuspectStanding::Suspect { crashes: 3 });
-    assert_eq!(told(3, 4000 * SECOND), SuspectStanding::Suspect { crashes: 3 });
-    assert_eq!(told(2, 40 * SECOND), SuspectStanding::Suspect { crashes: 2 });
-    assert_eq!(told(2, 4000 * SECOND), SuspectStanding::Clear);
+    assert_eq!(reported(3, 10 * SECOND), SuspectStanding::Condemned { crashes: 3, until });
+    assert_eq!(reported(3, 40 * SECOND), SuspectStanding::Suspect { crashes: 3 });
+    assert_eq!(reported(3, 4000 * SECOND), SuspectStanding::Suspect { crashes: 3 });
+    assert_eq!(reported(2, 40 * SECOND), SuspectStanding::Suspect { crashes: 2 });
+    assert_eq!(reported(2, 4000 * SECOND), SuspectStanding::Clear);
 }
 
-/// A trial run that its server does not begin is taken back. A back end that couldn't be reached for long would have filled the
-/// record with these, until the crashes that condemn the request had no room.
+/// Withdrawn trial runs must not fill the record: a back end that cannot be reached for long would otherwise
+/// leave no room for the crashes that condemn the request.
 #[test]
-fn trial_runs_that_were_taken_back_do_not_push_the_verdict_out() {
+fn withdrawn_trial_runs_do_not_displace_condemning_crashes() {
     let mut ledger = CrashLedger::default();
-    let mut now = play(&mut ledger, &[Crash(1), Crash(2), Trial(3)]);
+    let mut now = apply_steps(&mut ledger, &[Crash(1), Crash(2), Trial(3)]);
     for number in 0..100 {
         now = now.plus(3600 * SECOND);
         let mark = InstanceDigest::of_trial(number);
@@ -291,44 +292,44 @@
     }
 }
 
-/// Time after the third crash from which on a run of the request counts.
+/// Time after the third crash from which on a run counts as late.
 const KNOWN: Microseconds = 3 * SECOND;
-/// Runs that may follow later than that.
+/// Maximum number of late runs.
 const MOST_RUNS: usize = 3;
-/// How long callers insist.
+/// How long callers keep sending the request.
 const DAY: Microseconds = 24 * 3600 * SECOND;
 
-/// Callers of a request that crashes each server that runs it.
-struct InsistingCase {
-    /// Copies that run in the first moment, before any daemon knows of a crash.
+/// Callers that keep sending a request which crashes each server that runs it.
+struct RetryingCase {
+    /// Copies that run at the same time, before any daemon knows of a crash.
     in_flight: usize,
     /// Time between two later attempts.
     pause: Microseconds,
 }
 
-const INSISTING: [InsistingCase; 8] = [
-    InsistingCase { in_flight: 1, pause: SECOND },
-    InsistingCase { in_flight: 2, pause: SECOND },
-    InsistingCase { in_flight: 3, pause: SECOND },
-    InsistingCase { in_flight: 3, pause: 5 * SECOND },
-    InsistingCase { in_flight: 1, pause: 500 * SECOND },
-    InsistingCase { in_flight: 3, pause: 7200 * SECOND },
-    InsistingCase { in_flight: MOST_MARKS, pause: SECOND },
-    InsistingCase { in_flight: 40, pause: SECOND },
+const RETRYING: [RetryingCase; 8] = [
+    RetryingCase { in_flight: 1, pause: SECOND },
+    RetryingCase { in_flight: 2, pause: SECOND },
+    RetryingCase { in_flight: 3, pause: SECOND },
+    RetryingCase { in_flight: 3, pause: 5 * SECOND },
+    RetryingCase { in_flight: 1, pause: 500 * SECOND },
+    RetryingCase { in_flight: 3, pause: 7200 * SECOND },
+    RetryingCase { in_flight: MOST_MARKS, pause: SECOND },
+    RetryingCase { in_flight: 40, pause: SECOND },
 ];
 
-/// A digest in no order, as those of real instances are.
+/// A digest without an order, as those of real instances are.
 fn scattered(number: usize) -> InstanceDigest {
     InstanceDigest((number as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15))
 }
 
-/// The trial runs of a condemned request went on for ever, at growing pauses, so that callers who insist crashed a fourth server,
-/// and more, long after the third. With sixteen copies in the first moment the record was full, and the crash of a trial run found
-/// no room in it. Found by reading; the table failed in all its cases.
+/// Guards against trial runs without end, at growing pauses, by which callers that keep sending a request
+/// crash a fourth server and more long after the third. Also guards against a record that is full after
+/// sixteen simultaneous copies and has no room for the crash of a trial run.
 #[test]
-fn few_runs_follow_the_third_crash_however_long_callers_insist() {
+fn few_runs_follow_the_third_crash_however_long_callers_retry() {
     let mut broken = Vec::new();
-    for InsistingCase { in_flight, pause } in INSISTING {
+    for RetryingCase { in_flight, pause } in RETRYING {
         let mut ledger = CrashLedger::default();
         let mut crashes: Vec<Instant> = Vec::new();
         for number in 0..in_flight {
@@ -356,17 +357,18 @@
     assert!(broken.is_empty(), "{broken:#?}");
 }
 
-/// Runs of a request that were lost with the daemon beside the server: at which, when each was sent and lost in milliseconds, and whether it
-/// ran alone among its kind.
+/// Runs of a request that were lost with the daemon beside the server: the daemon, when each run was sent and
+/// lost in milliseconds, and whether it ran isolated.
 struct LossCase {
     name: &'static str,
     losses: &'static [(u64, u64, u64, bool)],
     standing: Standing,
 }
 
-/// A request that takes the daemon along left nobody to tell; machines that are killed or lose power look the same to whoever had calls there.
+/// Guards against a request that ends the daemon together with its server, so that no daemon is left to
+/// report the crash. To the daemons that had calls there, a killed machine or a power failure looks the same.
 #[test]
-fn losses_of_daemons_count_where_one_follows_the_other() {
+fn lost_daemons_count_only_one_after_the_other() {
     let cases = [
         LossCase { name: "one", losses: &[(1, 0, 400, false)], standing: Standing::Suspect(1) },
         LossCase {
@@ -385,7 +387,7 @@
             standing: Standing::Suspect(3),
         },
         LossCase {
-            name: "the same daemon told of twice",
+            name: "the same daemon reported twice",
             losses: &[(1, 0, 400, false), (1, 430, 830, false)],
             standing: Standing::Suspect(1),
         },
--- a/crates/seamhatch-core/tests/decisions.rs
+++ b/crates/seamhatch-core/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Clocks, claims, rosters, server choice and retry ratios, step by step.
+//! Clocks, claims, rosters, server choice and retry budgets, step by step.
 
 use seamhatch_core::Instant;
 use seamhatch_core::balance::{CallEnd, Candidate, CandidateStatus, Ejection, KnownPace, SuccessRate, pick};
@@ -58,10 +58,10 @@
     assert!(witness.is_empty());
 }
 
-/// Two of three witnesses are sealed and name different holders of one key:
-/// with the third, either may have had a majority.
+/// Two of three witnesses are sealed and name different holders of one key. Either holder may have had a
+/// majority with the third witness.
 #[test]
-fn a_contested_key_is_nobodys_in_the_next_epoch() {
+fn a_contested_key_is_held_by_nobody_in_the_next_epoch() {
     let union = union_of_claims([claim(1, 1), claim(1, 2), claim(2, 3), claim(2, 3)]);
     assert_eq!(union.len(), 2);
     let mut witness = Witness::default();
@@ -107,7 +107,7 @@
     }
 }
 
-/// Witnesses of an epoch that were sealed and that ended, by their places, and how far its sealing has come.
+/// Sealed and ended witnesses of an epoch, by index, and the resulting progress of its sealing.
 struct SealCase {
     witnesses: u8,
     sealed: &'static [usize],
@@ -120,7 +120,7 @@
     SealCase { witnesses: 3, sealed: &[], ended: &[1], progress: SealProgress::Incomplete },
     SealCase { witnesses: 3, sealed: &[0, 1], ended: &[2], progress: SealProgress::Complete },
     SealCase { witnesses: 3, sealed: &[0], ended: &[1], progress: SealProgress::CompleteWithLoss },
-    // Both have granted whatever was granted.
+    // Both witnesses have granted every claim that was granted.
     SealCase { witnesses: 2, sealed: &[0], ended: &[1], progress: SealProgress::Complete },
     SealCase { witnesses: 2, sealed: &[1], ended: &[], progress: SealProgress::Complete },
     SealCase { witnesses: 2, sealed: &[], ended: &[0, 1], progress: SealProgress::CompleteWithLoss },
@@ -128,7 +128,8 @@
     SealCase { witnesses: 1, sealed: &[], ended: &[0], progress: SealProgress::CompleteWithLoss },
 ];
 
-/// Guards against an epoch that counts as lost although a witness that was sealed remembers all that was granted in it.
+/// Guards against an epoch that counts as lost although a sealed witness remembers all claims that were
+/// granted in it.
 #[test]
 fn an_epoch_is_over_with_a_loss_only_where_no_sealed_witness_must_remember_all() {
     for case in SEAL_CASES {
@@ -149,23 +150,23 @@
 }
 
 #[test]
-fn the_own_zone_goes_first_until_it_is_nearly_full() {
+fn the_own_zone_is_preferred_until_it_is_nearly_full() {
     let first = |_| 0;
     assert_eq!(pick(&[server(0, false, false), server(3, true, false)], first), Some(1));
     assert_eq!(pick(&[server(0, false, false), server(9, true, false)], first), Some(0));
     assert_eq!(pick(&[server(0, true, true), server(3, false, false)], first), Some(1));
-    // Where all are full, work stays in its zone while it waits about as long there.
+    // If all servers are full, work stays in its zone as long as the wait is about the same there.
     assert_eq!(pick(&[server(12, false, false), server(15, true, false)], first), Some(1));
     assert_eq!(pick(&[server(12, false, false), server(18, true, false)], first), Some(0));
-    // A whole pool is never given up.
+    // If all servers are ejected, they are used all the same.
     assert_eq!(pick(&[server(0, true, true)], first), Some(0));
     assert_eq!(pick(&[], first), None);
 }
 
-/// Statuses of servers, and the ones that may be picked.
+/// Statuses of servers, and the servers that may be picked.
 struct StatusCase {
     name: &'static str,
-    /// Those that have as many calls as slots; the others have none.
+    /// Servers with as many calls as slots; the others have no calls.
     full: &'static [usize],
     statuses: &'static [CandidateStatus],
     picked: &'static [usize],
@@ -242,7 +243,8 @@
     assert!((95..=103).contains(&retries), "{retries}");
 }
 
-/// With a strict order of classes alone, a bottleneck that the most important class fills starves all others.
+/// Guards against a strict order of classes, with which the most important class starves all others at a full
+/// bottleneck.
 #[test]
 fn a_floor_keeps_some_requests_of_every_class_whatever_its_level() {
     use seamhatch_core::priority::{AdmissionFloor, BUCKETS, Priority, PriorityClass};
@@ -260,7 +262,7 @@
     }
 }
 
-/// Ends of calls to a server, the share of answers that counts, and later.
+/// Ends of calls to a server, and the expected success rate at once and later.
 struct SuccessCase {
     name: &'static str,
     ends: Vec<CallEnd>,
@@ -291,7 +293,7 @@
 }
 
 #[test]
-fn a_server_that_loses_answers_is_taken_only_when_the_others_are_much_busier() {
+fn a_server_that_loses_answers_is_picked_only_if_the_others_are_much_busier() {
     let lossy = Candidate { success: 0.7, ..server(1, false, false) };
     let first = |_| 0;
     assert_eq!(pick(&[lossy, server(5, false, false)], first), Some(1));
@@ -303,14 +305,14 @@
     assert_eq!(pick(&[hopeless, server(1, false, false)], first), Some(1));
 }
 
-/// Retries that are taken, and calls of repeated runs, against 100 first tries that earn a fifth each.
+/// Own retries granted and calls of repeated runs, against 100 first tries that earn a fifth of a retry each.
 struct BudgetCase {
     name: &'static str,
     repeats_of_runs: usize,
     expected_own: usize,
 }
 
-/// Repeats high in a chain use up what the services below could repeat by themselves.
+/// Guards against repeats high in a chain that use up the retries of the services below.
 #[test]
 fn calls_of_repeated_runs_are_charged_to_the_service_that_they_go_to() {
     let policy = RetryRatioPolicy { ratio: 0.2, burst: 100.0, half_life: None, initial: 0.0 };
@@ -322,29 +324,29 @@
     for case in cases {
         let mut ratio = RetryRatio::default();
         (0..case.repeats_of_runs).for_each(|_| ratio.charge_call_of_repeat("stock", policy, NOW));
-        // Not quite a fifth in binary.
+        // One more first try, since a fifth is not exact in binary.
         (0..101).for_each(|_| ratio.first_try("stock", policy, NOW));
         let own = (0..50).filter(|_| ratio.try_retry("stock", policy, NOW)).count();
         assert_eq!(own, case.expected_own, "{}", case.name);
     }
 }
 
-/// First tries a second at one daemon, and how many retries it has at hand after a while of them.
+/// First tries per second at one daemon, and the retries that it can spend after some time.
 struct SavedCase {
     per_second: u64,
-    at_hand: std::ops::RangeInclusive<usize>,
+    spendable: std::ops::RangeInclusive<usize>,
 }
 
-/// Answers are lost in clumps: what was earned in the last second or two must be at hand, and no more, so
-/// that all daemons together stay within the bound of some seconds.
+/// Answers are lost in bursts: a daemon must be able to spend what it earned in the last second or two, and
+/// no more, so that all daemons together stay within a bound over some seconds.
 #[test]
-fn a_daemon_has_at_hand_what_it_earned_lately() {
+fn a_daemon_can_spend_what_it_earned_recently() {
     let policy =
         RetryRatioPolicy { ratio: 0.16, burst: f64::INFINITY, half_life: Some(SECOND), initial: 0.0 };
     let cases = [
-        SavedCase { per_second: 1, at_hand: 1..=1 },
-        SavedCase { per_second: 100, at_hand: 20..=25 },
-        SavedCase { per_second: 1000, at_hand: 220..=235 },
+        SavedCase { per_second: 1, spendable: 1..=1 },
+        SavedCase { per_second: 100, spendable: 20..=25 },
+        SavedCase { per_second: 1000, spendable: 220..=235 },
     ];
     for case in cases {
         let mut ratio = RetryRatio::default();
@@ -355,7 +357,7 @@
         }
         let mut later = ratio.clone();
         let taken = (0..1000).filter(|_| ratio.try_retry("stock", policy, now)).count();
-        assert!(case.at_hand.contains(&taken), "{} a second: {taken}", case.per_second);
+        assert!(case.spendable.contains(&taken), "{} a second: {taken}", case.per_second);
         let long_after = now.plus(20 * SECOND);
         assert!(
             later.try_retry("stock", policy, long_after) && !later.try_retry("stock", policy, long_after)
@@ -363,14 +365,14 @@
     }
 }
 
-/// When a shard that lost claims may go on, while what is to follow changes again and again.
+/// When a shard that lost claims may continue, while its next assignment changes repeatedly.
 #[test]
-fn the_wait_after_a_loss_is_not_begun_anew_by_another_change() {
+fn another_change_does_not_restart_the_wait_after_a_loss() {
     use seamhatch_core::roster::{ClaimLossWaits, SHARD_RESTART_WAIT};
     let mut waits = ClaimLossWaits::default();
     let lost = Epoch(2);
     assert!(waits.note(7, lost, NOW), "news");
-    // Each epoch that follows lists the lost one again, and those before it, which granted nothing.
+    // Each following epoch lists the lost one again, and those before it, which granted nothing.
     for change in 1..=10 {
         let now = NOW.plus(change * SHARD_RESTART_WAIT / 10);
         let previous: Vec<Assignment> =
@@ -382,7 +384,7 @@
     let over = NOW.plus(SHARD_RESTART_WAIT + 1);
     assert_eq!(waits.elapsed(7, over).into_iter().collect::<Vec<_>>(), [lost]);
     assert!(waits.elapsed(8, over).is_empty(), "another shard's wait");
-    // A second loss has a wait of its own.
+    // A second loss has its own wait.
     assert!(waits.note(7, Epoch(9), over));
     assert!(!waits.elapsed(7, over.plus(SHARD_RESTART_WAIT)).contains(&Epoch(9)));
     waits.retain(7, &[]);
--- a/crates/seamhatch-core/tests/entry_floors.rs
+++ b/crates/seamhatch-core/tests/entry_floors.rs
@@ -1,4 +1,4 @@
-//! What the entry refuses on behalf of the services behind it.
+//! Requests that the entry refuses on behalf of the services behind it.
 
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, Microseconds, SECOND};
@@ -9,7 +9,7 @@
 
 /// Refuses everything but critical work.
 const SHEDDING: AdmissionFloor = AdmissionFloor::at(128);
-/// Longer than any floor counts without being confirmed.
+/// Later than the lifetime of any unconfirmed floor.
 const LONG_AFTER: Instant = Instant(NOW.0 + 2200 * MILLISECOND);
 
 fn met(service: &str) -> Option<(&str, AdmissionFloor)> {
@@ -24,37 +24,37 @@
     Priority { class: PriorityClass::Critical, bucket: 60 }
 }
 
-/// What the entry hears after it learnt that `search` meets a floor of `captions`.
-struct NewsCase {
+/// Update that the entry gets after it learnt that `search` meets a floor of `captions`.
+struct UpdateCase {
     name: &'static str,
-    news: fn(&mut EntryFloorTable, Instant),
+    update: fn(&mut EntryFloorTable, Instant),
     admits_bulk_search: bool,
 }
 
-/// Without it, each kind finds out by itself: one whose answers are slow and rare is let through in the
-/// meantime, and takes the place of more important kinds whose answers confirm the floor.
+/// Guards against kinds that each have to discover a floor: a kind whose answers are slow and rare would be
+/// admitted in the meantime and displace more important kinds whose answers confirm the floor.
 #[test]
-fn a_floor_is_known_to_all_kinds_that_meet_its_service() {
+fn a_floor_applies_to_all_kinds_that_meet_its_service() {
     let cases = [
-        NewsCase { name: "nothing", news: |_, _| {}, admits_bulk_search: true },
-        NewsCase {
+        UpdateCase { name: "nothing", update: |_, _| {}, admits_bulk_search: true },
+        UpdateCase {
             name: "an answer of another kind",
-            news: |floors, now| floors.learn("view", met("captions"), now),
+            update: |floors, now| floors.learn("view", met("captions"), now),
             admits_bulk_search: false,
         },
-        NewsCase {
+        UpdateCase {
             name: "a heartbeat of the service",
-            news: |floors, now| floors.learn_service("captions", SHEDDING, now),
+            update: |floors, now| floors.learn_service("captions", SHEDDING, now),
             admits_bulk_search: false,
         },
-        NewsCase {
+        UpdateCase {
             name: "a heartbeat of a service that this kind never met",
-            news: |floors, now| floors.learn_service("orders", SHEDDING, now),
+            update: |floors, now| floors.learn_service("orders", SHEDDING, now),
             admits_bulk_search: true,
         },
-        NewsCase {
+        UpdateCase {
             name: "a heartbeat of the service, which is open again",
-            news: |floors, now| floors.learn_service("captions", AdmissionFloor::OPEN, now),
+            update: |floors, now| floors.learn_service("captions", AdmissionFloor::OPEN, now),
             admits_bulk_search: true,
         },
     ];
@@ -62,7 +62,7 @@
         let mut floors = EntryFloorTable::default();
         floors.learn("search", met("captions"), NOW);
         assert!(!floors.admits("search", bulk(), NOW) && floors.admits("search", critical(), NOW));
-        (case.news)(&mut floors, LONG_AFTER);
+        (case.update)(&mut floors, LONG_AFTER);
         assert_eq!(floors.admits("search", bulk(), LONG_AFTER), case.admits_bulk_search, "{}", case.name);
         assert!(floors.admits("other", bulk(), LONG_AFTER), "{}: a kind that met no floor", case.name);
     }
@@ -81,11 +81,11 @@
     assert!(!admits, "another server of the service may still report the lower one");
 }
 
-/// The time to come back was that of the gate beside the entry, mostly a tenth of a second, whatever the
-/// service below had gone through.
+/// Guards against a return time taken from the gate beside the entry, mostly a tenth of a second, whatever
+/// the duration of the overload of the service below.
 #[test]
-fn who_is_refused_comes_back_after_as_long_as_the_overload_has_lasted() {
-    /// Answers take 100 ms, and up to half of the time told is added at random.
+fn the_return_time_is_the_duration_of_the_overload_so_far() {
+    /// Answers take 100 ms, and jitter adds up to half of the return time.
     struct ReturnCase {
         name: &'static str,
         closed_for: Microseconds,
--- a/crates/seamhatch-core/tests/notice.rs
+++ b/crates/seamhatch-core/tests/notice.rs
@@ -1,4 +1,4 @@
-//! Which word of a back end counts: answers come in any order, and from several instances.
+//! Which rate of a back end applies, if answers arrive in any order and from several instances.
 
 use seamhatch_core::Instant;
 use seamhatch_core::instance::InstanceId;
@@ -13,25 +13,25 @@
     InstanceId::named(name)
 }
 
-/// What happens to the book, at the instant of its place in the list.
+/// What happens to the tracker; the time is the position in the list.
 enum Event {
     /// An instance opens.
     Opens(&'static str),
-    /// An answer of `i` names a rate; its request was sent at this instant.
+    /// An answer of `i` names a rate; its request was sent at this time.
     Names(f64, u64),
-    /// One of `i` names none.
+    /// An answer of `i` names no rate.
     NamesNone(u64),
-    /// One that is surely no answer of it names none.
+    /// An answer that may not be from the instance itself names no rate.
     SaysNothing(u64),
-    /// One of `i` names what can't be read.
+    /// An answer of `i` names a rate that cannot be parsed.
     Unreadable(u64),
-    /// An answer of another instance.
+    /// An answer of another instance names a rate.
     OtherNames(f64, u64),
     /// Another daemon hands back a rate of this instance.
     HandsBack(&'static str, f64),
 }
 
-struct BookCase {
+struct RateCase {
     name: &'static str,
     events: &'static [Event],
     rate: Option<f64>,
@@ -39,117 +39,117 @@
 
 use Event::*;
 
-const CASES: [BookCase; 21] = [
-    BookCase { name: "nothing is named", events: &[Opens("i"), NamesNone(1)], rate: None },
-    BookCase { name: "named", events: &[Opens("i"), Names(10.0, 1)], rate: Some(10.0) },
-    BookCase { name: "lifted", events: &[Opens("i"), Names(10.0, 1), NamesNone(2)], rate: None },
-    BookCase {
+const CASES: [RateCase; 21] = [
+    RateCase { name: "nothing is named", events: &[Opens("i"), NamesNone(1)], rate: None },
+    RateCase { name: "named", events: &[Opens("i"), Names(10.0, 1)], rate: Some(10.0) },
+    RateCase { name: "lifted", events: &[Opens("i"), Names(10.0, 1), NamesNone(2)], rate: None },
+    RateCase {
         name: "an answer that was begun before it was named comes after",
         events: &[Opens("i"), Names(10.0, 1), NamesNone(1)],
         rate: Some(10.0),
     },
-    BookCase {
-        name: "a tighter one counts whenever its request was sent",
+    RateCase {
+        name: "a lower one applies whenever its request was sent",
         events: &[Opens("i"), Names(10.0, 1), Names(5.0, 0)],
         rate: Some(5.0),
     },
-    BookCase {
-        name: "a looser one of before the tighter one",
+    RateCase {
+        name: "a higher one from before the lower one",
         events: &[Opens("i"), Names(5.0, 1), Names(10.0, 1)],
         rate: Some(5.0),
     },
-    BookCase {
-        name: "lifted by an answer from before a looser word that came late",
+    RateCase {
+        name: "lifted by an answer from before a higher rate that came late",
         events: &[Opens("i"), Names(5.0, 0), Names(10.0, 1), NamesNone(2)],
         rate: Some(5.0),
     },
-    BookCase {
+    RateCase {
         name: "raised while answers overlap",
         events: &[Opens("i"), Names(5.0, 0), Names(10.0, 1), Names(10.0, 2)],
         rate: Some(10.0),
     },
-    BookCase {
+    RateCase {
         name: "raised twice while answers overlap",
         events: &[Opens("i"), Names(5.0, 0), Names(7.0, 1), Names(10.0, 2), Names(7.0, 2)],
         rate: Some(7.0),
     },
-    BookCase { name: "raised", events: &[Opens("i"), Names(5.0, 1), Names(10.0, 2)], rate: Some(10.0) },
-    BookCase {
-        name: "a stale word after the end is corrected by the next answer",
+    RateCase { name: "raised", events: &[Opens("i"), Names(5.0, 1), Names(10.0, 2)], rate: Some(10.0) },
+    RateCase {
+        name: "a stale rate after the end is corrected by the next answer",
         events: &[Opens("i"), Names(5.0, 1), NamesNone(2), Names(5.0, 1), NamesNone(5)],
         rate: None,
     },
-    BookCase {
+    RateCase {
         name: "named again and again, a late answer without it",
         events: &[Opens("i"), Names(5.0, 1), Names(5.0, 2), Names(5.0, 3), NamesNone(2)],
         rate: Some(5.0),
     },
-    BookCase {
+    RateCase {
         name: "what can't be read neither names nor lifts",
         events: &[Opens("i"), Names(5.0, 1), Unreadable(2), SaysNothing(3)],
         rate: Some(5.0),
     },
-    BookCase { name: "another instance", events: &[Opens("i"), OtherNames(1.0, 1)], rate: None },
-    BookCase { name: "the next instance", events: &[Opens("i"), Names(5.0, 1), Opens("j")], rate: None },
-    BookCase { name: "the same again", events: &[Opens("i"), Names(5.0, 1), Opens("i")], rate: Some(5.0) },
-    BookCase { name: "handed back before", events: &[HandsBack("i", 5.0), Opens("i")], rate: Some(5.0) },
-    BookCase { name: "handed back for another", events: &[HandsBack("h", 5.0), Opens("i")], rate: None },
-    BookCase {
+    RateCase { name: "another instance", events: &[Opens("i"), OtherNames(1.0, 1)], rate: None },
+    RateCase { name: "the next instance", events: &[Opens("i"), Names(5.0, 1), Opens("j")], rate: None },
+    RateCase { name: "the same again", events: &[Opens("i"), Names(5.0, 1), Opens("i")], rate: Some(5.0) },
+    RateCase { name: "handed back before", events: &[HandsBack("i", 5.0), Opens("i")], rate: Some(5.0) },
+    RateCase { name: "handed back for another", events: &[HandsBack("h", 5.0), Opens("i")], rate: None },
+    RateCase {
         name: "handed back by several, and lifted by itself",
         events: &[HandsBack("i", 9.0), Opens("i"), HandsBack("i", 5.0), HandsBack("i", 7.0)],
         rate: Some(5.0),
     },
-    BookCase {
-        name: "handed back while its own word is on its way",
+    RateCase {
+        name: "handed back while its own answer is in transit",
         events: &[Opens("i"), HandsBack("i", 5.0), Names(10.0, 1)],
         rate: Some(10.0),
     },
-    BookCase {
-        name: "handed back after its own word",
+    RateCase {
+        name: "handed back after its own answer",
         events: &[Opens("i"), NamesNone(1), HandsBack("i", 5.0)],
         rate: None,
     },
 ];
 
 #[test]
-fn the_tightest_word_that_is_not_out_of_date_counts() {
-    for BookCase { name, events, rate: expected } in CASES {
-        let mut book = RateTracker::default();
+fn the_lowest_rate_that_is_not_out_of_date_applies() {
+    for RateCase { name, events, rate: expected } in CASES {
+        let mut tracker = RateTracker::default();
         for (place, event) in events.iter().enumerate() {
             let now = Instant(place as u64);
             let own = Some(id("i"));
-            let mut hear = |rate, proven, sent: &u64| {
+            let mut observe = |rate, proven, sent: &u64| {
                 let notice = AnswerNotice { rate, proven, ..AnswerNotice::default() };
-                book.observe(own.as_ref(), notice, Instant(*sent), now)
+                tracker.observe(own.as_ref(), notice, Instant(*sent), now)
             };
             match event {
-                Opens(instance) => drop(book.open(Some(&id(instance)))),
-                Names(named, sent) => drop(hear(NamedRate::Named(rate(*named)), true, sent)),
-                NamesNone(sent) => drop(hear(NamedRate::NotNamed, true, sent)),
-                SaysNothing(sent) => drop(hear(NamedRate::NotNamed, false, sent)),
-                Unreadable(sent) => drop(hear(NamedRate::Unreadable, true, sent)),
+                Opens(instance) => drop(tracker.open(Some(&id(instance)))),
+                Names(named, sent) => drop(observe(NamedRate::Named(rate(*named)), true, sent)),
+                NamesNone(sent) => drop(observe(NamedRate::NotNamed, true, sent)),
+                SaysNothing(sent) => drop(observe(NamedRate::NotNamed, false, sent)),
+                Unreadable(sent) => drop(observe(NamedRate::Unreadable, true, sent)),
                 OtherNames(named, sent) => {
                     let notice = AnswerNotice {
                         rate: NamedRate::Named(rate(*named)),
                         proven: true,
                         ..AnswerNotice::default()
                     };
-                    book.observe(Some(&id("other")), notice, Instant(*sent), now);
+                    tracker.observe(Some(&id("other")), notice, Instant(*sent), now);
                 }
-                HandsBack(instance, named) => drop(book.hand_back(Some(&id(instance)), rate(*named))),
+                HandsBack(instance, named) => drop(tracker.hand_back(Some(&id(instance)), rate(*named))),
             }
         }
-        assert_eq!(book.rate(), expected.map(rate), "{name}");
+        assert_eq!(tracker.rate(), expected.map(rate), "{name}");
     }
 }
 
 #[test]
-fn what_others_are_to_hand_back_outlives_a_start_without_an_instance() {
-    let mut book = RateTracker::default();
-    assert_eq!(book.hand_back(Some(&id("i")), rate(5.0)), RateChange::Unchanged);
-    assert_eq!(book.rate_for_peers(), Some((Some(&id("i")), rate(5.0))));
-    assert_eq!(book.open(Some(&id("i"))), RateChange::HoldTo(rate(5.0)));
-    assert_eq!(book.rate_for_peers(), Some((Some(&id("i")), rate(5.0))));
-    assert_eq!(book.open(Some(&id("j"))), RateChange::Lifted);
-    assert_eq!(book.rate_for_peers(), None);
+fn a_handed_back_rate_is_kept_until_an_instance_opens() {
+    let mut tracker = RateTracker::default();
+    assert_eq!(tracker.hand_back(Some(&id("i")), rate(5.0)), RateChange::Unchanged);
+    assert_eq!(tracker.rate_for_peers(), Some((Some(&id("i")), rate(5.0))));
+    assert_eq!(tracker.open(Some(&id("i"))), RateChange::HoldTo(rate(5.0)));
+    assert_eq!(tracker.rate_for_peers(), Some((Some(&id("i")), rate(5.0))));
+    assert_eq!(tracker.open(Some(&id("j"))), RateChange::Lifted);
+    assert_eq!(tracker.rate_for_peers(), None);
 }
--- a/crates/seamhatch-core/tests/quarantine.rs
+++ b/crates/seamhatch-core/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Where a suspect runs, when its try ends, and which requests become suspects of a crash.
+//! Where a suspect runs, when it is not sent again, and which requests become suspects of a crash.
 
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, SECOND};
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn suspects_of_several_crashes_run_alone_and_are_not_sent_again() {
+fn suspects_of_several_crashes_run_isolated_and_are_not_sent_again() {
     let cases = [(0, false), (1, false), (2, true), (9, true)];
     for (crashes, is_strict) in cases {
         assert_eq!(runs_isolated(crashes), is_strict, "{crashes} crashes");
@@ -28,16 +28,16 @@
 }
 
 #[test]
-fn all_daemons_choose_one_home_whatever_the_order_they_know_servers_in() {
+fn all_daemons_choose_the_same_server_for_a_suspect() {
     let servers = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"];
     let key = |server: &&str| server.as_bytes().to_vec();
     for number in 0..20 {
-        let home = server_for_suspect(request(number), servers.iter(), key).copied();
+        let chosen = server_for_suspect(request(number), servers.iter(), key).copied();
         let reversed = server_for_suspect(request(number), servers.iter().rev(), key).copied();
-        assert!(home.is_some() && home == reversed, "{number}");
-        // Another server that goes does not move it.
-        let left = servers.iter().filter(|server| Some(**server) == home || **server == servers[0]);
-        assert_eq!(server_for_suspect(request(number), left, key).copied(), home, "{number}");
+        assert!(chosen.is_some() && chosen == reversed, "{number}");
+        // The choice stays if another server is removed.
+        let left = servers.iter().filter(|server| Some(**server) == chosen || **server == servers[0]);
+        assert_eq!(server_for_suspect(request(number), left, key).copied(), chosen, "{number}");
     }
     assert_eq!(server_for_suspect(request(1), servers[..0].iter(), key), None);
 }
@@ -67,41 +67,43 @@
     assert!(!table.has_ended(after));
 }
 
-/// A back end that was away was reported as crashed once more by each call that did not reach it.
+/// Guards against a back end that is down and is reported as crashed again by each call that does not reach
+/// it.
 #[test]
-fn an_unnamed_back_end_that_is_away_has_crashed_once() {
+fn an_unnamed_back_end_that_is_down_has_crashed_once() {
     let mut table = RunTable::default();
     let (_, instance) = table.begin(DAEMON, None, request(1), RunMode::Usual);
     assert_eq!(table.end(instance, true, NOW).suspects.len(), 1);
-    let (first, away) = table.begin(DAEMON, None, request(2), RunMode::Usual);
+    let (first, down) = table.begin(DAEMON, None, request(2), RunMode::Usual);
     table.finish(first, RunEnd::NotRun, NOW);
     for _ in 0..3 {
-        assert_eq!(table.end(away, true, NOW), CrashedRuns::default());
+        assert_eq!(table.end(down, true, NOW), CrashedRuns::default());
     }
     let (_, back) = table.begin(DAEMON, None, request(3), RunMode::Usual);
-    assert_eq!(back, away);
+    assert_eq!(back, down);
     assert!(!table.has_ended(back));
 }
 
-/// A run that is over, and how long before its instance was found to be gone.
-struct PastCase {
+/// A finished run, and how long after its end the instance was found to be gone.
+struct FinishedCase {
     name: &'static str,
     end: RunEnd,
     ended_before: u64,
-    /// Time between its end and the last answer of the instance; none where there was none.
+    /// Time from the end of the run to the last answer of the instance; `None` if there was none.
     answered_after: Option<u64>,
-    /// Another call still ran on the instance.
+    /// Another call was still running on the instance.
     others_run: bool,
     is_suspect: bool,
 }
 
-/// A server that ended with the last byte of an answer, or after the caller of a request had gone, was found gone later by a call
-/// that did not reach it, and nothing became a suspect. Found by reading.
+/// Guards against a server that crashes with the last byte of an answer, or after the caller has
+/// disconnected: a later call that does not reach it discovers the crash, and the finished run must still
+/// become a suspect.
 #[test]
-fn a_run_that_was_over_shortly_before_its_instance_ended_is_a_suspect() {
+fn a_run_that_finished_shortly_before_its_instance_ended_is_a_suspect() {
     use RunEnd::{Answered, BrokenOff, NotRun};
     let cases = [
-        PastCase {
+        FinishedCase {
             name: "its answer was the last one",
             end: Answered,
             ended_before: SECOND,
@@ -109,7 +111,7 @@
             others_run: false,
             is_suspect: true,
         },
-        PastCase {
+        FinishedCase {
             name: "among the last answers",
             end: Answered,
             ended_before: SECOND,
@@ -117,7 +119,7 @@
             others_run: false,
             is_suspect: true,
         },
-        PastCase {
+        FinishedCase {
             name: "the instance answered others long after",
             end: Answered,
             ended_before: SECOND,
@@ -125,15 +127,15 @@
             others_run: false,
             is_suspect: false,
         },
-        PastCase {
-            name: "its caller had gone",
+        FinishedCase {
+            name: "its caller had disconnected",
             end: BrokenOff,
             ended_before: 2 * SECOND,
             answered_after: Some(SECOND),
             others_run: false,
             is_suspect: true,
         },
-        PastCase {
+        FinishedCase {
             name: "answered long before, and others ran",
             end: Answered,
             ended_before: SECOND,
@@ -141,7 +143,7 @@
             others_run: true,
             is_suspect: false,
         },
-        PastCase {
+        FinishedCase {
             name: "answered just before, and others ran",
             end: Answered,
             ended_before: 50 * MILLISECOND,
@@ -149,7 +151,7 @@
             others_run: true,
             is_suspect: true,
         },
-        PastCase {
+        FinishedCase {
             name: "long before",
             end: BrokenOff,
             ended_before: 4 * SECOND,
@@ -157,7 +159,7 @@
             others_run: false,
             is_suspect: false,
         },
-        PastCase {
+        FinishedCase {
             name: "it never ran",
             end: NotRun,
             ended_before: 0,
@@ -169,7 +171,7 @@
     for case in cases {
         let mut table = RunTable::default();
         let instance = InstanceId::named("a");
-        let (number, life) = table.begin(DAEMON, Some(&instance), request(1), RunMode::Usual);
+        let (number, digest) = table.begin(DAEMON, Some(&instance), request(1), RunMode::Usual);
         let ended = NOW.minus(case.ended_before);
         table.finish(number, case.end, ended);
         if let Some(after) = case.answered_after {
@@ -179,7 +181,7 @@
         if case.others_run {
             table.begin(DAEMON, Some(&instance), request(3), RunMode::Usual);
         }
-        let crashed = table.end(life, false, NOW);
+        let crashed = table.end(digest, false, NOW);
         let is_suspect = crashed.suspects.iter().any(|suspect| suspect.request == request(1));
         assert_eq!(is_suspect, case.is_suspect, "{}", case.name);
     }
@@ -193,7 +195,7 @@
     is_suspect: bool,
 }
 
-/// A daemon that was frozen while its back end crashed learns of it from the next instance.
+/// A daemon that is frozen while its back end crashes learns of the crash from the next instance.
 #[test]
 fn a_call_that_broke_recently_is_a_suspect_once_its_instance_is_replaced() {
     let cases = [
--- a/crates/seamhatch-core/tests/quota.rs
+++ b/crates/seamhatch-core/tests/quota.rs
@@ -1,5 +1,5 @@
-//! Limits of tenants: the sum of what is used stays within the bound, through delays, losses, restarts and falling
-//! limits, and what is left is had.
+//! Tenant limits: the tokens used stay within the bound through delays, losses, restarts and changes of shard
+//! holders, and the remaining limit can be used.
 
 use proptest::prelude::*;
 use seamhatch_core::Instant;
@@ -7,10 +7,10 @@
 use seamhatch_core::quota::{QuotaBucket, QuotaGrant, QuotaPolicy, TenantLimit, TokenCache};
 
 const POLICY: QuotaPolicy = QuotaPolicy { window: 5 * SECOND, overage: 0.1, slack: 20.0, shards: 8 };
-/// Start of each play; buckets fill from here on.
+/// Start of each simulation; buckets fill from here on.
 const START: Instant = Instant(1_000 * SECOND);
 
-/// A shard's answer on its way to a daemon.
+/// Answer of a shard in transit to a daemon.
 #[derive(Debug, Clone, Copy)]
 struct Answer {
     daemon: usize,
@@ -20,14 +20,14 @@
     grant: QuotaGrant,
 }
 
-/// One drawn play: requests and mishaps in order, each some time after the one before.
+/// A random event of the simulation, some time after the previous one.
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    /// A request comes to a daemon, which asks a shard when it has no token; the answer takes this long.
+    /// A request arrives at a daemon, which asks a shard if it has no token; the answer takes `delay_ms`.
     Request { daemon: usize, shard: usize, delay_ms: u64 },
-    /// A daemon restarts and forgets its tokens.
+    /// A daemon restarts and loses its tokens.
     Restart { daemon: usize },
-    /// A shard passes to another holder.
+    /// Another daemon becomes the holder of a shard.
     NewHolder { shard: usize },
 }
 
@@ -37,14 +37,14 @@
         shard,
         delay_ms,
     });
-    let mishap = prop_oneof![
+    let failure = prop_oneof![
         (0..4_usize).prop_map(|daemon| Event::Restart { daemon }),
         (0..8_usize).prop_map(|shard| Event::NewHolder { shard }),
     ];
-    (0..20_u64, prop_oneof![60 => request, 1 => mishap])
+    (0..20_u64, prop_oneof![60 => request, 1 => failure])
 }
 
-/// Most of `used` in any window.
+/// Largest number of tokens used in any window.
 fn most_in_a_window(used: &[Instant]) -> usize {
     let within =
         |from: Instant| used.iter().filter(|at| **at >= from && **at < from.plus(POLICY.window)).count();
@@ -58,7 +58,7 @@
 
 proptest! {
     #[test]
-    fn what_is_used_stays_within_the_bound(
+    fn used_tokens_stay_within_the_bound(
         rate in 1.0..200.0_f64,
         burst in 0.0..100.0_f64,
         events in proptest::collection::vec(event(), 200..1500),
@@ -66,7 +66,7 @@
         let limit = TenantLimit { rate, burst };
         let shard_limit = POLICY.shard_limit(limit);
         let lifetime = POLICY.token_lifetime();
-        // Full to begin with, as after a long rest.
+        // The buckets are full at first, as after a long idle time.
         let mut shards = [QuotaBucket::empty(START); 8];
         let mut caches: Vec<TokenCache> = vec![TokenCache::default(); 4];
         let mut answers: Vec<Answer> = Vec::new();
@@ -74,9 +74,9 @@
         let mut now = START.plus(100 * SECOND);
         for (pause, event) in events {
             now = now.plus(pause * MILLISECOND);
-            let (come, later): (Vec<Answer>, _) = answers.into_iter().partition(|answer| answer.arrives <= now);
+            let (arrived, later): (Vec<Answer>, _) = answers.into_iter().partition(|answer| answer.arrives <= now);
             answers = later;
-            for Answer { daemon, shard, asked, grant, .. } in come {
+            for Answer { daemon, shard, asked, grant, .. } in arrived {
                 caches[daemon].add(shard as u32, grant, asked, lifetime, now);
             }
             match event {
@@ -98,20 +98,20 @@
                 Event::NewHolder { shard } => shards[shard] = QuotaBucket::empty(now),
             }
         }
-        // Where a bucket of less than one token is rounded up, each shard may add one.
+        // Buckets of less than one token are rounded up, so each shard may add one.
         let rounded = if shard_limit.burst > 1.0 { 0.0 } else { f64::from(POLICY.shards) };
         prop_assert!(most_in_a_window(&used) as f64 <= bound(limit) + rounded);
     }
 }
 
-/// How a tenant's requests come in.
+/// Arrival pattern of a tenant's requests.
 struct SpreadCase {
     name: &'static str,
     daemons: usize,
     rate: f64,
-    /// Requests a second, as a part of the limit.
+    /// Requests per second, as a fraction of the limit.
     load: f64,
-    /// Smallest part of the requests, or of the limit, that is admitted.
+    /// Smallest fraction of the requests, or of the limit, that must be admitted.
     least: f64,
 }
 
@@ -124,7 +124,8 @@
     SpreadCase { name: "many daemons, far above", daemons: 70, rate: 50.0, load: 8.0, least: 0.95 },
 ];
 
-/// Requests at an even pace for ten seconds, each at the next daemon, which asks all shards in turn. The part admitted.
+/// Fraction admitted of requests that arrive evenly for ten seconds, each at the next daemon, which asks all
+/// shards in turn.
 fn admitted(case: &SpreadCase) -> f64 {
     let limit = TenantLimit { rate: case.rate, burst: case.rate };
     let (shard_limit, lifetime) = (POLICY.shard_limit(limit), POLICY.token_lifetime());
@@ -151,14 +152,14 @@
 }
 
 #[test]
-fn what_is_left_of_a_limit_is_had_whatever_the_spread() {
+fn a_limit_is_usable_whatever_the_spread_of_requests() {
     for case in SPREADS {
         let part = admitted(&case);
         assert!(part >= case.least, "{}: {part:.3}", case.name);
     }
 }
 
-/// The same with each daemon alone: its share of the limit, and nothing asked of anybody.
+/// Fraction admitted if each daemon uses its own share of the limit and asks no shard.
 fn admitted_alone(case: &SpreadCase, members: usize) -> f64 {
     let part = QuotaPolicy { shards: members as u32, ..POLICY };
     let limit = part.shard_limit(TenantLimit { rate: case.rate, burst: case.rate });
@@ -172,7 +173,8 @@
     f64::from(count) / (offered as f64).min(case.rate * 10.0)
 }
 
-/// Tokens on demand are had wherever the requests come in; a share of each daemon only where they come in evenly.
+/// Tokens on demand can be used wherever the requests arrive; a fixed share of each daemon only if they
+/// arrive evenly.
 #[test]
 fn tokens_on_demand_admit_more_than_each_daemon_alone() {
     for case in SPREADS {
@@ -183,7 +185,7 @@
 }
 
 #[test]
-fn a_token_is_worth_nothing_after_its_lifetime_and_is_put_back_before() {
+fn a_token_expires_after_its_lifetime_and_can_be_put_back_before() {
     let lifetime: Microseconds = 500 * MILLISECOND;
     let grant = QuotaGrant { tokens: 2, pause: 0 };
     let mut cache = TokenCache::default();
--- a/crates/seamhatch-core/tests/resend.rs
+++ b/crates/seamhatch-core/tests/resend.rs
@@ -1,9 +1,10 @@
-//! Whether a call is sent again after a failed attempt, and what its first dispatch counts for.
+//! Whether a call is sent again after a failed attempt, and how its first dispatch counts in the retry
+//! budget.
 
 use seamhatch_core::outcome::Reason;
 use seamhatch_core::retry::{BudgetEntry, Dispatch, FailedAttempt, Resend};
 
-/// Refused by a daemon by itself; the call may run again and can be sent again.
+/// An attempt that a daemon refused by itself; the call is repeatable and can be sent again.
 fn refused(reason: Reason) -> FailedAttempt {
     FailedAttempt {
         reason,
@@ -16,7 +17,7 @@
     }
 }
 
-/// Lost after it was sent.
+/// An attempt that was lost after it was sent.
 fn lost(reason: Reason, repeatable: bool) -> FailedAttempt {
     FailedAttempt { reached_back_end: true, may_have_run: true, repeatable, ..refused(reason) }
 }
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn a_call_is_sent_again_where_that_is_worth_it_safe_and_possible() {
+fn a_call_is_sent_again_if_useful_safe_and_possible() {
     let once = |attempt| FailedAttempt { repeatable: false, ..attempt };
     let cases = [
         ResendCase {
@@ -52,17 +53,17 @@
             resend: Resend::No,
         },
         ResendCase {
-            name: "first server under pressure",
+            name: "first overloaded server",
             attempt: refused(Reason::QueueFull),
             resend: Resend::Free,
         },
         ResendCase {
-            name: "second server under pressure",
+            name: "second overloaded server",
             attempt: FailedAttempt { overload_refusals: 2, ..refused(Reason::Evicted) },
             resend: Resend::Free,
         },
         ResendCase {
-            name: "third server under pressure",
+            name: "third overloaded server",
             attempt: FailedAttempt { overload_refusals: 3, ..refused(Reason::QueueFull) },
             resend: Resend::No,
         },
--- a/crates/seamhatch-core/tests/running_quantile.rs
+++ b/crates/seamhatch-core/tests/running_quantile.rs
@@ -1,4 +1,4 @@
-//! How a running quantile follows a stream.
+//! How a running quantile follows a stream of samples.
 
 use seamhatch_core::running_quantile::RunningQuantile;
 use std::ops::Range;
@@ -6,13 +6,13 @@
 struct StreamCase {
     name: &'static str,
     share: f64,
-    /// Samples, over and over.
+    /// Samples, repeated.
     samples: &'static [u64],
     estimate: Range<u64>,
 }
 
 #[test]
-fn the_estimate_settles_at_the_share() {
+fn the_estimate_converges_to_the_quantile() {
     let cases = [
         StreamCase { name: "equal samples", share: 0.5, samples: &[100], estimate: 100..101 },
         StreamCase { name: "median", share: 0.5, samples: &[100, 200, 300, 400, 500], estimate: 250..350 },
--- a/crates/seamhatch-core/tests/service_floors.rs
+++ b/crates/seamhatch-core/tests/service_floors.rs
@@ -1,4 +1,4 @@
-//! What a service admits by the reports of its servers.
+//! Floor of a service by the reports of its servers.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -12,8 +12,8 @@
 const NOW: Instant = Instant(100 * SECOND);
 const OPEN: u16 = AdmissionFloor::OPEN.level;
 
-/// A report: its level, its slots, and how long ago it came, in tenths of a second.
-struct Told {
+/// Report of a server: level, slots, and age in tenths of a second.
+struct Report {
     level: u16,
     slots: u32,
     age: u64,
@@ -21,61 +21,61 @@
 
 struct ServiceCase {
     name: &'static str,
-    told: &'static [Told],
+    reports: &'static [Report],
     level: Option<u16>,
 }
 
-/// The lowest floor of any server must not close the whole service: with it, two servers beside a cold and slow one
-/// used a quarter of their slots for three seconds.
+/// Guards against a service that is closed by the lowest floor of any server: two servers beside a cold and
+/// slow one would then use a quarter of their slots for three seconds.
 #[test]
-fn one_server_under_pressure_does_not_close_its_service() {
+fn one_overloaded_server_does_not_close_its_service() {
     let cases = [
-        ServiceCase { name: "nothing is known", told: &[], level: None },
+        ServiceCase { name: "nothing is known", reports: &[], level: None },
         ServiceCase {
             name: "all are open",
-            told: &[Told { level: OPEN, slots: 20, age: 0 }, Told { level: OPEN, slots: 20, age: 3 }],
+            reports: &[Report { level: OPEN, slots: 20, age: 0 }, Report { level: OPEN, slots: 20, age: 3 }],
             level: None,
         },
         ServiceCase {
             name: "one of three is closed",
-            told: &[
-                Told { level: 100, slots: 20, age: 0 },
-                Told { level: OPEN, slots: 20, age: 1 },
-                Told { level: OPEN, slots: 20, age: 2 },
+            reports: &[
+                Report { level: 100, slots: 20, age: 0 },
+                Report { level: OPEN, slots: 20, age: 1 },
+                Report { level: OPEN, slots: 20, age: 2 },
             ],
             level: Some(375),
         },
         ServiceCase {
             name: "a small one is closed",
-            told: &[Told { level: 100, slots: 5, age: 0 }, Told { level: 300, slots: 15, age: 1 }],
+            reports: &[Report { level: 100, slots: 5, age: 0 }, Report { level: 300, slots: 15, age: 1 }],
             level: Some(250),
         },
         ServiceCase {
             name: "all are closed alike",
-            told: &[Told { level: 300, slots: 20, age: 0 }, Told { level: 300, slots: 10, age: 1 }],
+            reports: &[Report { level: 300, slots: 20, age: 0 }, Report { level: 300, slots: 10, age: 1 }],
             level: Some(300),
         },
         ServiceCase {
             name: "the closed one is gone",
-            told: &[Told { level: 100, slots: 20, age: 11 }, Told { level: 400, slots: 20, age: 0 }],
+            reports: &[Report { level: 100, slots: 20, age: 11 }, Report { level: 400, slots: 20, age: 0 }],
             level: Some(400),
         },
     ];
     for case in cases {
         let mut floors = ServiceFloorTable::default();
-        for (number, told) in case.told.iter().enumerate() {
+        for (number, report) in case.reports.iter().enumerate() {
             let server: Address = format!("10.0.0.{}:7002", number + 1).parse().expect("valid");
-            let floor = AdmissionFloor::at(told.level);
-            floors.record("stock", server, floor, told.slots, NOW.minus(told.age * SECOND / 10));
+            let floor = AdmissionFloor::at(report.level);
+            floors.record("stock", server, floor, report.slots, NOW.minus(report.age * SECOND / 10));
         }
         let floor = floors.floor("stock", NOW);
         assert_eq!(floor.map(|floor| floor.level), case.level, "{}", case.name);
     }
 }
 
-/// A server that drains says that it is open, as nothing presses on it any more.
+/// Guards against counting a draining server, which reports that it is open because it has no load any more.
 #[test]
-fn a_server_that_leaves_counts_for_nothing_at_once() {
+fn a_server_that_leaves_is_ignored_at_once() {
     let mut floors = ServiceFloorTable::default();
     let servers: [Address; 2] = ["10.0.0.1:7002", "10.0.0.2:7002"].map(|text| text.parse().expect("valid"));
     for (server, level) in servers.into_iter().zip([OPEN, 260]) {
@@ -85,7 +85,7 @@
     assert_eq!(floors.floor("stock", NOW).map(|floor| floor.level), Some(260));
 }
 
-/// The table before it kept sums: a mean over all reports for each of them.
+/// Reference implementation without sums: the mean over all reports, computed for each report.
 #[derive(Default)]
 struct MeanOfAll(HashMap<Address, (AdmissionFloor, u32, Instant)>);
 
@@ -102,7 +102,7 @@
     }
 }
 
-/// What happens to the table.
+/// Events of the table.
 #[derive(Debug, Clone)]
 enum Event {
     Report { server: u8, level: u16, kept: u8, slots: u32 },
--- a/crates/seamhatch-core/tests/shard_directory.rs
+++ b/crates/seamhatch-core/tests/shard_directory.rs
@@ -1,4 +1,4 @@
-//! Which shards a daemon asks for tokens, in which order.
+//! The order in which a daemon asks shards for tokens.
 
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, SECOND};
@@ -11,7 +11,7 @@
     ShardHolder { peer: format!("10.0.0.{number}:1").parse().expect("valid"), zone: zone.to_owned() }
 }
 
-/// Shards 0 to 3, the even ones in zone a.
+/// Shards 0 to 3; the even ones are in zone a.
 fn directory() -> ShardDirectory {
     let mut directory = ShardDirectory::default();
     for shard in 0..4 {
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn shards_of_the_own_zone_are_asked_first_from_a_drawn_place_on() {
+fn shards_of_the_own_zone_are_asked_first_from_a_random_one_on() {
     let directory = directory();
     assert_eq!(order(&directory, "a", NOW, 0), [0, 2, 1, 3]);
     assert_eq!(order(&directory, "a", NOW, 1), [2, 0, 3, 1]);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_silent_holder_is_left_out_for_a_while_or_until_the_shard_moves() {
+fn an_unavailable_holder_is_skipped_for_a_while_or_until_the_shard_moves() {
     let mut directory = directory();
     directory.mark_unavailable(0, NOW);
     directory.mark_unavailable(1, NOW);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_tenant_is_at_its_limit_only_where_a_shard_said_so() {
+fn a_request_is_over_quota_only_if_a_shard_answered() {
     assert_eq!(refusal_without_token(true), Reason::OverQuota);
     assert_eq!(refusal_without_token(false), Reason::NoQuotaShard);
 }
