--- a/crates/seamhatch-core/src/crashes/ledger.rs
+++ b/crates/seamhatch-core/src/crashes/ledger.rs
@@ -107,12 +107,12 @@
     /// Records that a request ran, on trial or not, when an instance of a server crashed.
     pub fn report(
         &mut self,
-        life: InstanceDigest,
+        instance: InstanceDigest,
         request: RequestDigest,
         on_trial: bool,
         now: Instant,
     ) -> EvidenceEffect {
-        self.update(request, now, now, |record| record.add(life, on_trial))
+        self.update(request, now, now, |record| record.add(instance, on_trial))
     }
 
     /// Records that a request ran at a daemon that was lost together with its server.
@@ -121,7 +121,7 @@
     /// to them. So runs that were in flight together count as one crash, however many machines are lost: a
     /// further loss counts only if its run was sent after the previous loss was known. A trial run has
     /// counted since it was started.
-    pub fn report_loss(&mut self, life: InstanceDigest, run: LostRun, now: Instant) -> EvidenceEffect {
+    pub fn report_loss(&mut self, instance: InstanceDigest, run: LostRun, now: Instant) -> EvidenceEffect {
         let LostRun { request, sent, isolated } = run;
         let counted = self.entries.get(&request).is_some_and(|entry| {
             let is_open = entry.record.open_crashes() > 0;
@@ -130,7 +130,7 @@
         if counted {
             return EvidenceEffect::Known;
         }
-        self.report(life, request, isolated, now)
+        self.report(instance, request, isolated, now)
     }
 
     /// Starts the trial run of a condemned request, identified by `mark`; returns `false` if the request is
--- a/crates/seamhatch-core/src/crashes/record.rs
+++ b/crates/seamhatch-core/src/crashes/record.rs
@@ -126,8 +126,8 @@
     }
 
     /// Adds a crash; returns whether it is new.
-    pub fn add(&mut self, life: InstanceDigest, on_trial: bool) -> bool {
-        self.add_mark(CrashMark { life, on_trial, cleared: false })
+    pub fn add(&mut self, instance: InstanceDigest, on_trial: bool) -> bool {
+        self.add_mark(CrashMark { life: instance, on_trial, cleared: false })
     }
 
     /// Clears all recorded crashes; returns whether any was open.
@@ -138,8 +138,8 @@
     }
 
     /// Clears the crash of one instance.
-    pub fn withdraw(&mut self, life: InstanceDigest) {
-        let marks = self.marks.iter_mut().filter(|mark| mark.life == life);
+    pub fn withdraw(&mut self, instance: InstanceDigest) {
+        let marks = self.marks.iter_mut().filter(|mark| mark.life == instance);
         marks.for_each(|mark| mark.cleared = true);
     }
 
