--- a/crates/seamhatch-core/tests/crashes.rs
+++ b/crates/seamhatch-core/tests/crashes.rs
@@ -293,7 +293,7 @@
 }
 
 /// Time after the third crash from which on a run counts as late.
-const KNOWN: Microseconds = 3 * SECOND;
+const LATE_AFTER: Microseconds = 3 * SECOND;
 /// Maximum number of late runs.
 const MOST_RUNS: usize = 3;
 /// How long callers keep sending the request.
@@ -328,7 +328,7 @@
 /// sixteen simultaneous copies and has no room for the crash of a trial run.
 #[test]
 fn few_runs_follow_the_third_crash_however_long_callers_retry() {
-    let mut broken = Vec::new();
+    let mut failures = Vec::new();
     for RetryingCase { in_flight, pause } in RETRYING {
         let mut ledger = CrashLedger::default();
         let mut crashes: Vec<Instant> = Vec::new();
@@ -348,13 +348,14 @@
             ledger.report(scattered(crashes.len()), REQUEST, isolated, now);
             crashes.push(now);
         }
-        let known = crashes[2].plus(KNOWN);
-        let late = crashes.iter().filter(|at| **at > known).count();
+        let late_after = crashes[2].plus(LATE_AFTER);
+        let late = crashes.iter().filter(|at| **at > late_after).count();
         if late > MOST_RUNS {
-            broken.push(format!("{in_flight} copies, then one each {} s: {late} late runs", pause / SECOND));
+            failures
+                .push(format!("{in_flight} copies, then one each {} s: {late} late runs", pause / SECOND));
         }
     }
-    assert!(broken.is_empty(), "{broken:#?}");
+    assert!(failures.is_empty(), "{failures:#?}");
 }
 
 /// Runs of a request that were lost with the daemon beside the server: the daemon, when each run was sent and
--- a/crates/seamhatch-core/tests/decisions.rs
+++ b/crates/seamhatch-core/tests/decisions.rs
@@ -371,7 +371,7 @@
     use seamhatch_core::roster::{ClaimLossWaits, SHARD_RESTART_WAIT};
     let mut waits = ClaimLossWaits::default();
     let lost = Epoch(2);
-    assert!(waits.note(7, lost, NOW), "news");
+    assert!(waits.note(7, lost, NOW), "new");
     // Each following epoch lists the lost one again, and those before it, which granted nothing.
     for change in 1..=10 {
         let now = NOW.plus(change * SHARD_RESTART_WAIT / 10);
--- a/crates/seamhatch-core/tests/entry_floors.rs
+++ b/crates/seamhatch-core/tests/entry_floors.rs
@@ -107,13 +107,13 @@
             between: 1_999_999..2_000_001,
         },
         ReturnCase {
-            name: "for longer than it may stay away to be answered early",
+            name: "longer than the caller may stay away for an answer on time",
             closed_for: 600 * MILLISECOND,
             objective: 700_000,
             between: 400_000..400_001,
         },
         ReturnCase {
-            name: "too late to be answered early whenever it comes",
+            name: "late whenever the caller returns",
             closed_for: 600 * MILLISECOND,
             objective: 399_000,
             between: 600_000..1_500_000,
--- a/crates/seamhatch-core/tests/return_times.rs
+++ b/crates/seamhatch-core/tests/return_times.rs
@@ -44,14 +44,14 @@
             expected: 600 * MILLISECOND,
         },
         OverloadCase {
-            name: "sooner, so that the answer is early even with the longest jitter",
+            name: "sooner, so that the answer is on time even with the longest jitter",
             closed_for: 600 * MILLISECOND,
             answer_time: 100 * MILLISECOND,
             objective: 700 * MILLISECOND,
             expected: 400 * MILLISECOND,
         },
         OverloadCase {
-            name: "at the shortest return time just early",
+            name: "just on time at the shortest return time",
             closed_for: 600 * MILLISECOND,
             answer_time: 100 * MILLISECOND,
             objective: 400 * MILLISECOND,
