--- a/crates/seamhatch-core/src/admission/knee/comparison.rs
+++ b/crates/seamhatch-core/src/admission/knee/comparison.rs
@@ -1,21 +1,21 @@
-//! How much slower calls are at the upper of two concurrency limits.
+//! Slowdown of calls at the upper of two concurrency limits.
 
 use super::CallKind;
 use super::probe::Arm;
 use crate::clock::Microseconds;
 
-/// Kinds of calls that are told apart in a probe; calls of more kinds are left out. Chosen, not measured.
-const MOST_KINDS: usize = 16;
+/// Kinds of calls that a probe distinguishes; calls of further kinds are ignored.
+const MAX_KINDS: usize = 16;
 
-/// Service times of one kind at one limit, as logarithms.
+/// Sums over the logarithms of the service times of one kind at one limit.
 #[derive(Debug, Clone, Copy, Default)]
-struct Sample {
+struct LogTimes {
     count: f64,
     sum: f64,
     squares: f64,
 }
 
-impl Sample {
+impl LogTimes {
     fn add(&mut self, value: f64) {
         self.count += 1.0;
         self.sum += value;
@@ -26,8 +26,8 @@
         self.sum / self.count
     }
 
-    /// Sum of the squared distances from the mean.
-    fn scatter(&self) -> f64 {
+    /// Sum of the squared deviations from the mean.
+    fn deviations(&self) -> f64 {
         self.squares - self.sum * self.sum / self.count
     }
 }
@@ -35,51 +35,51 @@
 /// Service times at two limits.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Comparison {
-    kinds: Vec<(CallKind, [Sample; 2])>,
+    kinds: Vec<(CallKind, [LogTimes; 2])>,
 }
 
-/// How much slower calls are at the upper limit.
+/// Slowdown of calls at the upper limit.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Slowdown {
-    /// Difference of the mean logarithms of the service time.
+    /// Difference of the mean logarithms of the service times.
     pub(super) mean: f64,
     /// Standard error of the mean.
     pub(super) error: f64,
-    /// Comparable calls of each limit.
+    /// Number of comparable calls of each limit.
     pub(super) samples: f64,
 }
 
 impl Comparison {
-    /// Records a call that began at the limit `arm`.
+    /// Records the service time of a call that started at the limit of `arm`.
     pub(super) fn add(&mut self, arm: Arm, kind: CallKind, service_time: Microseconds) {
         let value = (service_time.max(1) as f64).ln();
         if let Some((_, samples)) = self.kinds.iter_mut().find(|(known, _)| *known == kind) {
             return samples[arm as usize].add(value);
         }
-        if self.kinds.len() < MOST_KINDS {
-            let mut samples = [Sample::default(); 2];
+        if self.kinds.len() < MAX_KINDS {
+            let mut samples = [LogTimes::default(); 2];
             samples[arm as usize].add(value);
             self.kinds.push((kind, samples));
         }
     }
 
-    /// The slowdown within each kind, weighted by how much each kind shows; none before there are samples.
+    /// The slowdown within each kind, averaged with weights by sample size; `None` without comparable samples.
     pub(super) fn slowdown(&self) -> Option<Slowdown> {
-        let (mut weight, mut weighted, mut scatter, mut freedom) = (0.0, 0.0, 0.0, 0.0);
+        let (mut weight, mut weighted, mut deviations, mut degrees_of_freedom) = (0.0, 0.0, 0.0, 0.0);
         for (_, [lower, upper]) in &self.kinds {
             if lower.count == 0.0 || upper.count == 0.0 {
                 continue;
             }
-            let evidence = lower.count * upper.count / (lower.count + upper.count);
-            weight += evidence;
-            weighted += evidence * (upper.mean() - lower.mean());
-            scatter += lower.scatter() + upper.scatter();
-            freedom += lower.count + upper.count - 2.0;
+            let kind_weight = lower.count * upper.count / (lower.count + upper.count);
+            weight += kind_weight;
+            weighted += kind_weight * (upper.mean() - lower.mean());
+            deviations += lower.deviations() + upper.deviations();
+            degrees_of_freedom += lower.count + upper.count - 2.0;
         }
-        if weight == 0.0 || freedom < 1.0 {
+        if weight == 0.0 || degrees_of_freedom < 1.0 {
             return None;
         }
-        let variance = scatter / freedom;
+        let variance = deviations / degrees_of_freedom;
         let error = (variance / weight).sqrt();
         Some(Slowdown { mean: weighted / weight, error, samples: 2.0 * weight })
     }
--- a/crates/seamhatch-core/src/admission/knee/mod.rs
+++ b/crates/seamhatch-core/src/admission/knee/mod.rs
@@ -1,14 +1,13 @@
 //! How many of a back end's slots are worth using.
 //!
-//! Decides the concurrency limit up to which a back end finishes more calls with each slot. Some back ends slow down when
-//! nearly all of their slots are taken, so that the last ones cost more than they bring (37 ms a call with 13 of 20 slots
-//! taken, 44 to 46 ms with 20). The input is the service times of calls that make no further calls, in microseconds: a slow
-//! service below says nothing about this back end.
+//! Finds the concurrency limit up to which each additional slot raises the throughput of a back end. Some back ends
+//! slow down when nearly all of their slots are in use, so that the last slots cost more than they yield (37 ms a call
+//! with 13 of 20 slots in use, 44 to 46 ms with 20). The input is the service times, in microseconds, of calls that
+//! make no calls of their own: a slow downstream service says nothing about this back end.
 //!
-//! Where that knee lies is found by probes on the live back end: two limits are used in turn, and the service times
-//! of the calls that began at each are compared. Drift (a cold start, a changing mix, a slow machine) affects both alike.
-//! Five days with trouble earned 0.522 of their worth on average with it, 0.495 without. Alternatives:
-//! docs/DESIGN.md#slots-worth-using.
+//! Probes on the live back end locate the knee: two limits are used alternately, and the service times of the calls
+//! that started at each are compared. Drift (a cold start, a changing mix of calls, a slow machine) affects both alike.
+//! Alternatives: docs/DESIGN.md#slots-worth-using.
 
 mod comparison;
 mod probe;
@@ -18,169 +17,168 @@
 use crate::clock::{Instant, Microseconds, SECOND};
 use probe::{Arm, LimitProbe};
 
-/// Calls of one kind do alike work, so that their service times may be compared.
+/// Identifies calls that do similar work, so that their service times are comparable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct CallKind(pub u32);
 
-/// Parts of the slots by which two limits differ at least.
+/// The smallest difference between two limits is the number of slots divided by this.
 const STEPS: u32 = 20;
 
-/// Distances of the probes of each round below the limit in use, in steps.
-const NEAR: [u32; 2] = [1, 2];
+/// Distances of the first probes of a round below the limit in use, in steps.
+const NEAR_STEPS: [u32; 2] = [1, 2];
 
-/// Greater distances, one a round: a far knee doesn't show one step down, and looking for it costs most.
-const FAR: [u32; 3] = [7, 5, 3];
+/// Greater distances, one per round: a distant knee does not show one step down, and probing far down costs most.
+const FAR_STEPS: [u32; 3] = [7, 5, 3];
 
-/// Slots below which nothing is probed: one slot fewer would be too much of the whole.
-const FEWEST_SLOTS: u32 = 8;
+/// Servers with fewer slots are not probed: a single slot would be too large a part of them.
+const MIN_SLOTS: u32 = 8;
 
 /// Share of the slots below which no limit is probed.
-const LOWEST_SHARE: f64 = 0.5;
+const MIN_SLOT_SHARE: f64 = 0.5;
 
-/// Rest after all limits around the one in use were probed; doubled while nothing changes, up to [`LONGEST_REST`]. A probe
-/// of a worse limit costs capacity while it lasts (less than a second at a busy server).
-const FIRST_REST: Microseconds = 2 * SECOND;
+/// Pause after all limits around the one in use were probed; doubled while nothing changes, up to [`MAX_PAUSE`]. A
+/// probe of a worse limit costs capacity while it lasts (less than a second at a busy server).
+const MIN_PAUSE: Microseconds = 2 * SECOND;
 
-/// Longest rest: a surge lasts seconds, and a knee may move with the back end's load.
-const LONGEST_REST: Microseconds = 16 * SECOND;
+/// Longest pause: load surges last seconds, and the knee may move with the load.
+const MAX_PAUSE: Microseconds = 16 * SECOND;
 
-/// Finds the number of concurrent calls at which a back end finishes most.
+/// Finds the concurrency limit at which a back end has the highest throughput.
 #[derive(Debug, Clone)]
 pub struct KneeFinder {
     slots: u32,
-    /// The limit that was found best so far.
-    level: u32,
+    /// The best limit found so far.
+    best_limit: u32,
     probe: Option<LimitProbe>,
-    /// Tells the calls of one probe from those of others.
-    number: u32,
-    /// When the next probe may begin; none where it may at once.
-    next: Option<Instant>,
-    rest: Microseconds,
+    /// Distinguishes the calls of this probe from those of earlier ones.
+    probe_number: u32,
+    /// When the next probe may start; `None` if it may start at once.
+    next_probe_at: Option<Instant>,
+    pause: Microseconds,
     /// The next probe tries a higher limit.
-    upward: bool,
-    /// Probes downward in this round.
+    is_upward: bool,
+    /// Number of downward probes in this round.
     downward_probes: usize,
-    /// Rounds that have ended.
+    /// Number of finished rounds.
     rounds: usize,
 }
 
 impl KneeFinder {
-    /// A finder for a back end of which nothing but its slots is known: all of them are used.
+    /// A finder for a back end of which only the number of slots is known: it uses all of them.
     #[must_use]
     pub fn new(slots: u32) -> Self {
         Self {
             slots,
-            level: slots,
+            best_limit: slots,
             probe: None,
-            number: 0,
-            next: None,
-            rest: FIRST_REST,
-            upward: false,
+            probe_number: 0,
+            next_probe_at: None,
+            pause: MIN_PAUSE,
+            is_upward: false,
             downward_probes: 0,
             rounds: 0,
         }
     }
 
-    /// Calls that may run at once at present.
+    /// The concurrency limit at present, which alternates during a probe.
     #[must_use]
-    pub fn level(&self) -> u32 {
-        self.probe.as_ref().map_or(self.level, LimitProbe::level)
+    pub fn limit(&self) -> u32 {
+        self.probe.as_ref().map_or(self.best_limit, LimitProbe::limit)
     }
 
-    /// The limit that was found best so far.
+    /// The best limit found so far.
     #[must_use]
-    pub fn settled(&self) -> u32 {
-        self.level
+    pub fn best_limit(&self) -> u32 {
+        self.best_limit
     }
 
-    /// A call begins, and `running` run with it. Returns the mark to give back with its service time, where the call is
-    /// part of a probe.
-    pub fn begin(&mut self, running: u32, kind: CallKind, now: Instant) -> Option<ProbeMark> {
-        if running < self.level() {
+    /// Records that a call starts, which makes `running` calls. Returns a mark to pass to [`Self::observe`] at its end
+    /// if the call is part of a probe.
+    pub fn call_started(&mut self, running: u32, kind: CallKind, now: Instant) -> Option<ProbeMark> {
+        if running < self.limit() {
             return None;
         }
-        if self.probe.is_none() && self.next.is_none_or(|next| now >= next) {
+        if self.probe.is_none() && self.next_probe_at.is_none_or(|next| now >= next) {
             self.start_probe(now);
         }
-        let number = self.number;
+        let number = self.probe_number;
         let probe = self.probe.as_mut()?;
-        if running != probe.level() {
+        if running != probe.limit() {
             return None;
         }
         let mark = probe.mark(number, kind);
-        if let Some(better) = probe.count_begun() {
+        if let Some(better) = probe.count_started() {
             self.settle(better, now);
         }
         Some(mark)
     }
 
-    /// Ends a probe in progress without a verdict, as what comes now can't be compared with what came before.
-    pub fn give_up_probe(&mut self) {
+    /// Ends a probe without a result, because coming service times are not comparable with earlier ones.
+    pub fn cancel_probe(&mut self) {
         self.probe = None;
     }
 
-    /// A call of a probe has ended.
+    /// Records the service time of a call that is part of a probe.
     pub fn observe(&mut self, mark: ProbeMark, service_time: Microseconds) {
-        if mark.probe == self.number {
+        if mark.probe == self.probe_number {
             self.probe.iter_mut().for_each(|probe| probe.observe(mark, service_time));
         }
     }
 
-    /// Slots of one step.
     fn step(&self) -> u32 {
         self.slots.div_ceil(STEPS)
     }
 
-    /// Steps to the lower limit of the next probe downward.
+    /// Distance of the next downward probe, in steps.
     fn steps_down(&self) -> u32 {
-        NEAR.get(self.downward_probes).copied().unwrap_or(FAR[self.rounds % FAR.len()])
+        NEAR_STEPS.get(self.downward_probes).copied().unwrap_or(FAR_STEPS[self.rounds % FAR_STEPS.len()])
     }
 
-    /// Compares the limit in use, which has the first turn, with another one.
+    /// Starts a probe of the limit in use, which is used first, against another one.
     fn start_probe(&mut self, now: Instant) {
-        if self.slots < FEWEST_SLOTS {
+        if self.slots < MIN_SLOTS {
             return;
         }
-        let lowest = ((f64::from(self.slots) * LOWEST_SHARE) as u32).max(1);
-        self.upward &= self.level < self.slots;
-        let (lower, upper) = if self.upward {
-            (self.level, (self.level + self.step()).min(self.slots))
+        let lowest = ((f64::from(self.slots) * MIN_SLOT_SHARE) as u32).max(1);
+        self.is_upward &= self.best_limit < self.slots;
+        let (lower, upper) = if self.is_upward {
+            (self.best_limit, (self.best_limit + self.step()).min(self.slots))
         } else {
-            (self.level.saturating_sub(self.step() * self.steps_down()).max(lowest), self.level)
+            (self.best_limit.saturating_sub(self.step() * self.steps_down()).max(lowest), self.best_limit)
         };
         if lower >= upper {
-            self.settle(self.level, now);
+            self.settle(self.best_limit, now);
             return;
         }
-        self.number = self.number.wrapping_add(1);
-        let arm = if lower == self.level { Arm::Lower } else { Arm::Upper };
+        self.probe_number = self.probe_number.wrapping_add(1);
+        let arm = if lower == self.best_limit { Arm::Lower } else { Arm::Upper };
         self.probe = Some(LimitProbe::new(lower, upper, arm));
     }
 
-    /// Adopts the `better` limit. Where that is a change, the limits around it are probed at once; else the finder goes on
-    /// to the next one of the round: one step up, then down, farther each time.
+    /// Adopts the `better` limit. If it is a new one, the limits around it are probed at once; otherwise the next probe
+    /// of the round follows: one step up, then down at growing distances.
     fn settle(&mut self, better: u32, now: Instant) {
         let had_no_samples = self.probe.take().is_some_and(|probe| probe.has_no_samples());
-        self.next = None;
+        self.next_probe_at = None;
         if had_no_samples {
-            // Calls here make calls of their own; other limits would show no more.
-            self.downward_probes = NEAR.len();
+            // Calls at this server make calls of their own, so other limits would yield no samples either.
+            self.downward_probes = NEAR_STEPS.len();
         }
-        if better != self.level {
-            self.upward = better > self.level;
-            self.level = better;
+        if better != self.best_limit {
+            self.is_upward = better > self.best_limit;
+            self.best_limit = better;
             self.downward_probes = 0;
-            self.rest = FIRST_REST;
-        } else if self.upward {
-            self.upward = false;
-        } else if self.downward_probes < NEAR.len() {
+            self.pause = MIN_PAUSE;
+        } else if self.is_upward {
+            self.is_upward = false;
+        } else if self.downward_probes < NEAR_STEPS.len() {
             self.downward_probes += 1;
         } else {
             self.downward_probes = 0;
             self.rounds += 1;
-            self.upward = true;
-            self.next = Some(now.plus(self.rest));
-            self.rest = (self.rest * 2).min(LONGEST_REST);
+            self.is_upward = true;
+            self.next_probe_at = Some(now.plus(self.pause));
+            self.pause = (self.pause * 2).min(MAX_PAUSE);
         }
     }
 }
--- a/crates/seamhatch-core/src/admission/limit.rs
+++ b/crates/seamhatch-core/src/admission/limit.rs
@@ -1,9 +1,10 @@
-//! How many calls a server that has just started runs at once.
+//! Concurrency limit of a server that has just started.
 //!
-//! Decides the concurrency limit from the slots that the back end reports and from the calls that succeeded since: a cold
-//! server starts low and grows by one with each round of successes, up to its slots. It does not shrink when service times
-//! grow: a slower service below takes the same slots for longer, and fewer of them would add to it (70 good answers a
-//! second with such a rule, 129 without it; docs/DESIGN.md#queue-and-slots).
+//! The limit follows from the slots that the back end reports and from the calls that have succeeded since its start: a
+//! cold server starts low and gains one slot with each round of successes, until it uses all of its slots. The limit
+//! does not shrink when service times grow: a slow downstream service occupies the same slots for longer, and fewer
+//! slots would make that worse (70 good answers a second with a limit that shrinks, 129 without;
+//! docs/DESIGN.md#queue-and-slots).
 
 use super::AdmissionPolicy;
 use crate::clock::{MILLISECOND, Microseconds};
@@ -11,15 +12,15 @@
 /// Weight of a new sample in the average service time.
 const AVERAGE_WEIGHT: f64 = 0.05;
 
-/// Service time that is assumed before the first sample.
-const ASSUMED_SERVICE_TIME: Microseconds = 5 * MILLISECOND;
+/// Service time assumed before the first sample.
+const DEFAULT_SERVICE_TIME: Microseconds = 5 * MILLISECOND;
 
-/// The number of calls a back end should run at once.
+/// The number of calls that a back end may run at once.
 #[derive(Debug, Clone)]
 pub struct ConcurrencyLimit {
     slots: f64,
     current: f64,
-    /// Average service time in microseconds; none before the first sample.
+    /// Average service time in microseconds; `None` before the first sample.
     average: Option<f64>,
 }
 
@@ -34,26 +35,26 @@
         }
     }
 
-    /// The limit of another instance of the same back end: what the last one's had grown to counts for nothing, but its
-    /// service time is the best guess.
+    /// The limit for another instance of the same back end: it starts cold again, but keeps the average service time of
+    /// the previous instance as its estimate.
     #[must_use]
-    pub fn restarted(&self, policy: AdmissionPolicy) -> Self {
+    pub fn for_new_instance(&self, policy: AdmissionPolicy) -> Self {
         Self { average: self.average, ..Self::new(policy) }
     }
 
-    /// Calls that may run at once.
+    /// The number of calls that may run at once.
     #[must_use]
     pub fn current(&self) -> u32 {
         self.current as u32
     }
 
-    /// The recent average service time.
+    /// Exponentially weighted average of the service times.
     #[must_use]
-    pub fn typical_service_time(&self) -> Microseconds {
-        self.average.map_or(ASSUMED_SERVICE_TIME, |average| average as u64)
+    pub fn average_service_time(&self) -> Microseconds {
+        self.average.map_or(DEFAULT_SERVICE_TIME, |average| average as u64)
     }
 
-    /// Whether a call has succeeded yet.
+    /// Whether at least one call has succeeded.
     #[must_use]
     pub fn has_samples(&self) -> bool {
         self.average.is_some()
--- a/crates/seamhatch-core/src/admission/mod.rs
+++ b/crates/seamhatch-core/src/admission/mod.rs
@@ -1,22 +1,24 @@
 //! Admission at one server: which calls run, which wait and which are refused.
 //!
-//! [`AdmissionQueue`] is the whole decision; the daemon's gate locks it, calls it with the time and acts on its verdicts.
-//! It owns the slots in use, the waiting lines and what it learns from finished calls; each of its parts is a file here:
+//! [`AdmissionQueue`] makes all decisions. The daemon's admission gate holds it under a lock, passes it the current
+//! time and carries out its decisions. The queue owns the slots in use, the waiting calls and the statistics of
+//! finished calls. Each part has a file of its own:
 //!
 //! | part | decides |
 //! | --- | --- |
 //! | [`ConcurrencyLimit`] | how many calls a cold server runs at once |
-//! | [`KneeFinder`] | whether the last slots are worth using |
+//! | [`KneeFinder`] | whether using the last slots raises throughput |
 //! | [`ClassShares`] | which class goes first |
 //! | `slots` | which calls hold a slot, and which have lost their answer |
-//! | `waiting` | who waits, in which order |
-//! | `rate_limited` | at which rate calls begin, where the back end names one |
-//! | `service_times` | how long a call of a kind usually takes |
+//! | `waiting` | which calls wait, and in which order |
+//! | `rate_limited` | when calls start at a back end that announces a rate |
+//! | `service_times` | the median service time of each kind of call |
 //! | `floor` | the level of the admission floor that the server publishes |
-//! | `kept` | the buckets of each class that are admitted whatever the level |
+//! | `kept` | which buckets of each class are admitted at any level |
 //!
-//! It protects the back end from more calls than it has slots, important calls from waiting behind others, and callers
-//! from waiting for a turn that comes too late. Alternatives: docs/DESIGN.md#queue-and-slots.
+//! Admission protects the back end from more calls than it has slots, important calls from waiting behind less
+//! important ones, and callers from waiting for a slot that comes too late. Alternatives:
+//! docs/DESIGN.md#queue-and-slots.
 
 mod floor;
 mod kept;
--- a/crates/seamhatch-core/src/admission/queue/lateness.rs
+++ b/crates/seamhatch-core/src/admission/queue/lateness.rs
@@ -1,4 +1,4 @@
-//! Which calls' turns come too late for their answers to be worth anything.
+//! Detection of calls that can't start in time.
 
 use super::super::{AdmissionRequest, CallKind, Ticket, share_of};
 use super::AdmissionQueue;
@@ -6,34 +6,34 @@
 use crate::priority::PriorityClass;
 
 impl AdmissionQueue {
-    /// How long calls of this kind usually take from their slot to their answer; none before the first.
+    /// Median time from slot to answer of calls of this kind; `None` before the first sample.
     #[must_use]
     pub fn median_service_time(&self, kind: CallKind) -> Option<Microseconds> {
-        self.service_times.usual(kind)
+        self.service_times.median(kind)
     }
 
-    /// The latest instant at which a call may start: its kind's usual service time before the end of its objective, and
-    /// at least half of the typical service time before its expiry, since some calls are faster.
+    /// The latest instant at which a call may start: the median service time of its kind before the end of its
+    /// objective, and half of the average service time before its expiry, since some calls are faster than average.
     #[must_use]
     pub fn latest_start(&self, request: &AdmissionRequest) -> Instant {
-        let typical = self.limit.typical_service_time();
-        let usual = self.service_times.usual(request.kind).unwrap_or(typical);
-        request.expiry.minus(typical / 2).min(request.objective_end.minus(usual))
+        let average = self.limit.average_service_time();
+        let median = self.service_times.median(request.kind).unwrap_or(average);
+        request.expiry.minus(average / 2).min(request.objective_end.minus(median))
     }
 
-    /// Removes the waiting calls whose turn comes too late at the pace at which the queue drains now: their callers do
-    /// better elsewhere than held until the last moment. Calls without an objective of their own stay: they are part of
-    /// requests that have begun, and all that was done for those would be lost by an estimate that may err.
+    /// Removes and returns the waiting calls that can't start in time at the rate at which the queue drains now,
+    /// because their callers do better at another server than waiting until the last moment. Calls without an objective
+    /// stay: they belong to requests that are in progress, and a wrong estimate would waste the work done for those.
     pub fn shed_late_calls(&mut self, now: Instant) -> Vec<Ticket> {
         let mut late = Vec::new();
         for class in PriorityClass::ALL {
-            let mut in_line = 0;
-            for request in self.waiting.line(class) {
+            let mut ahead_in_class = 0;
+            for request in self.waiting.of_class(class) {
                 let has_objective = request.objective_end != Instant::NEVER;
-                if has_objective && self.comes_too_late(request, in_line, now) {
+                if has_objective && self.comes_too_late(request, ahead_in_class, now) {
                     late.push(request.ticket);
                 } else {
-                    in_line += 1;
+                    ahead_in_class += 1;
                 }
             }
         }
@@ -43,25 +43,25 @@
         late
     }
 
-    /// Whether the turn of a waiting call, behind `in_line` others of its class, comes after its latest start:
-    /// neither in the order of importance nor on its class's own share of the slots does it come sooner.
-    fn comes_too_late(&self, request: &AdmissionRequest, in_line: usize, now: Instant) -> bool {
+    /// Whether a waiting call, behind `ahead_in_class` others of its class, would start after its latest start, both in
+    /// order of importance and on its class's own share of the slots.
+    fn comes_too_late(&self, request: &AdmissionRequest, ahead_in_class: usize, now: Instant) -> bool {
         let class = request.priority.class;
-        let in_turn = self.estimated_wait(self.ahead_of(class, in_line), now);
-        let on_share = self.estimated_wait(in_line, now) as f64 / share_of(class);
-        now.plus(in_turn.min(on_share as Microseconds)) >= self.latest_start(request)
+        let by_priority = self.estimated_wait(self.ahead_of(class, ahead_in_class), now);
+        let by_share = self.estimated_wait(ahead_in_class, now) as f64 / share_of(class);
+        now.plus(by_priority.min(by_share as Microseconds)) >= self.latest_start(request)
     }
 
-    /// Calls that go before one of `class` behind `in_line` others of it, as it looks now.
-    pub(super) fn ahead_of(&self, class: PriorityClass, in_line: usize) -> usize {
-        let before = if self.below_share(class) { 0 } else { self.waiting.more_important(class) };
-        before + in_line
+    /// Number of calls that go before one of `class` with `ahead_in_class` others of its class before it.
+    pub(super) fn ahead_of(&self, class: PriorityClass, ahead_in_class: usize) -> usize {
+        let before = if self.below_share(class) { 0 } else { self.waiting.count_more_important(class) };
+        before + ahead_in_class
     }
 
     pub(super) fn estimated_wait(&self, ahead: usize, now: Instant) -> Microseconds {
-        let service_time = self.limit.typical_service_time();
+        let service_time = self.limit.average_service_time();
         let for_slot = service_time * (ahead as u64 + 1) / u64::from(self.limit().max(1));
-        let for_turn = self.rate_limited.as_ref().map_or(0, |limited| limited.limiter().turn_in(ahead, now));
-        for_slot.max(for_turn)
+        let for_rate = self.rate_limited.as_ref().map_or(0, |limited| limited.limiter().turn_in(ahead, now));
+        for_slot.max(for_rate)
     }
 }
--- a/crates/seamhatch-core/src/admission/queue/mod.rs
+++ b/crates/seamhatch-core/src/admission/queue/mod.rs
@@ -1,11 +1,11 @@
 //! The admission queue of one server.
 //!
-//! A call runs at once where a slot is free and none waits. Else it waits while its turn can come in time, and is refused
-//! where it can't or where the queue is full of more important calls. A class that has used less than its share of the
-//! slots goes first, then the most important one that waits; within a class calls are ordered by bucket, so that every
-//! server of a chain prefers the same requests, and then by the age of the whole request. Where the deployment orders by cost,
-//! calls of chains that have begun elsewhere go before first calls of their class. A back end that names a rate gets calls at that
-//! rate, in the same order; what it shows then is not remembered.
+//! A call runs at once if a slot is free and no call waits. Otherwise it waits as long as its slot can come in time,
+//! and is refused if it can't or if the queue is full of more important calls. A class that has used less than its
+//! share of the slots goes first, then the most important waiting class. Within a class, calls are ordered by bucket,
+//! so that every server of a chain prefers the same requests, and then by the age of the root request. If the
+//! deployment orders calls by cost, calls that continue a chain go before first calls of their class. A back end that
+//! announces a rate gets calls at that rate, in the same order; estimates made during that time are discarded.
 
 mod lateness;
 mod rate_limited;
@@ -14,7 +14,7 @@
 use super::rate_limited::RateLimitedBackEnd;
 use super::service_times::ServiceTimes;
 use super::slots::SlotTable;
-use super::waiting::WaitingLines;
+use super::waiting::WaitingCalls;
 use super::{
     Admission, AdmissionPolicy, AdmissionRequest, BackEndLoad, ConcurrencyLimit, Dequeued, KneeFinder,
     Ticket, share_of,
@@ -32,11 +32,11 @@
     limit: ConcurrencyLimit,
     knee: KneeFinder,
     slots: SlotTable,
-    waiting: WaitingLines,
+    waiting: WaitingCalls,
     floor: FloorController,
     service_times: ServiceTimes,
     pace: PaceTracker,
-    /// Set while the back end names a rate, and for a while after.
+    /// Set while the back end announces a rate, and during the ramp that follows.
     rate_limited: Option<RateLimitedBackEnd>,
 }
 
@@ -49,7 +49,7 @@
             limit: ConcurrencyLimit::new(policy),
             knee: KneeFinder::new(policy.slots),
             slots: SlotTable::default(),
-            waiting: WaitingLines::default(),
+            waiting: WaitingCalls::default(),
             floor: FloorController::default(),
             service_times: ServiceTimes::default(),
             pace: PaceTracker::default(),
@@ -57,39 +57,39 @@
         }
     }
 
-    /// Sets how many calls may wait for each slot; calls that wait already stay.
+    /// Sets the number of calls that may wait for each slot. Calls that already wait stay.
     pub fn set_queue_per_slot(&mut self, queue_per_slot: u32) {
         self.policy.queue_per_slot = queue_per_slot;
     }
 
-    /// Calls with a slot.
+    /// Number of calls that hold a slot.
     #[must_use]
     pub fn running(&self) -> usize {
-        self.slots.taken()
+        self.slots.in_use()
     }
 
-    /// Running calls that hold no slot, as their answers seem to be lost.
+    /// Number of running calls that hold no slot, because their answers seem to be lost.
     #[must_use]
     pub fn lost(&self) -> usize {
         self.slots.lost()
     }
 
-    /// Calls that wait.
+    /// Number of waiting calls.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Calls that may run at once at present: the concurrency limit.
+    /// The present concurrency limit.
     #[must_use]
     pub fn limit(&self) -> u32 {
-        self.limit.current().min(self.knee.level())
+        self.limit.current().min(self.knee.limit())
     }
 
-    /// Slots of the back end that were found worth using.
+    /// Number of slots that are worth using, according to the knee finder.
     #[must_use]
     pub fn worthwhile_slots(&self) -> u32 {
-        self.knee.settled()
+        self.knee.best_limit()
     }
 
     /// The admission floor to publish.
@@ -98,28 +98,28 @@
         self.floor.floor()
     }
 
-    /// How long a refused caller should stay away, before jitter.
+    /// How long a refused caller should wait before a retry, before jitter.
     #[must_use]
     pub fn retry_after(&self, now: Instant) -> Microseconds {
         return_time::after_queue(self.estimated_wait(self.waiting.len() + 1, now))
     }
 
-    /// Adopts what an instance of the back end reports: its slots, and how many of them to start with. What the last
-    /// instance's limit had grown to counts for nothing.
+    /// Adopts the slots that a new instance of the back end reports, and how many of them to start with. The limit
+    /// starts cold again.
     pub fn set_slots(&mut self, slots: u32, initial_slots: u32) {
         self.policy.slots = slots;
         self.policy.initial_slots = initial_slots;
-        self.limit = self.limit.restarted(self.policy);
+        self.limit = self.limit.for_new_instance(self.policy);
         self.knee = KneeFinder::new(slots);
         self.pace.reset_service_time();
     }
 
-    /// Removes all waiting calls, as nothing will run here any more.
+    /// Removes and returns all waiting calls, because the server takes no more calls.
     pub fn close(&mut self) -> Vec<Ticket> {
         self.waiting.clear()
     }
 
-    /// Asks for a slot or a place in the queue.
+    /// Requests a slot or a place in the queue.
     pub fn offer(&mut self, request: AdmissionRequest, now: Instant) -> Admission {
         self.floor.count_arrival(request.priority);
         if request.expiry <= now {
@@ -145,7 +145,7 @@
         Admission::Wait { evicted }
     }
 
-    /// The next call to leave the queue, if one can.
+    /// Removes the next call that can start or that has expired.
     pub fn next(&mut self, now: Instant) -> Option<Dequeued> {
         let request = *self.waiting.first_of(self.next_class()?)?;
         if self.latest_start(&request) <= now {
@@ -160,19 +160,19 @@
         Some(Dequeued::Run(request.ticket))
     }
 
-    /// Removes a call that has waited as long as it could; false when it doesn't wait.
+    /// Removes a call whose time to wait is over; returns false if it does not wait.
     pub fn expire(&mut self, ticket: Ticket) -> bool {
         let Some(request) = self.waiting.remove(ticket) else { return false };
         self.floor.count_refused(request.priority);
         true
     }
 
-    /// Removes a waiting call that is not wanted any more; false when it doesn't wait.
+    /// Removes a waiting call whose caller no longer needs it; returns false if it does not wait.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         self.waiting.remove(ticket).is_some()
     }
 
-    /// Frees the slot of a call that ran; `succeeded` says that its service time is a fair sample.
+    /// Frees the slot of a call that ran; `succeeded` says that its service time is a valid sample.
     pub fn finish(&mut self, ticket: Ticket, now: Instant, succeeded: bool) {
         let Some(finished) = self.slots.finish(ticket, now) else { return };
         self.floor.count_served();
@@ -185,50 +185,51 @@
         }
     }
 
-    /// Records the load that the back end reports beside an answer. Calls that are overdue and that it doesn't work on
-    /// hold no slot from now on.
+    /// Records the load that the back end reports with an answer. Overdue calls that the back end no longer works on
+    /// lose their slot.
     pub fn note_back_end_load(&mut self, load: BackEndLoad, now: Instant) {
         if let Some(calls) = load.calls {
-            self.slots.note_load(calls, self.limit.typical_service_time(), now);
+            self.slots.note_load(calls, self.limit.average_service_time(), now);
         }
         if let Some(percent) = load.time_percent {
             self.pace.record_time_percent(percent, now);
         }
     }
 
-    /// How long work takes at the back end; none where it tells no figure.
+    /// Service time at the back end relative to its usual one; `None` if the back end reports no figure.
     #[must_use]
     pub fn pace(&self, now: Instant) -> Option<ServerPace> {
         self.pace.report(now)
     }
 
-    /// A running call makes calls of its own: its service time depends on other back ends too.
+    /// Records that a running call makes calls of its own, so that its service time also depends on other back ends.
     pub fn note_calls_made(&mut self, ticket: Ticket) {
         self.slots.note_calls_made(ticket);
     }
 
-    /// The back end answers a running call with a failure: how soon it fails does not show how fast it works.
+    /// Records that the back end answers a running call with a failure; the time to a failure does not show how fast
+    /// the back end works.
     pub fn note_failure(&mut self, ticket: Ticket) {
         self.slots.note_failure(ticket);
     }
 
-    /// Moves the floor; to be called at a steady pace (every 100 ms).
+    /// Adjusts the admission floor; to be called every 100 ms.
     pub fn tick(&mut self) {
-        let healthy = (f64::from(self.capacity()) * HIGH_FILL) as usize;
-        let taken = self.running() as f64 / self.usable_slots().max(1.0);
+        let healthy_calls = (f64::from(self.capacity()) * HIGH_FILL) as usize;
+        let used = self.running() as f64 / self.usable_slots().max(1.0);
         let level = self.floor().level;
         let kept = PriorityClass::ALL.map(|class| self.waiting.count_from_level(class, level));
-        let passing = self.waiting.len() - kept.iter().sum::<usize>();
+        let below_floor = self.waiting.len() - kept.iter().sum::<usize>();
         let pressure = Pressure {
-            fill: passing as f64 / f64::from(self.capacity().max(1)),
-            crowded: PriorityClass::ALL.map(|class| kept[class.rank()] > self.queue_share(class)),
-            first_in_excess: self.waiting.level_at(healthy),
-            free: (1.0 - taken).max(0.0),
+            fill: below_floor as f64 / f64::from(self.capacity().max(1)),
+            over_share: PriorityClass::ALL.map(|class| kept[class.rank()] > self.queue_share(class)),
+            excess_level: self.waiting.level_at(healthy_calls),
+            free: (1.0 - used).max(0.0),
         };
         self.floor.tick(pressure, self.slots.shares(), self.usable_slots());
     }
 
-    /// Places in the queue.
+    /// Number of places in the queue.
     fn capacity(&self) -> u32 {
         match self.rate_limited {
             None => self.policy.slots * self.policy.queue_per_slot,
@@ -236,14 +237,14 @@
         }
     }
 
-    /// Places in the queue that a class owns.
+    /// Number of places in the queue that are reserved for a class.
     fn queue_share(&self, class: PriorityClass) -> usize {
         (f64::from(self.capacity()) * share_of(class)) as usize
     }
 
     fn start(&mut self, request: &AdmissionRequest, now: Instant) {
         let mark = match &mut self.rate_limited {
-            None => self.knee.begin(self.running() as u32 + 1, request.kind, now),
+            None => self.knee.call_started(self.running() as u32 + 1, request.kind, now),
             Some(limited) => {
                 limited.limiter_mut().take(now);
                 None
@@ -256,14 +257,14 @@
         self.slots.shares().below_share(class, self.usable_slots())
     }
 
-    /// The class whose turn it is: one below its share, else the most important that waits.
+    /// The class whose call goes next: one below its share, otherwise the most important one that waits.
     fn next_class(&self) -> Option<PriorityClass> {
         let waits = |class: &PriorityClass| self.waiting.len_of(*class) > 0;
         let below = PriorityClass::ALL.into_iter().find(|class| waits(class) && self.below_share(*class));
         below.or_else(|| PriorityClass::ALL.into_iter().find(waits))
     }
 
-    /// Finds a place for `request` in the queue; the call that lost its place, if one did.
+    /// Makes room for `request` in the queue; returns the evicted call, if any.
     fn make_room(&mut self, request: &AdmissionRequest) -> Result<Option<Ticket>, Reason> {
         if self.waiting.len() < self.capacity() as usize {
             return Ok(None);
@@ -275,13 +276,13 @@
     }
 
     /// The waiting call to evict for `request`: the last one of the least important class that has more places than its
-    /// share, if it is less important or the class of `request` has fewer places than its own.
+    /// share, provided that it is less important or that the class of `request` has fewer places than its share.
     fn victim(&self, request: &AdmissionRequest) -> Option<Ticket> {
         let own = request.priority.class;
-        let entitled = self.waiting.len_of(own) < self.queue_share(own);
+        let is_below_share = self.waiting.len_of(own) < self.queue_share(own);
         let mut classes = PriorityClass::ALL.into_iter().rev();
         let class = classes.find(|class| self.waiting.len_of(*class) > self.queue_share(*class))?;
-        let worst = self.waiting.last_of(class)?;
-        (entitled || worst.rank() > request.rank()).then_some(worst.ticket)
+        let last = self.waiting.last_of(class)?;
+        (is_below_share || last.rank() > request.rank()).then_some(last.ticket)
     }
 }
--- a/crates/seamhatch-core/src/admission/rate_limited.rs
+++ b/crates/seamhatch-core/src/admission/rate_limited.rs
@@ -1,69 +1,71 @@
-//! A back end that is held to a rate: while it names one, and for a while after it has stopped to.
+//! A rate limit that a back end announces, and the ramp that follows its end.
 //!
-//! Owns the limiter, the rise of the rate after its end, and what the queue had learnt before: service times of a back end in need say nothing
-//! about the time after, and only show how it does now. Used by [`super::AdmissionQueue`] alone.
+//! Holds the limiter and the estimates from before the limit. Service times under a limit describe the back end only
+//! while the limit lasts, so the earlier estimates are restored at its end.
 
 use super::ConcurrencyLimit;
 use super::service_times::ServiceTimes;
 use crate::clock::{Instant, Microseconds, SECOND};
 use crate::rate::{RateLimiter, RequestRate};
 
-/// The rate after the end of a limit begins with this part of what the back end's slots can do, or with the rate that it had named.
-const FIRST_SHARE: f64 = 1.0 / 32.0;
+/// The ramp starts at this share of the rate that the back end's slots can sustain, or at the announced rate if that is
+/// higher.
+const INITIAL_RAMP_SHARE: f64 = 1.0 / 32.0;
 
-/// By how much the rate then rises in each tick of 100 ms: it doubles in a second.
-const RISE_PER_TICK: f64 = 1.072;
+/// Growth of the rate per tick of 100 ms during the ramp: it doubles in a second.
+const RAMP_FACTOR_PER_TICK: f64 = 1.072;
 
-/// What is learnt of a back end from its answers.
+/// Estimates derived from the answers of a back end.
 #[derive(Debug, Clone)]
 pub(super) struct ServiceEstimates {
     pub(super) limit: ConcurrencyLimit,
     pub(super) service_times: ServiceTimes,
 }
 
-/// A back end that is held to a rate.
+/// State of a back end that is or was recently rate-limited.
 #[derive(Debug)]
 pub(super) struct RateLimitedBackEnd {
     limiter: RateLimiter,
-    /// What was known before it named a rate; none once it names none any more.
-    before: Option<ServiceEstimates>,
+    /// Estimates from before the limit; `None` during the ramp.
+    saved: Option<ServiceEstimates>,
 }
 
 impl RateLimitedBackEnd {
-    /// It names a rate, with this known of it.
-    pub(super) fn new(rate: RequestRate, before: ServiceEstimates, now: Instant) -> Self {
-        Self { limiter: RateLimiter::new(rate, now), before: Some(before) }
+    /// Starts a limit at `rate`.
+    pub(super) fn new(rate: RequestRate, saved: ServiceEstimates, now: Instant) -> Self {
+        Self { limiter: RateLimiter::new(rate, now), saved: Some(saved) }
     }
 
-    /// It names a rate again, or another one.
+    /// Sets the announced rate; saves the present estimates if the limit had ended.
     pub(super) fn set_rate(
         &mut self,
         rate: RequestRate,
-        learnt: impl FnOnce() -> ServiceEstimates,
+        estimates: impl FnOnce() -> ServiceEstimates,
         now: Instant,
     ) {
         self.limiter.set_rate(rate, now);
-        self.before.get_or_insert_with(learnt);
+        self.saved.get_or_insert_with(estimates);
     }
 
-    /// It names no rate any more: the rate rises from now on, up to `full`, which its slots can do. Returns what was known before.
-    pub(super) fn lift(&mut self, full: RequestRate, now: Instant) -> Option<ServiceEstimates> {
-        let before = self.before.take()?;
-        let first = self.limiter.rate().max(full.times(FIRST_SHARE));
+    /// Ends the limit and starts the ramp towards `full`, the rate that the slots can sustain. Returns the saved
+    /// estimates.
+    pub(super) fn end(&mut self, full: RequestRate, now: Instant) -> Option<ServiceEstimates> {
+        let saved = self.saved.take()?;
+        let first = self.limiter.rate().max(full.times(INITIAL_RAMP_SHARE));
         self.limiter.set_rate(first, now);
-        Some(before)
+        Some(saved)
     }
 
-    /// Lets the rate rise where none is named any more, to be called every 100 ms. True once it reaches `full`.
-    pub(super) fn rise(&mut self, full: RequestRate, now: Instant) -> bool {
-        if self.before.is_some() {
+    /// Raises the rate by one step during the ramp, to be called every 100 ms. Returns true once it reaches `full`.
+    pub(super) fn ramp_up(&mut self, full: RequestRate, now: Instant) -> bool {
+        if self.saved.is_some() {
             return false;
         }
-        self.limiter.set_rate(self.limiter.rate().times(RISE_PER_TICK), now);
+        self.limiter.set_rate(self.limiter.rate().times(RAMP_FACTOR_PER_TICK), now);
         self.limiter.rate() >= full
     }
 
-    /// Calls that run at once at the rate, where each takes `service_time`.
+    /// Average number of concurrent calls at this rate, with this service time.
     pub(super) fn concurrency(&self, service_time: Microseconds) -> f64 {
         self.limiter.rate().as_per_second() * service_time as f64 / SECOND as f64
     }
--- a/crates/seamhatch-core/src/admission/request.rs
+++ b/crates/seamhatch-core/src/admission/request.rs
@@ -1,87 +1,91 @@
-//! What a call asks of the queue, and what the queue answers.
+//! Requests to the admission queue and its answers.
 
 use super::CallKind;
 use crate::clock::Instant;
 use crate::outcome::Reason;
 use crate::priority::Priority;
 
-/// Names a call that waits or runs; unique within one server's queue.
+/// Identifies a waiting or running call within the queue of one server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// Calls that may wait for each slot, unless the policy says otherwise. Chosen, not measured.
+/// Default number of calls that may wait for each slot.
 const QUEUE_PER_SLOT: u32 = 4;
 
-/// A cold server starts with one slot in this many. Chosen; on two days of high load a start with all slots earned 0.012
-/// more of the worth, which is not beyond noise.
-const COLD_PART: u32 = 4;
+/// A cold server starts with its slots divided by this number. Starting with all slots made no difference beyond noise
+/// under high load.
+const COLD_START_DIVISOR: u32 = 4;
 
 /// How a server admits calls.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionPolicy {
-    /// Calls that the back end runs at once, as it reports.
+    /// Calls that the back end runs at once, as reported by the back end.
     pub slots: u32,
-    /// Calls that may wait, for each slot.
+    /// Waiting calls allowed per slot.
     pub queue_per_slot: u32,
-    /// Slots that a cold server starts with.
+    /// Concurrency limit of a cold server.
     pub initial_slots: u32,
 }
 
 impl AdmissionPolicy {
-    /// The policy of a server that reports `slots`.
+    /// The default policy for a server that reports `slots`.
     #[must_use]
     pub fn for_slots(slots: u32) -> Self {
-        Self { slots, queue_per_slot: QUEUE_PER_SLOT, initial_slots: slots.div_ceil(COLD_PART).max(1) }
+        Self {
+            slots,
+            queue_per_slot: QUEUE_PER_SLOT,
+            initial_slots: slots.div_ceil(COLD_START_DIVISOR).max(1),
+        }
     }
 }
 
-/// A call that asks to run.
+/// A call that asks for admission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdmissionRequest {
-    /// Name of the call in this queue.
+    /// Identifies the call in this queue.
     pub ticket: Ticket,
-    /// Order of shedding.
+    /// Determines the order in which calls are shed.
     pub priority: Priority,
-    /// When the root request was admitted, in the local clock.
+    /// When the root request was admitted, on the local clock.
     pub root_admitted: Instant,
-    /// When the call becomes useless, in the local clock.
+    /// When the answer becomes useless, on the local clock.
     pub expiry: Instant,
-    /// Until when its answer is early, in the local clock: it waits only while that can still come true.
+    /// End of the latency objective, on the local clock: the call waits only while its answer can still meet it.
     /// [`Instant::NEVER`] for a call without an objective.
     pub objective_end: Instant,
-    /// Which calls' service times may be compared with its own.
+    /// Groups calls whose service times are comparable.
     pub kind: CallKind,
-    /// It belongs to a chain that has begun at another server, and goes before first calls of its class: refusing it
-    /// wastes what the chain has used. Set only where the deployment orders by cost.
+    /// The call belongs to a chain that has already run calls at another server, and goes before first calls of its
+    /// class: refusing it wastes the work that the chain has done. Set only where the deployment orders calls by cost.
     pub continues_chain: bool,
 }
 
 impl AdmissionRequest {
-    /// Position in the order of eviction: class, then calls of begun chains, then bucket. Smaller is more important.
+    /// Eviction order: class, then calls that continue a chain, then bucket. Smaller is more important.
     pub(super) fn rank(&self) -> (usize, bool, u8) {
         (self.priority.class.rank(), !self.continues_chain, self.priority.bucket)
     }
 }
 
-/// The answer to a call that asks to run.
+/// The queue's decision on a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Admission {
-    /// It has a slot; [`super::AdmissionQueue::finish`] must follow.
+    /// The call has a slot; the caller must call [`super::AdmissionQueue::finish`] at its end.
     Run,
-    /// It waits, in place of `evicted` if that is set.
+    /// The call waits.
     Wait {
-        /// A less important call that lost its place.
+        /// The less important call that lost its place to this one, if the queue was full.
         evicted: Option<Ticket>,
     },
-    /// It is refused.
+    /// The call is refused for this reason.
     Refuse(Reason),
 }
 
 /// A call that leaves the waiting queue.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Dequeued {
-    /// It has a slot now.
+    /// The call has a slot now.
     Run(Ticket),
-    /// Its deadline can't be met any more.
+    /// The call can no longer meet its deadline or its objective.
     Expired(Ticket),
 }
--- a/crates/seamhatch-core/src/admission/shares.rs
+++ b/crates/seamhatch-core/src/admission/shares.rs
@@ -1,18 +1,18 @@
-//! What each priority class has used of a server's slots, and what it owns of them.
+//! Slot time that each priority class has used, and the share that it is guaranteed.
 //!
-//! Strict order by class starves the less important classes whenever the more important ones can fill a server. So each
-//! class but the first owns a small share of the slot time: while it has used less than that, its waiting calls go first.
-//! What a class does not use is open to all, in the order of importance. Alternatives:
-//! docs/DESIGN.md#shares-of-the-classes.
+//! Strict priority starves the less important classes whenever the more important ones can fill a server. Each class
+//! except the most important one is therefore guaranteed a small share of the slot time: while it has used less than
+//! that, its waiting calls go first. Time that a class does not use is open to all classes, in order of importance.
+//! Alternatives: docs/DESIGN.md#shares-of-the-classes.
 
 use crate::clock::{Instant, Microseconds, SECOND};
 use crate::priority::PriorityClass;
 
-/// Time constant of the slot time that is remembered.
-const MEMORY: Microseconds = SECOND;
+/// Time constant of the average slot use.
+const USE_TIME_CONSTANT: Microseconds = SECOND;
 
-/// The share of a server's slot time that a class owns, 0 to 1. The most important class goes first anyway and owns none;
-/// the shares leave it more than half of the server.
+/// The guaranteed share of a server's slot time, 0 to 1. The most important class goes first anyway and needs none; the
+/// other shares leave it more than half of the server.
 #[must_use]
 pub fn share_of(class: PriorityClass) -> f64 {
     match class {
@@ -22,40 +22,40 @@
     }
 }
 
-/// Slots in use by class, now and recently.
+/// Present and recent slot use of each class.
 #[derive(Debug, Default)]
 pub struct ClassShares {
     running: [u32; PriorityClass::ALL.len()],
-    /// Slots in use on average, over [`MEMORY`].
+    /// Exponentially weighted average of the slots in use, with the time constant [`USE_TIME_CONSTANT`].
     used: [f64; PriorityClass::ALL.len()],
-    /// When `used` was brought up to date.
+    /// When `used` was last updated.
     updated: Instant,
 }
 
 impl ClassShares {
-    /// A call of `class` has got a slot.
+    /// Records that a call of `class` gets a slot.
     pub fn start(&mut self, class: PriorityClass, now: Instant) {
         self.advance(now);
         self.running[class.rank()] += 1;
     }
 
-    /// A call of `class` has freed its slot.
+    /// Records that a call of `class` frees its slot.
     pub fn finish(&mut self, class: PriorityClass, now: Instant) {
         self.advance(now);
         let running = &mut self.running[class.rank()];
         *running = running.saturating_sub(1);
     }
 
-    /// Slots that `class` used recently, on average.
+    /// Average number of slots that `class` used recently.
     #[must_use]
     pub fn used(&self, class: PriorityClass) -> f64 {
         self.used[class.rank()]
     }
 
-    /// Whether `class` has less than its share of `slots`, now and recently.
+    /// Whether `class` uses less than its share of `slots`, both now and recently.
     ///
-    /// Recent use alone would let a class that was idle take every slot for a while; present use alone would give it half
-    /// of a server of two slots.
+    /// Recent use alone would let a class that was idle take every slot for a while; present use alone would give it
+    /// half of a server with two slots.
     #[must_use]
     pub fn below_share(&self, class: PriorityClass, slots: f64) -> bool {
         let share = share_of(class) * slots;
@@ -63,10 +63,10 @@
     }
 
     fn advance(&mut self, now: Instant) {
-        let passed = now.since(self.updated) as f64 / MEMORY as f64;
-        let kept = (-passed).exp();
+        let passed = now.since(self.updated) as f64 / USE_TIME_CONSTANT as f64;
+        let retained = (-passed).exp();
         for (used, running) in self.used.iter_mut().zip(self.running) {
-            *used = *used * kept + f64::from(running) * (1.0 - kept);
+            *used = *used * retained + f64::from(running) * (1.0 - retained);
         }
         self.updated = self.updated.max(now);
     }
--- a/crates/seamhatch-core/src/admission/slots.rs
+++ b/crates/seamhatch-core/src/admission/slots.rs
@@ -1,7 +1,7 @@
-//! The calls that hold a slot of the back end, and those that have lost it.
+//! The calls that hold a slot of the back end, and running calls that no longer do.
 //!
-//! Owns the table of running calls and what each class has used. A call whose answer seems to be lost keeps its entry, so
-//! that its end is not counted twice, but frees its slot. Used by [`super::AdmissionQueue`] alone.
+//! The table holds the running calls and the slot time that each class has used. A call whose answer seems to be lost
+//! frees its slot but keeps its entry, so that its end is not counted twice.
 
 use super::lost_answers::{BackEndCalls, LostAnswerDetector, OVERDUE_SERVICE_TIMES};
 use super::{AdmissionRequest, CallKind, ClassShares, ProbeMark, Ticket};
@@ -9,25 +9,25 @@
 use crate::priority::PriorityClass;
 use std::collections::HashMap;
 
-/// A call with a slot.
+/// A running call.
 #[derive(Debug, Clone, Copy)]
 struct RunningSlot {
     class: PriorityClass,
     kind: CallKind,
     started: Instant,
-    /// Set while it is part of a limit probe.
+    /// Set while the call is part of a limit probe.
     mark: Option<ProbeMark>,
-    /// It has taken a turn of a rate that the back end names.
+    /// The call was started under the rate that the back end announces.
     has_turn: bool,
-    /// It makes calls of its own.
+    /// The call makes calls of its own.
     makes_calls: bool,
-    /// The back end answers it with a failure.
+    /// The back end answers the call with a failure.
     failed: bool,
-    /// Its answer seems to be lost; it holds no slot any more.
+    /// The answer seems to be lost; the call no longer holds a slot.
     lost: bool,
 }
 
-/// What a finished call shows about the back end.
+/// Samples that a finished call contributes.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct FinishedCall {
     pub(super) kind: CallKind,
@@ -37,33 +37,32 @@
     pub(super) failed: bool,
 }
 
-/// Slots in use.
+/// Running calls and the slots they use.
 #[derive(Debug, Default)]
 pub(super) struct SlotTable {
     running: HashMap<Ticket, RunningSlot>,
-    /// Running calls whose answer seems to be lost.
+    /// Number of running calls whose answer seems to be lost.
     lost: usize,
-    lost_calls: LostAnswerDetector,
+    detector: LostAnswerDetector,
     shares: ClassShares,
 }
 
 impl SlotTable {
-    /// Calls with a slot.
-    pub(super) fn taken(&self) -> usize {
+    /// Number of calls that hold a slot.
+    pub(super) fn in_use(&self) -> usize {
         self.running.len() - self.lost
     }
 
-    /// Running calls that hold no slot.
+    /// Number of running calls that hold no slot.
     pub(super) fn lost(&self) -> usize {
         self.lost
     }
 
-    /// What each class has used.
     pub(super) fn shares(&self) -> &ClassShares {
         &self.shares
     }
 
-    /// A call gets a slot.
+    /// Records that a call gets a slot.
     pub(super) fn start(
         &mut self,
         request: &AdmissionRequest,
@@ -86,12 +85,12 @@
         self.shares.start(class, now);
     }
 
-    /// Whether a running call has taken a turn.
+    /// Whether a running call was started under an announced rate.
     pub(super) fn has_turn(&self, ticket: Ticket) -> bool {
         self.running.get(&ticket).is_some_and(|slot| slot.has_turn)
     }
 
-    /// A call has ended; none where it held no slot.
+    /// Removes a call that has ended; `None` if it held no slot.
     pub(super) fn finish(&mut self, ticket: Ticket, now: Instant) -> Option<FinishedCall> {
         let slot = self.running.remove(&ticket)?;
         if slot.lost {
@@ -108,7 +107,7 @@
         })
     }
 
-    /// A running call makes calls of its own: its service time depends on other back ends too.
+    /// Records that a running call makes calls of its own, so that its service time also depends on other back ends.
     pub(super) fn note_calls_made(&mut self, ticket: Ticket) {
         if let Some(slot) = self.running.get_mut(&ticket) {
             slot.mark = None;
@@ -116,40 +115,40 @@
         }
     }
 
-    /// The back end answers a running call with a failure.
+    /// Records that the back end answers a running call with a failure.
     pub(super) fn note_failure(&mut self, ticket: Ticket) {
         if let Some(slot) = self.running.get_mut(&ticket) {
             slot.failed = true;
         }
     }
 
-    /// Records the load that the back end reports beside an answer. The oldest calls that are overdue, as many as are
-    /// surely not at the back end, lose their slot. `typical` is the typical service time.
-    pub(super) fn note_load(&mut self, calls: BackEndCalls, typical: Microseconds, now: Instant) {
-        let sure = self.lost_calls.report(calls, self.taken() as u32);
-        if sure == 0 {
+    /// Records the load that the back end reports with an answer. Overdue calls lose their slot, the oldest first, as
+    /// many as are confirmed to have left the back end. `average` is the average service time.
+    pub(super) fn note_load(&mut self, calls: BackEndCalls, average: Microseconds, now: Instant) {
+        let confirmed = self.detector.report(calls, self.in_use() as u32);
+        if confirmed == 0 {
             return;
         }
-        let overdue = typical * OVERDUE_SERVICE_TIMES;
+        let overdue = average * OVERDUE_SERVICE_TIMES;
         let is_overdue = |slot: &RunningSlot| !slot.lost && now.since(slot.started) > overdue;
-        let mut late: Vec<(Instant, Ticket)> = self
+        let mut overdue_calls: Vec<(Instant, Ticket)> = self
             .running
             .iter()
             .filter(|(_, slot)| is_overdue(slot))
             .map(|(ticket, slot)| (slot.started, *ticket))
             .collect();
-        late.sort_unstable();
-        for (_, ticket) in late.into_iter().take(sure as usize) {
-            self.give_up_slot(ticket, now);
+        overdue_calls.sort_unstable();
+        for (_, ticket) in overdue_calls.into_iter().take(confirmed as usize) {
+            self.release_slot(ticket, now);
         }
     }
 
-    fn give_up_slot(&mut self, ticket: Ticket, now: Instant) {
+    fn release_slot(&mut self, ticket: Ticket, now: Instant) {
         let Some(slot) = self.running.get_mut(&ticket) else { return };
         slot.lost = true;
         slot.mark = None;
         self.lost += 1;
         self.shares.finish(slot.class, now);
-        self.lost_calls.reset();
+        self.detector.reset();
     }
 }
--- a/crates/seamhatch-core/src/admission/waiting.rs
+++ b/crates/seamhatch-core/src/admission/waiting.rs
@@ -1,76 +1,76 @@
-//! Calls that wait for a slot, ordered by class and, within it, calls of begun chains first, then by bucket and age.
+//! Calls that wait for a slot, ordered by class; within a class, calls that continue a chain go first, then by bucket
+//! and age.
 //!
-//! Owns a line for each class. Used by [`super::AdmissionQueue`] alone.
+//! Each class has an ordered map of its own.
 
 use super::{AdmissionRequest, Ticket};
 use crate::clock::Instant;
 use crate::priority::PriorityClass;
 use std::collections::{BTreeMap, HashMap};
 
-/// Place of a call within its class: whether it is the first call of its request, bucket, age of its root, ticket.
-type Place = (bool, u8, Instant, Ticket);
+/// Order within a class: whether the call is the first of its request, its bucket, when its root was admitted, its
+/// ticket.
+type OrderKey = (bool, u8, Instant, Ticket);
 
-/// Waiting calls, a line for each class.
+/// Waiting calls by class.
 #[derive(Debug, Default)]
-pub(super) struct WaitingLines {
-    lines: [BTreeMap<Place, AdmissionRequest>; PriorityClass::ALL.len()],
-    places: HashMap<Ticket, (PriorityClass, Place)>,
+pub(super) struct WaitingCalls {
+    by_class: [BTreeMap<OrderKey, AdmissionRequest>; PriorityClass::ALL.len()],
+    keys: HashMap<Ticket, (PriorityClass, OrderKey)>,
 }
 
-impl WaitingLines {
-    /// Calls that wait.
+impl WaitingCalls {
     pub(super) fn len(&self) -> usize {
-        self.places.len()
+        self.keys.len()
     }
 
-    /// Whether none waits.
     pub(super) fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.keys.is_empty()
     }
 
-    /// Calls of `class` that wait.
+    /// Number of waiting calls of `class`.
     pub(super) fn len_of(&self, class: PriorityClass) -> usize {
-        self.lines[class.rank()].len()
+        self.by_class[class.rank()].len()
     }
 
-    /// The calls of `class`, in their order.
-    pub(super) fn line(&self, class: PriorityClass) -> impl Iterator<Item = &AdmissionRequest> {
-        self.lines[class.rank()].values()
+    /// The waiting calls of `class`, in their order.
+    pub(super) fn of_class(&self, class: PriorityClass) -> impl Iterator<Item = &AdmissionRequest> {
+        self.by_class[class.rank()].values()
     }
 
-    /// The first call of `class`.
     pub(super) fn first_of(&self, class: PriorityClass) -> Option<&AdmissionRequest> {
-        self.lines[class.rank()].first_key_value().map(|(_, request)| request)
+        self.by_class[class.rank()].first_key_value().map(|(_, request)| request)
     }
 
-    /// The last call of `class`: the first to be evicted.
+    /// The last call of `class`, which is evicted first.
     pub(super) fn last_of(&self, class: PriorityClass) -> Option<&AdmissionRequest> {
-        self.lines[class.rank()].last_key_value().map(|(_, request)| request)
+        self.by_class[class.rank()].last_key_value().map(|(_, request)| request)
     }
 
-    /// Calls of the same class that go before `request`.
+    /// Number of calls of the same class that go before `request`.
     pub(super) fn ahead_in_class(&self, request: &AdmissionRequest) -> usize {
-        self.lines[request.priority.class.rank()].range(..place(request)).count()
+        self.by_class[request.priority.class.rank()].range(..order_key(request)).count()
     }
 
-    /// Calls of more important classes.
-    pub(super) fn more_important(&self, class: PriorityClass) -> usize {
-        self.lines[..class.rank()].iter().map(BTreeMap::len).sum()
+    /// Number of calls of more important classes.
+    pub(super) fn count_more_important(&self, class: PriorityClass) -> usize {
+        self.by_class[..class.rank()].iter().map(BTreeMap::len).sum()
     }
 
-    /// Calls of `class` at this `level` or a less important one. Calls of begun chains go first whatever their level, so the whole line
-    /// is searched.
+    /// Number of calls of `class` at this `level` or a less important one. Calls that continue a chain go first at any
+    /// level, so the whole class is searched.
     pub(super) fn count_from_level(&self, class: PriorityClass, level: u16) -> usize {
-        self.line(class).filter(|request| request.priority.level() >= level).count()
+        self.of_class(class).filter(|request| request.priority.level() >= level).count()
     }
 
-    /// Level of the call in this place if all waiting calls were sorted by level: a floor there admits at most so many of them, besides
-    /// those in kept buckets.
+    /// Level of the call at this index if all waiting calls were sorted by level. A floor at this level admits at most
+    /// `index` of them, besides those in kept buckets.
     pub(super) fn level_at(&self, index: usize) -> Option<u16> {
         let mut before = 0;
         for class in PriorityClass::ALL {
             if index < before + self.len_of(class) {
-                let mut levels: Vec<u16> = self.line(class).map(|request| request.priority.level()).collect();
+                let mut levels: Vec<u16> =
+                    self.of_class(class).map(|request| request.priority.level()).collect();
                 levels.sort_unstable();
                 return levels.get(index - before).copied();
             }
@@ -79,26 +79,24 @@
         None
     }
 
-    /// Adds a call.
     pub(super) fn insert(&mut self, request: AdmissionRequest) {
         let class = request.priority.class;
-        self.places.insert(request.ticket, (class, place(&request)));
-        self.lines[class.rank()].insert(place(&request), request);
+        self.keys.insert(request.ticket, (class, order_key(&request)));
+        self.by_class[class.rank()].insert(order_key(&request), request);
     }
 
-    /// Removes a call; none when it doesn't wait.
+    /// Removes a call; `None` if it does not wait.
     pub(super) fn remove(&mut self, ticket: Ticket) -> Option<AdmissionRequest> {
-        let (class, place) = self.places.remove(&ticket)?;
-        self.lines[class.rank()].remove(&place)
+        let (class, key) = self.keys.remove(&ticket)?;
+        self.by_class[class.rank()].remove(&key)
     }
 
-    /// Removes all calls.
     pub(super) fn clear(&mut self) -> Vec<Ticket> {
-        self.lines.iter_mut().for_each(BTreeMap::clear);
-        self.places.drain().map(|(ticket, _)| ticket).collect()
+        self.by_class.iter_mut().for_each(BTreeMap::clear);
+        self.keys.drain().map(|(ticket, _)| ticket).collect()
     }
 }
 
-fn place(request: &AdmissionRequest) -> Place {
+fn order_key(request: &AdmissionRequest) -> OrderKey {
     (!request.continues_chain, request.priority.bucket, request.root_admitted, request.ticket)
 }
