--- a/crates/seamhatch-core/src/balance/cost.rs
+++ b/crates/seamhatch-core/src/balance/cost.rs
@@ -1,110 +1,112 @@
-//! The measure by which the candidates of one choice are compared.
+//! Cost metrics by which the candidates of one choice are compared.
 //!
-//! Where a usable candidate's daemon reports no pace, load over slots decides for all, since the two measures can't be compared. Otherwise
-//! the expected completion time decides, in units of the mean service time of the candidates, so that with equal servers the margins mean
-//! the same in both.
+//! If the daemon of any usable candidate reports no pace, load over slots decides for all candidates, since the two
+//! metrics are not comparable. Otherwise the expected completion time decides. It is measured in units of the mean
+//! service time of the candidates, so that the margins mean the same under both metrics when servers are equal.
 
 use super::{Candidate, CandidateStatus, KnownPace};
 use crate::clock::{MILLISECOND, Microseconds};
 
-/// Calls of one request that usually go to one service, one after the other; the request fails with any of them, so a
-/// server's success counts to this power.
-const CALLS_AT_STAKE: i32 = 4;
+/// Typical number of sequential calls of one request to a service. The request fails if any of them fails, so a
+/// server's success rate is raised to this power.
+const CALLS_PER_REQUEST: i32 = 4;
 
-/// Success below this makes no further difference.
-const LEAST_SUCCESS: f64 = 0.05;
+/// Lower bound of the success rate in the cost.
+const MIN_SUCCESS: f64 = 0.05;
 
-/// Load over slots below which a server starts a call about at once.
+/// Load over slots below which a server starts a call almost at once.
 const SPILL_COST: f64 = 0.8;
 
-/// How much costlier a server in the own zone may be than one in another zone before a call goes there: in load over slots, or in mean
-/// service times where completion times are compared. It keeps calls, and their bytes, in the zone while all zones are about equally
-/// full.
+/// Extra cost of a server in the caller's zone from which on a call goes to another zone: in load over slots, or in
+/// mean service times where completion times are compared. It keeps calls, and their bytes, in the zone while all zones
+/// are about equally full.
 const ZONE_SPILL_MARGIN: f64 = 0.5;
 
-/// Wait for its turn that makes a server which names a rate as costly as one whose slots are all taken.
-const COSTLY_TURN: Microseconds = 100 * MILLISECOND;
+/// Wait for a rate limit that makes a server as costly as one whose slots are all in use.
+const FULL_COST_WAIT: Microseconds = 100 * MILLISECOND;
 
-/// Least service time that counts in full, in units of the mean of all. A server that fails at once also has short service times, and must
-/// not draw all calls.
-const LEAST_TIME: f64 = 0.5;
+/// Lower bound of a service time, relative to the mean of all candidates. A server that fails at once also has short
+/// service times and must not attract all calls.
+const MIN_RELATIVE_TIME: f64 = 0.5;
 
-/// Greatest service time that counts in full, in units of the mean of all, so that a server of which a wrong one is known still gets calls.
-const MOST_TIME: f64 = 4.0;
+/// Upper bound of a service time, relative to the mean of all candidates, so that a server whose known service time is
+/// wrong still gets calls.
+const MAX_RELATIVE_TIME: f64 = 4.0;
 
-/// How candidates are compared.
+/// The metric by which candidates are compared.
 pub(super) enum CostMetric {
-    /// By load over slots.
+    /// Load over slots.
     Load,
-    /// By expected completion time.
+    /// Expected completion time.
     Completion {
-        /// Mean usual service time of those that are known, in milliseconds; 1 where none is.
-        mean_work: f64,
-        /// Mean service time at the present pace, likewise.
-        mean_time: f64,
+        /// Mean of the known usual service times, in milliseconds; 1 if none is known.
+        mean_usual_ms: f64,
+        /// Mean service time at the present pace, in the same unit.
+        mean_current_ms: f64,
     },
 }
 
 impl CostMetric {
-    /// The measure for these candidates. Those that fail or are silent don't count.
-    pub(super) fn of(candidates: &[Candidate]) -> Self {
+    /// The metric for these candidates. Ejected ones are ignored.
+    pub(super) fn for_candidates(candidates: &[Candidate]) -> Self {
         let usable = || candidates.iter().filter(|candidate| candidate.status != CandidateStatus::Ejected);
         if usable().any(|candidate| candidate.pace == KnownPace::NotReported) {
             return Self::Load;
         }
-        let told = || {
+        let reported = || {
             usable().filter_map(|candidate| match candidate.pace {
                 KnownPace::Reported { usual_ms, factor } => Some((usual_ms, factor)),
                 KnownPace::Unknown | KnownPace::NotReported => None,
             })
         };
-        let mean_work = mean(told().filter_map(|(usual_ms, _)| usual_ms)).unwrap_or(1.0);
-        let times = told().map(|(usual_ms, factor)| usual_ms.unwrap_or(mean_work) * factor);
-        mean(times).map_or(Self::Load, |mean_time| Self::Completion { mean_work, mean_time })
+        let mean_usual_ms = mean(reported().filter_map(|(usual_ms, _)| usual_ms)).unwrap_or(1.0);
+        let times = reported().map(|(usual_ms, factor)| usual_ms.unwrap_or(mean_usual_ms) * factor);
+        mean(times).map_or(Self::Load, |mean_current_ms| Self::Completion { mean_usual_ms, mean_current_ms })
     }
 
-    /// Whether a server's speed makes a difference.
+    /// Whether the speed of a server affects its cost.
     pub(super) fn compares_speed(&self) -> bool {
         matches!(self, Self::Completion { .. })
     }
 
-    /// What a call costs there, divided by the chance that all calls of a request are answered.
+    /// Cost of a call to this server, divided by the probability that all calls of a request are answered.
     pub(super) fn cost(&self, candidate: &Candidate) -> f64 {
         match self {
             Self::Load => load_cost(candidate),
             Self::Completion { .. } => {
-                let ahead = (load(candidate) / slots(candidate)).max(turn(candidate));
+                let ahead = (load(candidate) / slots(candidate)).max(wait_cost(candidate));
                 (ahead + 1.0) * self.time(candidate) / success(candidate)
             }
         }
     }
 
-    /// Whether the server starts a call about at once.
+    /// Whether the server starts a call almost at once.
     pub(super) fn starts_at_once(&self, candidate: &Candidate) -> bool {
         load_cost(candidate) < SPILL_COST
     }
 
-    /// Whether a server in another zone is so much better than one in the own zone that a call goes there.
+    /// Whether a server in another zone is so much better than one in the caller's zone that the call goes there.
     pub(super) fn spills(&self, near: &Candidate, far: &Candidate) -> bool {
         let is_as_fast = self.time(near) <= self.time(far) * (1.0 + ZONE_SPILL_MARGIN);
         let stays = is_as_fast && self.starts_at_once(near);
         !stays && self.cost(near) > self.cost(far) + ZONE_SPILL_MARGIN
     }
 
-    /// Service time in units of the mean of all. A server of which nothing was heard counts as an average one.
+    /// Service time relative to the mean of all candidates. A server without a report counts as average.
     fn time(&self, candidate: &Candidate) -> f64 {
-        let (Self::Completion { mean_work, mean_time }, KnownPace::Reported { usual_ms, factor }) =
+        let (Self::Completion { mean_usual_ms, mean_current_ms }, KnownPace::Reported { usual_ms, factor }) =
             (self, candidate.pace)
         else {
             return 1.0;
         };
-        (usual_ms.unwrap_or(*mean_work) * factor / mean_time).clamp(LEAST_TIME, MOST_TIME)
+        (usual_ms.unwrap_or(*mean_usual_ms) * factor / mean_current_ms)
+            .clamp(MIN_RELATIVE_TIME, MAX_RELATIVE_TIME)
     }
 }
 
-/// Load over slots, or the wait for its turn where that is worse, by success.
+/// Load over slots, or the cost of the wait for a rate limit if that is higher, divided by the success rate.
 fn load_cost(candidate: &Candidate) -> f64 {
-    ((load(candidate) + 1.0) / slots(candidate)).max(turn(candidate)) / success(candidate)
+    ((load(candidate) + 1.0) / slots(candidate)).max(wait_cost(candidate)) / success(candidate)
 }
 
 fn load(candidate: &Candidate) -> f64 {
@@ -115,13 +117,13 @@
     f64::from(candidate.slots.max(1))
 }
 
-/// The wait for its turn, 1 where that is as costly as slots that are all taken.
-fn turn(candidate: &Candidate) -> f64 {
-    candidate.turn_in.unwrap_or_default() as f64 / COSTLY_TURN as f64
+/// Cost of the wait for a rate limit; 1 is the cost of a server whose slots are all in use.
+fn wait_cost(candidate: &Candidate) -> f64 {
+    candidate.turn_in.unwrap_or_default() as f64 / FULL_COST_WAIT as f64
 }
 
 fn success(candidate: &Candidate) -> f64 {
-    candidate.success.max(LEAST_SUCCESS).powi(CALLS_AT_STAKE)
+    candidate.success.max(MIN_SUCCESS).powi(CALLS_PER_REQUEST)
 }
 
 fn mean(values: impl Iterator<Item = f64>) -> Option<f64> {
--- a/crates/seamhatch-core/src/balance/mod.rs
+++ b/crates/seamhatch-core/src/balance/mod.rs
@@ -1,16 +1,17 @@
-//! Server choice: which server of a service gets a call.
+//! Server choice: selects the server of a service that gets a call.
 //!
-//! Decides by power of two random choices: two candidates are drawn and the one with less load for its slots is taken
-//! (M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 1996). Inputs for each candidate: the calls
-//! that this daemon has in flight there, its load by its last answer or heartbeat (at most 0.75 s old, else the server is
-//! [silent](candidate_status)), and the share of its answers that arrived in the last seconds.
+//! The choice uses the power of two random choices: of two randomly drawn candidates, the one with the lower load over
+//! slots is taken (M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 1996). Inputs for each
+//! candidate: the calls that this daemon has in flight there, its load according to its last answer or heartbeat (at
+//! most 0.75 s old, or the server counts as [silent](candidate_status)), and the share of its recent calls that were
+//! answered.
 //!
-//! Where servers tell their pace, the one that is expected to complete the call sooner is taken instead: `pace` has what is known of
-//! that, `cost` decides which of the two rules holds.
+//! If servers report their pace, the candidate with the lower expected completion time is taken instead: `pace` holds
+//! the reports, and `cost` decides which of the two metrics applies.
 //!
-//! It protects servers from more work than they have slots, and the bytes between zones from being spent without need.
-//! Loss of answers makes a server costlier; [ejection](Ejection) leaves it out for a while; neither gives up a whole pool.
-//! Alternatives and figures: docs/DESIGN.md#server-choice. Who calls it: `seamhatchd::dispatch`.
+//! The choice protects servers from more work than they have slots, and avoids needless traffic between zones. Lost
+//! answers make a server costlier, and [ejection](Ejection) excludes it for a while; neither ever excludes a whole
+//! pool. Used by `seamhatchd::dispatch`. Alternatives and figures: docs/DESIGN.md#server-choice.
 
 mod cost;
 mod outlier;
@@ -26,60 +27,61 @@
 use crate::clock::Microseconds;
 use cost::CostMetric;
 
-/// Whether a candidate is used while others are there.
+/// Whether a candidate may be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CandidateStatus {
-    /// It takes calls.
+    /// The server takes calls.
     Available,
-    /// Its daemon stops in this time; its server stays.
+    /// The server's daemon stops after this time; the server itself keeps running.
     Leaving(Microseconds),
-    /// It is left out while any other is there: it fails or is silent, or accepts no calls.
+    /// Chosen only if no other candidate is left: the server fails, is silent or accepts no calls.
     Ejected,
 }
 
-/// What is known of one candidate server.
+/// What a daemon knows of a candidate server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// It is in the caller's zone.
+    /// The server is in the caller's zone.
     pub same_zone: bool,
-    /// Concurrency limit that the server reports; all its slots where it names a rate, which `turn_in` stands for.
+    /// Concurrency limit that the server reports; all of its slots if it announces a rate, since `turn_in` accounts for
+    /// that.
     pub slots: u32,
-    /// Calls that this daemon has in flight there.
+    /// Calls that this daemon has in flight to the server.
     pub in_flight: u32,
-    /// Calls running and waiting there by its last report.
+    /// Running and waiting calls according to the server's last report.
     pub reported_load: u32,
-    /// Share of its answers that arrived recently, 0 to 1.
+    /// Share of recent calls that were answered, 0 to 1.
     pub success: f64,
-    /// Time until its turn for a call, where it names a rate.
+    /// Time until the server's rate limit allows a call of this daemon; `None` if it announces no rate.
     pub turn_in: Option<Microseconds>,
-    /// How long work takes there.
+    /// Speed of the server according to its reports.
     pub pace: KnownPace,
-    /// Whether it is used while others are there.
+    /// Whether the server may be chosen.
     pub status: CandidateStatus,
 }
 
-/// Picks the index of a server, or none when `candidates` is empty.
+/// Returns the index of the chosen server, or `None` if `candidates` is empty.
 ///
-/// `random` draws a number below its argument. Servers whose daemons are about to stop are used only where those that stay are
-/// nearly full or none is left, and ejected ones only where there is no other, so that a whole pool is never given up.
+/// `random` draws a number below its argument. Servers whose daemons are about to stop are used only if those that stay
+/// are nearly full or none stays, and ejected ones only if there is no other, so that a whole pool is never excluded.
 pub fn pick(candidates: &[Candidate], mut random: impl FnMut(usize) -> usize) -> Option<usize> {
-    let metric = CostMetric::of(candidates);
-    let usual = indices(candidates, |candidate| candidate.status == CandidateStatus::Available);
-    let usual = nearest(&metric, candidates, &usual, &mut random);
-    if usual.is_some_and(|usual| metric.starts_at_once(&candidates[usual])) {
-        return usual;
+    let metric = CostMetric::for_candidates(candidates);
+    let available = indices(candidates, |candidate| candidate.status == CandidateStatus::Available);
+    let available = pick_from(&metric, candidates, &available, &mut random);
+    if available.is_some_and(|available| metric.starts_at_once(&candidates[available])) {
+        return available;
     }
-    let leaving = nearest(&metric, candidates, &leaving_but_the_next(candidates), &mut random);
-    match (usual, leaving) {
-        (Some(usual), Some(leaving)) => Some(cheaper(&metric, candidates, usual, leaving)),
-        (None, None) => nearest(&metric, candidates, &indices(candidates, |_| true), &mut random),
-        (usual, leaving) => usual.or(leaving),
+    let leaving = pick_from(&metric, candidates, &leaving_except_first(candidates), &mut random);
+    match (available, leaving) {
+        (Some(available), Some(leaving)) => Some(cheaper(&metric, candidates, available, leaving)),
+        (None, None) => pick_from(&metric, candidates, &indices(candidates, |_| true), &mut random),
+        (available, leaving) => available.or(leaving),
     }
 }
 
-/// Servers whose daemons stop, without the next one to end where there are several: given nothing more, it ends first, is back
-/// first and takes over. If all went on until their ends, all would be away at the same time.
-fn leaving_but_the_next(candidates: &[Candidate]) -> Vec<usize> {
+/// Servers whose daemons stop, except the first one to end if there are several. Without new calls that daemon ends
+/// first, is back first and takes over; if all of them took calls until their ends, all would be away at the same time.
+fn leaving_except_first(candidates: &[Candidate]) -> Vec<usize> {
     let time_left = |index: &usize| match candidates[*index].status {
         CandidateStatus::Leaving(left) => Some(left),
         CandidateStatus::Available | CandidateStatus::Ejected => None,
@@ -92,8 +94,8 @@
     leaving
 }
 
-/// Picks from `pool`: servers in the caller's zone go first, until those of other zones are clearly better.
-fn nearest(
+/// Picks from `pool`, preferring servers in the caller's zone until those of other zones are clearly better.
+fn pick_from(
     metric: &CostMetric,
     candidates: &[Candidate],
     pool: &[usize],
@@ -110,7 +112,7 @@
     if spills { far } else { near }
 }
 
-/// The cheaper one of two that are drawn from `pool`.
+/// The cheaper of two candidates drawn from `pool`.
 fn cheaper_of_two(
     metric: &CostMetric,
     candidates: &[Candidate],
--- a/crates/seamhatch-core/src/balance/silence.rs
+++ b/crates/seamhatch-core/src/balance/silence.rs
@@ -1,21 +1,22 @@
-//! When a silent or leaving server is left out of the choice.
+//! Exclusion of silent and leaving servers from the choice.
 
 use super::CandidateStatus;
 use crate::clock::{Instant, MILLISECOND, Microseconds};
 use crate::drain::CallIntake;
 
-/// A peer that was silent for this long gets no new calls: three heartbeats of a busy peer (200 ms each), with room for
-/// one that is late. Measured on a day of frozen daemons: 0.953 served, 0.937 with 1.5 s (and 500 ms between heartbeats).
-const SILENCE_TO_AVOID: Microseconds = 750 * MILLISECOND;
+/// A peer that was silent for this long gets no new calls. It allows for three heartbeats of a busy peer (every 200 ms)
+/// and one late heartbeat. While daemons froze, 0.953 of the requests were served, against 0.937 with 1.5 s (and
+/// heartbeats every 500 ms).
+const SILENCE_TIMEOUT: Microseconds = 750 * MILLISECOND;
 
-/// When a peer counts as silent, unless it is heard before.
+/// When a peer starts to count as silent if it is not heard before.
 #[must_use]
 pub fn silent_at(last_heard: Instant) -> Instant {
-    last_heard.plus(SILENCE_TO_AVOID)
+    last_heard.plus(SILENCE_TIMEOUT)
 }
 
-/// The status of a server at `now`: `avoided` says that its daemon is silent or ejected, `leaves_at` when the daemon
-/// ends where its intake says that it stops.
+/// The status of a server at `now`. `avoided`: the daemon is silent or ejected. `leaves_at`: when the daemon ends, if
+/// its intake says that it stops.
 #[must_use]
 pub fn candidate_status(
     intake: CallIntake,
--- a/crates/seamhatch-core/src/balance/turn.rs
+++ b/crates/seamhatch-core/src/balance/turn.rs
@@ -1,7 +1,7 @@
-//! When a server that names a rate has a turn for another call of this daemon.
+//! Distribution of the call rate that a server announces among the daemons that send calls to it.
 //!
-//! A server that is held to a rate has little running, so by its load it would look idle and get every call. The daemon beside it gives
-//! each daemon that sends there a turn of its own: it goes round among them, the one that sent last comes last.
+//! A rate-limited server runs few calls, so judged by its load it would look idle and attract every call. The daemon
+//! beside it therefore assigns turns to the sending daemons, round robin: the one that sent last comes last.
 
 use crate::clock::{Instant, Microseconds, SECOND};
 use crate::identity::Address;
@@ -9,32 +9,32 @@
 use speedy::{Readable, Writable};
 use std::collections::HashMap;
 
-/// A daemon that has sent nothing for this long has no place in the round.
+/// A daemon that has sent nothing for this long is dropped from the round.
 const SENDER_LIFETIME: Microseconds = 2 * SECOND;
 
-/// What the daemon beside a server that names a rate reports to a daemon that sends calls there.
+/// Report to a daemon that sends calls, made by the daemon beside a server that announces a rate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Readable, Writable)]
 pub struct TurnReport {
-    /// Time until the asked server has a turn for a call of this sender.
+    /// Time until the server can take a call of this sender.
     pub turn_in: Microseconds,
     /// Time between two turns of a sender.
     pub round: Microseconds,
 }
 
-/// The daemons that send calls to a server, by when they last did.
+/// The daemons that send calls to a server, with the time of their last call.
 #[derive(Debug, Default)]
 pub struct SenderRoundRobin {
     last_sent: HashMap<Address, Instant>,
 }
 
 impl SenderRoundRobin {
-    /// A daemon has sent a call.
+    /// Records that a daemon has sent a call.
     pub fn record_call(&mut self, sender: Address, now: Instant) {
         self.last_sent.retain(|_, last| now.since(*last) < SENDER_LIFETIME);
         self.last_sent.insert(sender, now);
     }
 
-    /// What a daemon is told, where a call that comes now waits for `turn_in`.
+    /// The report for `sender`, where `turn_in` is the time until the rate allows a call that arrives now.
     #[must_use]
     pub fn report(
         &self,
@@ -54,7 +54,7 @@
     }
 }
 
-/// What a sender knows of its next turn.
+/// When a sender may send its next call to a rate-limited server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NextTurn {
     at: Instant,
@@ -62,18 +62,18 @@
 }
 
 impl NextTurn {
-    /// By a report that came at `now`.
+    /// Creates it from a report that arrived at `now`.
     #[must_use]
     pub fn from_report(report: TurnReport, now: Instant) -> Self {
         Self { at: now.plus(report.turn_in), round: report.round }
     }
 
-    /// A call was sent: the next turn comes a round later.
+    /// Records that a call was sent; the next turn comes a round later.
     pub fn note_sent(&mut self, now: Instant) {
         self.at = self.at.max(now).plus(self.round);
     }
 
-    /// Time until the turn.
+    /// Time until the next turn.
     #[must_use]
     pub fn wait(&self, now: Instant) -> Microseconds {
         self.at.since(now)
