--- a/crates/seamhatch-core/tests/admission.rs
+++ b/crates/seamhatch-core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission at one server, step by step.
+//! Decisions of the admission queue of one server, one step at a time.
 
 use seamhatch_core::Instant;
 use seamhatch_core::admission::{
@@ -30,7 +30,7 @@
     }
 }
 
-/// A queue whose two slots are taken and whose four places hold `class`.
+/// A queue whose two slots are in use and whose four places hold calls of `class`.
 fn full_of(class: PriorityClass) -> AdmissionQueue {
     let mut queue = AdmissionQueue::new(policy());
     for ticket in 0..6 {
@@ -44,7 +44,7 @@
 fn more_important_work_takes_the_place_of_the_least_important() {
     let mut queue = full_of(PriorityClass::Bulk);
     let admission = queue.offer(request(10, PriorityClass::Critical, NOW), NOW);
-    // Of equal ones the youngest request goes.
+    // Among equally important calls, the one with the youngest root request is evicted.
     assert_eq!(admission, Admission::Wait { evicted: Some(Ticket(2)) });
     queue.finish(Ticket(0), NOW, true);
     assert_eq!(queue.next(NOW), Some(Dequeued::Run(Ticket(10))));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_can_not_be_in_time_is_refused_at_once() {
+fn calls_that_cannot_meet_their_deadline_are_refused_at_once() {
     let mut queue = full_of(PriorityClass::Normal);
     let mut late = request(10, PriorityClass::Critical, NOW);
     late.expiry = NOW;
@@ -95,7 +95,7 @@
     assert_eq!(queue.limit(), 8);
 }
 
-/// Four times the work that is served arrives, a tenth of it critical.
+/// Four times as many calls arrive as are served; a tenth of them is critical.
 #[test]
 fn the_floor_settles_above_critical_work_that_fits() {
     let mut queue = AdmissionQueue::new(AdmissionPolicy { slots: 4, queue_per_slot: 4, initial_slots: 1 });
@@ -104,7 +104,7 @@
     let mut running = std::collections::VecDeque::new();
     let mut lowest = AdmissionFloor::OPEN;
     for _tick in 0..200 {
-        // In a tick, 40 calls arrive and 10 are served.
+        // In each tick, 40 calls arrive and 10 are served.
         for arrival in 0..40 {
             ticket += 1;
             let class = PriorityClass::ALL[if arrival % 10 == 0 { 0 } else { 1 + arrival % 3 }];
@@ -132,49 +132,49 @@
 }
 
 #[test]
-fn a_call_is_refused_when_its_answer_would_be_late_before_its_turn() {
+fn calls_that_cannot_meet_their_objective_are_refused_or_expire() {
     let mut queue = full_of(PriorityClass::Normal);
-    let mut hasty = request(20, PriorityClass::Critical, NOW);
-    hasty.objective_end = NOW;
-    assert_eq!(queue.offer(hasty, NOW), Admission::Refuse(Reason::DeadlineExceeded));
-    hasty.objective_end = NOW.plus(20 * MILLISECOND);
-    assert!(matches!(queue.offer(hasty, NOW), Admission::Wait { .. }));
+    let mut urgent = request(20, PriorityClass::Critical, NOW);
+    urgent.objective_end = NOW;
+    assert_eq!(queue.offer(urgent, NOW), Admission::Refuse(Reason::DeadlineExceeded));
+    urgent.objective_end = NOW.plus(20 * MILLISECOND);
+    assert!(matches!(queue.offer(urgent, NOW), Admission::Wait { .. }));
     assert_eq!(queue.next(NOW.plus(21 * MILLISECOND)), Some(Dequeued::Expired(Ticket(20))));
 }
 
-/// A call that finds the only slot taken.
+/// A call that arrives while the only slot is in use.
 struct WaitCase {
     name: &'static str,
-    /// What calls of its kind needed, one after the other.
+    /// Service times of earlier calls of its kind, repeated in this order.
     service_times_ms: &'static [u64],
-    /// Time from its arrival in which its answer is early.
-    early_ms: u64,
-    /// How long it waits, within these bounds; none where it is refused on arrival.
+    /// Time from its arrival to the end of its objective.
+    objective_ms: u64,
+    /// Bounds of its waiting time; `None` if it is refused on arrival.
     waits_ms: Option<Range<u64>>,
 }
 
-/// Another kind of call, which always needed 100 ms, must not count.
+/// Calls of another kind, which always take 100 ms, must not affect the decision.
 #[test]
-fn a_call_waits_while_it_can_usually_still_be_answered_early() {
+fn a_call_waits_while_it_can_usually_still_meet_its_objective() {
     let cases = [
-        WaitCase { name: "quick", service_times_ms: &[20], early_ms: 400, waits_ms: Some(380..381) },
-        WaitCase { name: "slow", service_times_ms: &[150], early_ms: 400, waits_ms: Some(250..251) },
+        WaitCase { name: "quick", service_times_ms: &[20], objective_ms: 400, waits_ms: Some(380..381) },
+        WaitCase { name: "slow", service_times_ms: &[150], objective_ms: 400, waits_ms: Some(250..251) },
         WaitCase {
             name: "one in five far slower",
             service_times_ms: &[20, 20, 900, 20, 20],
-            early_ms: 400,
+            objective_ms: 400,
             waits_ms: Some(375..381),
         },
         WaitCase {
             name: "slower than its objective",
             service_times_ms: &[450],
-            early_ms: 400,
+            objective_ms: 400,
             waits_ms: None,
         },
         WaitCase {
             name: "without an objective",
             service_times_ms: &[450],
-            early_ms: 59_000,
+            objective_ms: 59_000,
             waits_ms: Some(58_550..58_551),
         },
     ];
@@ -190,7 +190,7 @@
             queue.finish(Ticket(ticket), NOW.plus(service_time_ms * MILLISECOND), true);
         }
         queue.offer(request(200, PriorityClass::Normal, NOW), NOW);
-        let objective_end = NOW.plus(case.early_ms * MILLISECOND);
+        let objective_end = NOW.plus(case.objective_ms * MILLISECOND);
         let asked =
             AdmissionRequest { kind: CallKind(1), objective_end, ..request(201, PriorityClass::Normal, NOW) };
         let admission = queue.offer(asked, NOW);
@@ -207,29 +207,29 @@
     }
 }
 
-/// Calls that wait at a server of ten slots, which has begun to need 100 ms for each call.
-struct TurnCase {
+/// Calls that wait at a server of ten slots, whose calls now take 100 ms each.
+struct SheddingCase {
     name: &'static str,
-    /// Class and time left to start of each, in their order; no time is set for a call that is part of a
-    /// request that has begun.
+    /// Class of each call, in order, and the time left until its latest start; `None` for a call without an objective,
+    /// as part of a request in progress.
     waiting: &'static [(PriorityClass, Option<u64>)],
-    /// Places in the list of those whose turn comes too late.
+    /// Indices of the calls that are shed.
     late: &'static [u64],
 }
 
-/// At ten slots a turn comes every 10 ms; a class with a fifth of them has one every 50 ms.
+/// With ten slots a slot becomes free every 10 ms; a class with a share of a fifth gets one every 50 ms.
 #[test]
-fn calls_whose_turn_comes_too_late_are_given_up_at_once() {
+fn waiting_calls_that_cannot_start_in_time_are_shed() {
     use PriorityClass::{Bulk, Critical};
     const SERVICE_TIME: u64 = 100 * MILLISECOND;
     let cases = [
-        TurnCase {
+        SheddingCase {
             name: "in time",
             waiting: &[(Critical, Some(60)), (Critical, Some(60)), (Critical, Some(60))],
             late: &[],
         },
-        TurnCase {
-            name: "the third is in a hurry",
+        SheddingCase {
+            name: "the third has little time left",
             waiting: &[
                 (Critical, Some(60)),
                 (Critical, Some(60)),
@@ -238,18 +238,18 @@
             ],
             late: &[2],
         },
-        TurnCase {
-            name: "those given up hold nobody up",
+        SheddingCase {
+            name: "shed calls do not delay others",
             waiting: &[(Critical, Some(5)), (Critical, Some(5)), (Critical, Some(15)), (Critical, Some(25))],
             late: &[0, 1],
         },
-        TurnCase {
-            name: "a request that has begun, with 5 ms left",
+        SheddingCase {
+            name: "a request in progress, with 5 ms left",
             waiting: &[(Critical, Some(60)), (Critical, None), (Critical, Some(25))],
             late: &[2],
         },
-        TurnCase {
-            name: "behind a long line, but in time on their own share",
+        SheddingCase {
+            name: "behind many calls, but in time on their own share",
             waiting: &[
                 (Critical, Some(200)),
                 (Critical, Some(200)),
@@ -266,7 +266,7 @@
     for case in cases {
         let mut queue =
             AdmissionQueue::new(AdmissionPolicy { slots: 10, queue_per_slot: 4, initial_slots: 10 });
-        // All slots have long been in use by bulk calls, so that the class is owed nothing.
+        // Bulk calls have used all slots for a long time, so that their class is not below its share.
         for ticket in 100..110 {
             queue.offer(request(ticket, Bulk, NOW), NOW);
         }
@@ -298,13 +298,13 @@
     assert_eq!((queue.running(), queue.waiting()), (2, 0));
 }
 
-/// How many ticks a floor takes from the lowest level to open, at a server with this many of 8 slots taken.
+/// The most ticks a floor may take from its lowest level to open, at a server with this many of 8 slots in use.
 struct RecoveryCase {
     running: u64,
     most_ticks: u32,
 }
 
-/// Recovery after an overload: a server that has nothing to do must not go on having work refused.
+/// Guards against a server that has recovered from an overload and is idle, while its floor still has calls refused.
 #[test]
 fn the_floor_opens_sooner_the_more_slots_are_free() {
     let cases = [
@@ -333,17 +333,17 @@
     }
 }
 
-/// Ticks that a floor takes from all critical work to the first bulk work, by the class that arrives between.
+/// Ticks that a floor takes from the end of the critical class to the start of the bulk class, by the classes in use.
 struct UnusedCase {
     name: &'static str,
     classes: &'static [PriorityClass],
     ticks: std::ops::RangeInclusive<u32>,
 }
 
-/// No call is admitted while the floor rises through a class without calls: without this rule, a server stood half
-/// idle for two seconds after a surge had ended.
+/// Guards against a server that stays half idle while the floor rises through a class without calls, which admits no
+/// additional calls; without the rule that lasted two seconds after a surge.
 #[test]
-fn the_floor_passes_over_classes_that_nobody_uses() {
+fn the_floor_skips_classes_that_nobody_uses() {
     use PriorityClass::{Bulk, Critical, Normal};
     let cases = [
         UnusedCase { name: "normal work is unused", classes: &[Critical, Bulk], ticks: 0..=1 },
@@ -369,16 +369,16 @@
     }
 }
 
-/// Calls that come to a queue of 16 places behind 8 taken slots before its floor moves.
+/// Calls that arrive at a queue of 16 places with all 8 slots in use, before the first tick.
 struct FallCase {
     name: &'static str,
     calls: &'static [(PriorityClass, u64)],
-    /// The floor falls into the critical class.
+    /// Whether the floor drops into the critical class.
     sheds_critical: bool,
 }
 
-/// A burst of critical calls that has its place in the queue is served in time, instead of lesser ones: the
-/// floor must not shed what comes after it.
+/// Guards against a floor that sheds critical calls after a burst of them that fits into the queue. The queue serves
+/// these in time by displacing less important calls.
 #[test]
 fn the_floor_falls_into_an_important_class_when_calls_of_it_were_refused() {
     use PriorityClass::{Bulk, Critical};
@@ -413,18 +413,19 @@
     }
 }
 
-/// What a tick does to a floor that lies among critical work, by the calls that wait.
+/// Effect of a tick on a floor within the critical class, by the calls that wait.
 struct KeptCase {
     name: &'static str,
-    /// Class and number of the calls that wait.
+    /// Class and number of the waiting calls.
     waiting: (PriorityClass, u64),
     rises: bool,
-    /// The kept buckets of the class become fewer.
+    /// Whether the number of kept buckets of the class shrinks.
     shrinks: bool,
 }
 
-/// Kept calls pass whatever the level, so a low level doesn't shed them: they must not hold it down, and where
-/// more of them wait than their class has places, fewer are to be kept. Of 16 places a lesser class owns 3.
+/// Guards against a floor that stays low because of waiting kept calls: they are admitted at any level, so a lower
+/// level does not shed them. If more of them wait than their class has places, the kept buckets shrink instead. Of 16
+/// places, a class with a share of a fifth owns 3.
 #[test]
 fn kept_calls_that_wait_do_not_hold_the_floor_down() {
     use PriorityClass::{Bulk, Critical, Normal};
@@ -457,7 +458,7 @@
     }
 }
 
-/// Bulk calls wait in vain behind calls that are in a hurry, and the queue stays short.
+/// Bulk calls with tight objectives wait in vain behind more important ones, while the queue stays short.
 #[test]
 fn the_floor_falls_when_calls_can_not_be_served_in_time_however_short_the_queue_is() {
     let policy = AdmissionPolicy { slots: 4, queue_per_slot: 64, initial_slots: 4 };
@@ -473,7 +474,7 @@
             running.push_back(Ticket(ticket));
         }
         now = now.plus(2_500);
-        // One call in two is served, each for 20 ms.
+        // Every second call is served, each for 20 ms.
         if ticket % 2 == 0 {
             running.pop_front().into_iter().for_each(|done| queue.finish(done, now, true));
         }
@@ -491,7 +492,7 @@
     assert!(floor.level <= 256 && floor.level > 128, "{floor:?}");
 }
 
-/// Eight calls with all eight slots, of which the back end says that it works on some, and what is free then.
+/// Eight calls that hold all eight slots, the load that the back end reports, and the number of slots freed by it.
 struct LostCase {
     name: &'static str,
     age: u64,
@@ -501,8 +502,9 @@
     free: usize,
 }
 
-/// A server finishes calls whose answers are lost without an error. If they kept their slots until their callers gave up,
-/// they would take all slots of the gate: a tenth of a day's requests was refused that way.
+/// Guards against slots that stay in use by calls whose answers were lost without an error. If such calls kept their
+/// slots until their callers gave up, they would take all slots of the gate; a tenth of the requests was refused that
+/// way.
 #[test]
 fn calls_whose_answers_are_lost_hold_no_slot() {
     const LONG: u64 = 100 * MILLISECOND;
@@ -535,7 +537,7 @@
         let offered = (10..10 + case.free as u64).map(|ticket| request(ticket, PriorityClass::Normal, now));
         let runs = offered.filter(|offered| queue.offer(*offered, now) == Admission::Run).count();
         assert_eq!(runs, case.free, "{}", case.name);
-        // Their late ends free nothing a second time.
+        // The late ends of these calls must not free their slots a second time.
         (0..20).for_each(|ticket| queue.finish(Ticket(ticket), now, false));
         assert_eq!((queue.running(), queue.lost()), (0, 0), "{}", case.name);
     }
--- a/crates/seamhatch-core/tests/class_shares.rs
+++ b/crates/seamhatch-core/tests/class_shares.rs
@@ -1,4 +1,4 @@
-//! What each class gets of a bottleneck that can serve only a part of what comes.
+//! Share of each class in a bottleneck that can serve only some of the arriving calls.
 
 mod simulation;
 
@@ -9,12 +9,12 @@
 use seamhatch_core::priority::{AdmissionFloor, PriorityClass};
 use simulation::{SECONDS, SLOTS, Server, Stream, served, served_behind};
 
-/// Mixes that are drawn; the same ones each time.
+/// Number of generated mixes of calls; the same ones in each run.
 const CASES: u32 = 300;
 
-/// As on senvang-mesh, scale-1 with seed 493932410645: calls of critical chains take most of the last server,
-/// those of kept bulk chains, ten a request, a fifth. Requests of one short call each, more urgent than bulk
-/// and a third of the whole in number, must not be what is left out.
+/// Guards against the starvation of a class of short requests. Calls of critical chains take most of the last server of
+/// a chain, and calls of kept bulk chains, ten per request, take a fifth. Requests of one short call each, which are
+/// more important than bulk and make up a third of all requests, must still be served.
 #[test]
 fn a_class_of_short_requests_is_not_starved_by_longer_chains() {
     let streams = [
@@ -23,7 +23,7 @@
             buckets: 128,
             per_second: 490,
             service_time: 45 * MILLISECOND,
-            patience: 700 * MILLISECOND,
+            max_wait: 700 * MILLISECOND,
             from_step: 0,
         },
         Stream {
@@ -31,7 +31,7 @@
             buckets: 4,
             per_second: 150,
             service_time: 45 * MILLISECOND,
-            patience: 700 * MILLISECOND,
+            max_wait: 700 * MILLISECOND,
             from_step: 0,
         },
         Stream {
@@ -39,7 +39,7 @@
             buckets: 128,
             per_second: 160,
             service_time: 75 * MILLISECOND,
-            patience: 30 * MILLISECOND,
+            max_wait: 30 * MILLISECOND,
             from_step: 0,
         },
     ];
@@ -48,7 +48,7 @@
     assert!(shares[2] > 0.4, "calls of the short class: {shares:?}");
 }
 
-/// A burst at a server whose calls take this long each.
+/// A burst at a server, by the service time of its calls.
 struct BurstCase {
     service_time: Microseconds,
     critical_per_second: u64,
@@ -56,10 +56,10 @@
     burst_per_second: u64,
 }
 
-/// As on senvang-mesh-large, scale-1, at the service in the middle of the chain: a lesser class comes several
-/// times as often from one second to the next. What is kept of it must not close the floor to critical work.
+/// Guards against a floor that drops into the critical class when the rate of a less important class multiplies within
+/// a second at a service in the middle of a chain: the kept buckets of that class must shrink instead.
 #[test]
-fn a_burst_of_lesser_work_does_not_shed_critical_work() {
+fn a_burst_of_less_important_calls_does_not_shed_critical_ones() {
     let cases = [
         BurstCase {
             service_time: 45 * MILLISECOND,
@@ -98,7 +98,7 @@
             buckets: 128,
             per_second,
             service_time: case.service_time,
-            patience: 600 * MILLISECOND,
+            max_wait: 600 * MILLISECOND,
             from_step,
         };
         let streams = [
@@ -121,7 +121,7 @@
         buckets: 128,
         per_second,
         service_time: service_ms * MILLISECOND,
-        patience: 500 * MILLISECOND,
+        max_wait: 500 * MILLISECOND,
         from_step: 0,
     })
 }
@@ -134,8 +134,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// No class starves, no capacity is left idle, and what is more urgent is not served less often than
-    /// what is less urgent, unless that lives from its own share.
+    /// No class starves, no capacity stays idle, and a more important class is not served less often than a less
+    /// important one, unless the latter uses only its own share.
     #[test]
     fn shares_hold_for_any_mix(
         critical in drawn_stream(PriorityClass::Critical),
@@ -146,15 +146,15 @@
         let streams = [critical, normal, bulk, background];
         let shares = served(&streams);
         let slots = f64::from(SLOTS);
-        let got: Vec<f64> = streams.iter().zip(&shares).map(|(stream, share)| stream.demand() * share).collect();
+        let used_slots: Vec<f64> = streams.iter().zip(&shares).map(|(stream, share)| stream.demand() * share).collect();
         let wanted: f64 = streams.iter().map(Stream::demand).sum();
-        prop_assert!(got.iter().sum::<f64>() > 0.9 * wanted.min(slots), "idle: {got:?} of {wanted}");
-        for (stream, got) in streams.iter().zip(&got) {
+        prop_assert!(used_slots.iter().sum::<f64>() > 0.9 * wanted.min(slots), "idle: {used_slots:?} of {wanted}");
+        for (stream, used_slots) in streams.iter().zip(&used_slots) {
             let owned = share_of(stream.class) * slots;
-            prop_assert!(*got > 0.8 * owned.min(stream.demand()), "starved: {stream:?} has {got}");
+            prop_assert!(*used_slots > 0.8 * owned.min(stream.demand()), "starved: {stream:?} has {used_slots}");
         }
         for (above, below) in (0..streams.len()).flat_map(|above| (above + 1..streams.len()).map(move |below| (above, below))) {
-            let own_share = got[below] <= 1.2 * (share_of(streams[below].class) * slots).max(1.0);
+            let own_share = used_slots[below] <= 1.2 * (share_of(streams[below].class) * slots).max(1.0);
             prop_assert!(own_share || shares[above] > shares[below] - 0.05, "urgency: {shares:?} of {streams:?}");
         }
     }
--- a/crates/seamhatch-core/tests/floor_recovery.rs
+++ b/crates/seamhatch-core/tests/floor_recovery.rs
@@ -1,4 +1,4 @@
-//! What a cold start and a pause of the server cost critical work under overload.
+//! Loss of critical calls by a cold start or a pause of the server under overload.
 
 mod simulation;
 
@@ -6,15 +6,15 @@
 use seamhatch_core::priority::{AdmissionFloor, PriorityClass};
 use simulation::{SECONDS, Server, Stream, served_behind};
 
-/// A cold server under a mix of all classes; calls of each a second.
+/// A cold server under a mix of all classes, with the calls of each class per second.
 struct ColdCase {
     slots: u32,
     service_time: Microseconds,
     per_second: [u64; PriorityClass::ALL.len()],
 }
 
-/// Overload from the first moment on at a server that is cold: the lesser classes' own shares must not keep
-/// the floor closed to critical work, which is less than half of what the server can do.
+/// Guards against a floor that stays in the critical class after a cold start under overload, because less important
+/// classes get their guaranteed shares. The critical calls need less than half of the server's capacity.
 #[test]
 fn a_cold_start_does_not_shed_critical_work() {
     let cases = [
@@ -30,7 +30,7 @@
                 buckets: 128,
                 per_second: case.per_second[class.rank()],
                 service_time: case.service_time,
-                patience: 1000 * MILLISECOND,
+                max_wait: 1000 * MILLISECOND,
                 from_step: 0,
             })
             .collect();
@@ -41,7 +41,7 @@
     }
 }
 
-/// A server that stands still for a moment.
+/// A server that pauses for a moment.
 struct PauseCase {
     slots: u32,
     service_time: Microseconds,
@@ -50,8 +50,8 @@
     paused_ms: u64,
 }
 
-/// A back end or its machine stands still for a moment, under overload of which critical work is less than
-/// half. What could not be served meanwhile is lost; what comes later must not be refused for it.
+/// Guards against critical calls that are refused after a back end or its machine has paused under overload, although
+/// they need less than half of the capacity. Calls that could not be served during the pause are lost.
 #[test]
 fn a_pause_does_not_shed_critical_work_after_it() {
     let cases = [
@@ -83,7 +83,7 @@
             buckets: 128,
             per_second,
             service_time: case.service_time,
-            patience: 500 * MILLISECOND,
+            max_wait: 500 * MILLISECOND,
             from_step: 0,
         };
         let streams = [
--- a/crates/seamhatch-core/tests/held_admission.rs
+++ b/crates/seamhatch-core/tests/held_admission.rs
@@ -1,4 +1,4 @@
-//! Admission at a back end that names a rate: who gets its turns, and what is remembered of that time.
+//! Admission at a back end that announces a rate: the order of the calls, and which estimates are kept.
 
 use seamhatch_core::Instant;
 use seamhatch_core::admission::{
@@ -17,22 +17,22 @@
 const SERVICE_TIME: Microseconds = 100 * MILLISECOND;
 
 fn rate(per_second: f64) -> RequestRate {
-    RequestRate::per_second(per_second).expect("a rate")
+    RequestRate::per_second(per_second).expect("valid rate")
 }
 
-fn request(ticket: u64, class: PriorityClass, now: Instant, patience: Microseconds) -> AdmissionRequest {
+fn request(ticket: u64, class: PriorityClass, now: Instant, objective: Microseconds) -> AdmissionRequest {
     AdmissionRequest {
         ticket: Ticket(ticket),
         priority: Priority { class, bucket: 5 },
         root_admitted: now,
         expiry: now.plus(60 * SECOND),
-        objective_end: now.plus(patience),
+        objective_end: now.plus(objective),
         kind: CallKind::default(),
         continues_chain: false,
     }
 }
 
-/// A warm queue that has served calls of [`SERVICE_TIME`].
+/// A queue that has served calls of [`SERVICE_TIME`], so that its limit has grown.
 fn warm() -> AdmissionQueue {
     let policy = AdmissionPolicy { slots: SLOTS, queue_per_slot: 4, initial_slots: SLOTS };
     let mut queue = AdmissionQueue::new(policy);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn turns_go_by_importance_and_not_by_arrival() {
+fn turns_follow_importance_and_not_arrival() {
     let mut queue = warm();
     queue.set_rate_limit(rate(10.0), NOW);
     let arriving = [
@@ -72,60 +72,61 @@
             ran.push(ticket);
         }
     }
-    // The class that has used less than its share goes first, then the most important one.
+    // The class below its share goes first, then the most important one.
     assert_eq!(ran, [3, 4, 2]);
 }
 
 struct WaitCase {
     name: &'static str,
     waiting: u64,
-    patience: Microseconds,
+    objective: Microseconds,
     admission: Admission,
 }
 
 #[test]
-fn a_turn_that_comes_too_late_is_refused_at_once_with_its_time() {
+fn a_call_that_cannot_start_in_time_is_refused_at_once() {
     let cases = [
         WaitCase {
             name: "in time",
             waiting: 1,
-            patience: SECOND,
+            objective: SECOND,
             admission: Admission::Wait { evicted: None },
         },
         WaitCase {
             name: "too late",
             waiting: 3,
-            patience: 450 * MILLISECOND,
+            objective: 450 * MILLISECOND,
             admission: Admission::Refuse(Reason::BackendRate),
         },
         WaitCase {
             name: "no place to wait",
             waiting: 4,
-            patience: 50 * SECOND,
+            objective: 50 * SECOND,
             admission: Admission::Refuse(Reason::BackendRate),
         },
     ];
-    for WaitCase { name, waiting, patience, admission } in cases {
+    for WaitCase { name, waiting, objective, admission } in cases {
         let mut queue = warm();
         queue.set_rate_limit(rate(10.0), NOW);
         for ticket in 0..=waiting {
             queue.offer(request(ticket, PriorityClass::Normal, NOW, 60 * SECOND), NOW);
         }
         assert_eq!(queue.waiting() as u64, waiting, "{name}");
-        assert_eq!(queue.offer(request(9, PriorityClass::Normal, NOW, patience), NOW), admission, "{name}");
+        assert_eq!(queue.offer(request(9, PriorityClass::Normal, NOW, objective), NOW), admission, "{name}");
         assert!(queue.retry_after(NOW) >= (waiting + 1) * TICK, "{name}");
     }
 }
 
-/// Guards against a server that is held back being counted as one with all its slots, and against one that settles on a few of them.
+/// Guards against a rate-limited server that is reported with all of its slots, and against estimates from the time of
+/// the limit that leave it with only a few slots afterwards.
 #[test]
-fn a_held_server_reports_what_it_can_use_and_learns_nothing_for_later() {
+fn a_rate_limited_server_reports_usable_slots_and_its_estimates_are_discarded() {
     let mut queue = warm();
-    let (usual_limit, worthwhile) = (queue.limit(), queue.worthwhile_slots());
+    let (usual_limit, worthwhile_slots) = (queue.limit(), queue.worthwhile_slots());
     assert_eq!(queue.reported_limit(), usual_limit);
     queue.set_rate_limit(rate(10.0), NOW);
     assert_eq!(queue.reported_limit(), 1);
-    // In need it takes thirty times as long.
+    // While the limit lasts, calls take thirty times as long.
     let mut now = NOW;
     for ticket in 0..200 {
         now = now.plus(TICK);
@@ -136,12 +137,12 @@
         queue.finish(Ticket(ticket), now.plus(30 * SERVICE_TIME), true);
     }
     queue.end_rate_limit(now);
-    assert_eq!((queue.limit(), queue.worthwhile_slots()), (usual_limit, worthwhile));
+    assert_eq!((queue.limit(), queue.worthwhile_slots()), (usual_limit, worthwhile_slots));
     let late = request(999, PriorityClass::Normal, now, SERVICE_TIME + MILLISECOND);
     assert!(queue.latest_start(&late) >= now, "its service time is the usual one again");
 }
 
-/// Guards against all waiting calls reaching a server in the moment in which it stops naming a rate.
+/// Guards against all waiting calls reaching a server at the moment when it stops announcing a rate.
 #[test]
 fn the_rate_rises_step_by_step_after_its_end_and_then_is_gone() {
     let mut queue = warm();
@@ -162,7 +163,8 @@
     assert_eq!((lifted_again, queue.rate()), (None, None));
 }
 
-/// Guards against a slow server that draws calls because its rate would allow them, while all its slots are taken.
+/// Guards against a slow server that attracts calls because its rate would allow them, although all its slots are in
+/// use.
 #[test]
 fn the_turn_at_a_server_without_a_free_slot_waits_for_one() {
     let mut queue = warm();
@@ -177,7 +179,7 @@
     assert_eq!(queue.turn_in(now.plus(SECOND)), Some(one_slot));
 }
 
-/// Guards against a turn that is given back twice, by the call that went away and by the queue that couldn't reach it.
+/// Guards against a turn that is returned twice: once by the cancelled call, and once by the failed attempt to send it.
 #[test]
 fn a_call_that_was_never_sent_gives_its_turn_back_once() {
     let mut queue = warm();
@@ -206,7 +208,7 @@
     let turns = [1, 2, 3, 4].map(|number| round.report(sender(number), rate(10.0), 0, now));
     assert_eq!(turns.map(|turn| turn.turn_in / TICK), [0, 1, 2, 3]);
     assert!(turns.iter().all(|turn| turn.round == 4 * TICK));
-    // One that is new, or has been away, has the first one.
+    // A sender that is new or has been away gets the first turn.
     assert_eq!(round.report(sender(9), rate(10.0), 0, now).turn_in, 0);
     let later = NOW.plus(10 * SECOND);
     assert_eq!(round.report(sender(4), rate(10.0), 0, later).turn_in, 0);
@@ -229,12 +231,12 @@
     }
 }
 
-/// Guards against a server that is held back drawing all calls, as nothing runs there, against its turns going unused, and against one whose
-/// rate is far above its share being given more than the others.
+/// Guards against a rate-limited server that attracts all calls because none runs there, against unused turns of such a
+/// server, and against a server whose rate is far above its share getting more calls than the others.
 #[test]
-fn a_held_server_is_chosen_for_its_turns_and_not_for_its_load() {
+fn a_rate_limited_server_is_chosen_by_its_turns_and_not_by_its_load() {
     let busy = candidate(12, None);
-    // Its load, the time until its turn, and the place of the one that is chosen.
+    // Its load, the time until its turn, and the index of the chosen server.
     let cases =
         [(0, 0, 0), (0, 10 * MILLISECOND, 0), (0, 200 * MILLISECOND, 1), (0, 5 * SECOND, 1), (15, 0, 1)];
     for (load, turn_in, chosen) in cases {
--- a/crates/seamhatch-core/tests/knee.rs
+++ b/crates/seamhatch-core/tests/knee.rs
@@ -1,4 +1,4 @@
-//! Whether the number of calls at work settles where a back end finishes most.
+//! Whether the concurrency limit settles where a back end has the highest throughput.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -12,26 +12,26 @@
 
 /// Simulated seconds of overload.
 const SECONDS: u64 = 30;
-/// What comes, over what the back end could finish with all slots and no knee.
+/// Rate of arrivals, relative to the throughput of a back end that uses all slots and has no knee.
 const OVERLOAD: f64 = 1.5;
-/// Drawn back ends; the same ones each time.
+/// Number of generated back ends; the same ones in each run.
 const CASES: u32 = 60;
 
-/// A back end that slows down above a share of its slots.
+/// A back end that slows down when more than a share of its slots is in use.
 #[derive(Debug, Clone, Copy)]
 struct KneeServer {
     slots: u32,
-    /// Share of the slots above which it is slower.
+    /// Share of the slots above which calls are slower.
     knee: f64,
-    /// How many times as long calls take above it.
+    /// Factor on the service time above the knee.
     slowdown: f64,
     service_time: Microseconds,
-    /// How many times as long calls take in the first half of the run.
+    /// Factor on the service time in the first half of the run.
     early_slowdown: f64,
 }
 
 impl KneeServer {
-    /// Calls a second with `level` of them at work.
+    /// Relative throughput with `level` concurrent calls.
     fn throughput(self, level: u32) -> f64 {
         let slower = if f64::from(level) > self.knee * f64::from(self.slots) { self.slowdown } else { 1.0 };
         f64::from(level) / slower
@@ -42,16 +42,16 @@
     }
 }
 
-/// Uniform numbers, the same ones for the same seed.
-struct Draws(u64);
+/// Uniform random numbers from a linear congruential generator with a fixed seed.
+struct Lcg(u64);
 
-impl Draws {
+impl Lcg {
     fn next(&mut self) -> f64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// About what the service times of real calls scatter: a half up or down, and a long tail.
+    /// Variation like that of real service times: about half up or down, with a long tail.
     fn factor(&mut self) -> f64 {
         let sum: f64 = (0..6).map(|_| self.next()).sum::<f64>() - 3.0;
         let tail = if self.next() < 0.01 { 3.0 } else { 1.0 };
@@ -59,11 +59,11 @@
     }
 }
 
-/// What became of a run.
+/// Result of a run.
 struct RunResult {
-    /// Mean of the calls a second that the levels in use finish, in the second half, over the best.
+    /// Mean throughput of the concurrency in the second half of the run, relative to the best one.
     reached: f64,
-    /// Level at the end of each second.
+    /// Concurrency limit at the end of each second.
     levels: Vec<u32>,
 }
 
@@ -71,13 +71,13 @@
     let slots = server.slots;
     let policy = AdmissionPolicy { slots, queue_per_slot: 4, initial_slots: slots };
     let mut queue = AdmissionQueue::new(policy);
-    let mut draws = Draws(7);
+    let mut rng = Lcg(7);
     let mut ends: BTreeSet<(Instant, Ticket)> = BTreeSet::new();
     let (mut now, mut next) = (Instant(10 * SECOND), 0);
     let end = now.plus(SECONDS * SECOND);
     let gap = server.service_time as f64 / f64::from(slots) / OVERLOAD;
     let mut due = now.0 as f64;
-    let (mut reached, mut seen, mut levels) = (0.0, 0.0, Vec::new());
+    let (mut reached, mut samples, mut levels) = (0.0, 0.0, Vec::new());
     while now < end {
         now = now.plus(MILLISECOND);
         let mut started = Vec::new();
@@ -114,22 +114,22 @@
         for ticket in started {
             let slower = f64::from(running) / server.throughput(running);
             let phase = if late { 1.0 } else { server.early_slowdown };
-            let took = server.service_time as f64 * slower * phase * draws.factor();
-            ends.insert((now.plus(took as u64), ticket));
+            let service_time = server.service_time as f64 * slower * phase * rng.factor();
+            ends.insert((now.plus(service_time as u64), ticket));
         }
         if late {
             reached += server.throughput(running) / server.best();
-            seen += 1.0;
+            samples += 1.0;
         }
         if now.0 % SECOND == 0 {
             levels.push(queue.limit());
             queue.tick();
         }
     }
-    RunResult { reached: reached / seen, levels }
+    RunResult { reached: reached / samples, levels }
 }
 
-/// A back end, and the share of its best that is to be reached after fifteen seconds.
+/// A back end, and the share of its best throughput to reach after fifteen seconds.
 struct KneeCase {
     name: &'static str,
     server: KneeServer,
@@ -139,9 +139,9 @@
 const SMALL: KneeServer =
     KneeServer { slots: 20, knee: 0.95, slowdown: 1.3, service_time: 30 * MILLISECOND, early_slowdown: 1.0 };
 
-/// Before, all slots were always used: 0.81 of the best behind a knee at 0.95.
+/// Without the knee finder all slots are always used, which reaches 0.81 of the best throughput with a knee at 0.95.
 #[test]
-fn the_level_settles_where_most_is_finished() {
+fn the_limit_settles_at_the_highest_throughput() {
     let cases = [
         KneeCase { name: "small, late knee", server: SMALL, at_least: 0.93 },
         KneeCase { name: "large, late knee", server: KneeServer { slots: 229, ..SMALL }, at_least: 0.93 },
@@ -174,11 +174,11 @@
     }
 }
 
-/// A slow service below looks like a knee of the one above, which must not shrink for it.
+/// Guards against a limit that shrinks because a downstream service is slow, which looks like a knee of the caller.
 #[test]
-fn calls_that_make_calls_tell_nothing() {
+fn calls_that_make_calls_are_not_compared() {
     let result = run(SMALL, true);
-    // Now and then a lower level is tried, for a moment and in vain.
+    // Occasional short probes try a lower limit without a result.
     let below = result.levels.iter().filter(|level| **level < SMALL.slots).count();
     assert!(below * 10 <= result.levels.len(), "{:?}", result.levels);
 }
@@ -191,9 +191,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Never more than three tenths below what the best level finishes, wherever the knee is.
+    /// The throughput is at least seven tenths of the best one, wherever the knee is.
     #[test]
-    fn no_knee_costs_much(
+    fn throughput_stays_near_the_best_for_any_knee(
         slots in 8u32..120,
         knee in 0.6f64..1.0,
         slowdown in 1.0f64..2.0,
--- a/crates/seamhatch-core/tests/pipeline.rs
+++ b/crates/seamhatch-core/tests/pipeline.rs
@@ -1,8 +1,9 @@
-//! The order of the requests of a connection: what the library is given when, what is started ahead, and which answer may be the last.
+//! Order of the requests of a connection: when bytes are passed to the HTTP library, which requests are started ahead,
+//! and which answer may close the connection.
 
 use seamhatch_core::pipeline::{MAX_STARTED_AHEAD, NextInput, Pipeline, RequestBody, RequestOrigin};
 
-/// A connection whose library works on a repeatable request without a body.
+/// A pipeline whose library processes a repeatable request without a body.
 fn in_progress() -> Pipeline {
     let mut pipeline = Pipeline::default();
     pipeline.give_head(0);
@@ -11,13 +12,13 @@
     pipeline
 }
 
-/// The answer in progress ends and is written.
+/// Ends the answer in progress and writes it.
 fn answer(pipeline: &mut Pipeline) {
     pipeline.end_answer();
     assert!(pipeline.flush());
 }
 
-/// A request that may run only once, or whose connection ends with it, must not have others started behind it.
+/// Guards against requests that are started behind one that may run only once, or that is the last of its connection.
 #[test]
 fn others_are_started_only_behind_repeatable_requests_without_bodies() {
     let cases = [
@@ -37,7 +38,7 @@
     }
 }
 
-/// One that runs only once waits for its turn, and everything behind it, too.
+/// A request that may run only once waits for its turn, and so does every request behind it.
 #[test]
 fn nothing_is_started_behind_one_that_waits_for_its_turn() {
     let mut pipeline = in_progress();
@@ -72,7 +73,8 @@
     assert!(pipeline.may_start());
 }
 
-/// A head that is given before the answer is written hides the end of the stream from the library.
+/// Guards against a head that is passed on before the previous answer is written: it would hide the end of the stream
+/// from the library.
 #[test]
 fn the_next_head_is_given_once_the_answer_is_written() {
     let mut pipeline = in_progress();
@@ -85,7 +87,8 @@
     assert_eq!(pipeline.next_input(), NextInput::NextHead);
 }
 
-/// A body whose bytes are taken for the next head, or the reverse, would hide a request in another one.
+/// Guards against request smuggling: body bytes taken for the next head, or the reverse, would hide one request in
+/// another.
 #[test]
 fn a_body_is_given_before_the_next_head() {
     let mut pipeline = Pipeline::default();
@@ -100,9 +103,10 @@
     assert_eq!(pipeline.next_input(), NextInput::NextHead);
 }
 
-/// Where the library reads a request otherwise than the reader assumed, its word counts, and nothing more is assumed.
+/// If the library parses a request differently than the reader assumed, the library is right and the reader stops
+/// assuming.
 #[test]
-fn the_library_has_the_last_word() {
+fn the_library_overrides_the_reader() {
     let mut unread = in_progress();
     unread.start(true);
     answer(&mut unread);
@@ -131,7 +135,7 @@
     assert_eq!(second_from_its_buffer.next_input(), NextInput::PassThrough);
 }
 
-/// The closing answer comes after the answers to all requests that were started.
+/// The answer that closes the connection must come after the answers to all started requests.
 #[test]
 fn an_answer_closes_only_where_nothing_started_lies_behind_it() {
     let mut pipeline = in_progress();
--- a/crates/seamhatch-core/tests/server_choice/simulation.rs
+++ b/crates/seamhatch-core/tests/server_choice/simulation.rs
@@ -1,5 +1,5 @@
-//! Servers of one service under calls of several senders, simulated in steps of a millisecond. Each sender knows its own calls and what
-//! answers and heartbeats reported to it.
+//! Simulation, in steps of a millisecond, of the servers of one service and several senders. Each sender knows its own
+//! calls and the reports in answers and heartbeats.
 
 use seamhatch_core::Instant;
 use seamhatch_core::balance::{Candidate, CandidateStatus, KnownPace, PaceTracker, ServerPace, pick};
@@ -8,39 +8,39 @@
 
 /// Steps between two heartbeats.
 const HEARTBEAT: u64 = 200;
-/// Steps before calls count, in which senders learn.
+/// Steps at the start whose calls don't count, while senders receive their first reports.
 const WARM_UP: u64 = 2_000;
 /// Steps of a run.
 const STEPS: u64 = 32_000;
-/// Runs whose calls are counted together, so that chance makes less difference.
+/// Runs with different seeds whose results are combined to reduce random variation.
 const RUNS: u64 = 6;
 
-/// What a server says of its pace.
+/// How a server reports its pace.
 #[derive(Debug, Clone, Copy)]
-pub enum Figure {
-    /// The truth.
-    True,
-    /// Always the same.
-    Always(u16),
-    /// The truth of a second before, known to be that old.
-    LateBySecond,
-    /// Nothing, as its daemon is of the earlier release.
+pub enum PercentReport {
+    /// The actual percentage.
+    Actual,
+    /// A constant percentage.
+    Constant(u16),
+    /// The actual percentage of a second before, reported with that age.
+    DelayedBySecond,
+    /// No percentage, as from a daemon of an earlier release.
     None,
 }
 
-/// One server.
+/// A simulated server.
 #[derive(Debug, Clone, Copy)]
 pub struct Server {
     pub work_ms: f64,
-    pub figure: Figure,
-    /// It takes 2.5 times as long for 600 ms of every 3 s, from this millisecond on.
+    pub percent_report: PercentReport,
+    /// From this millisecond on, calls take 2.5 times as long for 600 ms of every 3 s.
     pub slow_from: Option<u64>,
 }
 
 impl Server {
-    /// One that tells the truth and is never slow.
+    /// A server that reports the actual percentage and is never slow.
     pub const fn of(work_ms: f64) -> Self {
-        Self { work_ms, figure: Figure::True, slow_from: None }
+        Self { work_ms, percent_report: PercentReport::Actual, slow_from: None }
     }
 
     fn percent_at(&self, step: u64) -> u16 {
@@ -49,7 +49,7 @@
     }
 }
 
-/// A run.
+/// Servers and senders of a run.
 #[derive(Debug, Clone)]
 pub struct Load {
     pub servers: Vec<Server>,
@@ -58,21 +58,21 @@
     pub per_second: u64,
 }
 
-/// What became of the calls.
+/// Results of the calls.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Mean time from sending to the answer.
+    /// Mean time from sending a call to its answer.
     pub mean_ms: f64,
-    /// Time within which 95 of 100 were answered.
+    /// 95th percentile of that time.
     pub p95_ms: u64,
-    /// Share of the calls by server.
+    /// Share of the calls that each server got.
     pub shares: Vec<f64>,
 }
 
-/// The same sequence in each run.
-struct Draw(u64);
+/// Pseudo-random numbers with a fixed seed.
+struct SplitMix64(u64);
 
-impl Draw {
+impl SplitMix64 {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -89,7 +89,7 @@
     sender: usize,
     sent: u64,
     started: u64,
-    /// Work that is left, in milliseconds at the usual pace.
+    /// Remaining work, in milliseconds at the usual pace.
     left: f64,
 }
 
@@ -111,7 +111,7 @@
     Instant(10 * SECOND + step * MILLISECOND)
 }
 
-/// Runs it; with `by_pace` false the pace is reported to nobody, so that the earlier rule decides.
+/// Runs the load. If `by_pace` is false, no pace is reported, so that load over slots decides.
 pub fn run(load: &Load, by_pace: bool) -> Outcome {
     let (mut times, mut counts) = (Vec::new(), vec![0; load.servers.len()]);
     for seed in 0..RUNS {
@@ -136,7 +136,7 @@
         views: vec![vec![View::default(); load.servers.len()]; load.senders],
         times: Vec::new(),
         counts: vec![0; load.servers.len()],
-        draw: Draw(seed),
+        rng: SplitMix64(seed),
     };
     (0..STEPS).for_each(|step| simulation.step(step));
     simulation
@@ -149,7 +149,7 @@
     views: Vec<Vec<View>>,
     times: Vec<u64>,
     counts: Vec<u64>,
-    draw: Draw,
+    rng: SplitMix64,
 }
 
 impl Simulation<'_> {
@@ -160,8 +160,8 @@
                 (0..self.load.senders).for_each(|sender| self.report(server, sender, step));
             }
         }
-        // Calls come at random times: `per_second` on average.
-        if self.draw.below(1_000) < self.load.per_second {
+        // Calls arrive at random times, `per_second` on average.
+        if self.rng.below(1_000) < self.load.per_second {
             self.send(step);
         }
     }
@@ -187,16 +187,16 @@
     fn end(&mut self, server: usize, call: &Call, step: u64) {
         let shape = &self.load.servers[server];
         let pace = &mut self.states[server].pace;
-        match shape.figure {
-            Figure::True => pace.record_time_percent(shape.percent_at(step), instant(step)),
-            Figure::Always(percent) => pace.record_time_percent(percent, instant(step)),
-            Figure::LateBySecond => {
+        match shape.percent_report {
+            PercentReport::Actual => pace.record_time_percent(shape.percent_at(step), instant(step)),
+            PercentReport::Constant(percent) => pace.record_time_percent(percent, instant(step)),
+            PercentReport::DelayedBySecond => {
                 pace.record_time_percent(
                     shape.percent_at(step.saturating_sub(1_000)),
                     instant(step).minus(SECOND),
                 );
             }
-            Figure::None => {}
+            PercentReport::None => {}
         }
         pace.record_success(Some((step - call.started) * MILLISECOND), instant(step));
         self.views[call.sender][server].in_flight -= 1;
@@ -215,13 +215,13 @@
     }
 
     fn send(&mut self, step: u64) {
-        let sender = self.draw.below(self.load.senders as u64) as usize;
+        let sender = self.rng.below(self.load.senders as u64) as usize;
         let candidates: Vec<Candidate> =
             self.views[sender].iter().map(|view| self.candidate(view, step)).collect();
-        let draw = &mut self.draw;
-        let server = pick(&candidates, |below| draw.below(below as u64) as usize).expect("there are servers");
-        // From half to one and a half of the usual.
-        let left = self.load.servers[server].work_ms * (0.5 + self.draw.below(1_000) as f64 / 1_000.0);
+        let rng = &mut self.rng;
+        let server = pick(&candidates, |below| rng.below(below as u64) as usize).expect("there are servers");
+        // The work varies from half to one and a half of the usual.
+        let left = self.load.servers[server].work_ms * (0.5 + self.rng.below(1_000) as f64 / 1_000.0);
         self.views[sender][server].in_flight += 1;
         self.states[server].waiting.push_back(Call { sender, sent: step, started: step, left });
     }
--- a/crates/seamhatch-core/tests/service_admission.rs
+++ b/crates/seamhatch-core/tests/service_admission.rs
@@ -1,4 +1,4 @@
-//! Several unequal servers of one service behind an entry that goes by the mean of their floors.
+//! Unequal servers of one service behind an entry that applies the mean of their floors.
 
 use seamhatch_core::Instant;
 use seamhatch_core::admission::{
@@ -9,38 +9,38 @@
 use std::collections::{BTreeSet, VecDeque};
 
 const SLOTS: u32 = 20;
-/// Time of a call at a server of speed 1.
+/// Service time of a call at a server of speed 1.
 const SERVICE_TIME: Microseconds = 22 * MILLISECOND;
-/// What is known at the entry is this old.
+/// Age of the floors that the entry knows.
 const REPORT_DELAY_TICKS: usize = 2;
 const TICK: u64 = 100;
 const SECONDS: u64 = 24;
-/// Part of the calls that is critical.
+/// Share of the calls that is critical.
 const CRITICAL_SHARE: f64 = 0.3;
 
-/// A server that may be slow for some seconds from the fifth one on.
+/// A server that may be slow for some seconds, from the fifth one on.
 #[derive(Debug, Clone, Copy)]
 struct UnequalServer {
     speed: f64,
     slow_for: u64,
-    slower: f64,
+    slowdown: f64,
 }
 
 impl UnequalServer {
     const fn steady(speed: f64) -> Self {
-        Self { speed, slow_for: 0, slower: 1.0 }
+        Self { speed, slow_for: 0, slowdown: 1.0 }
     }
 
     fn speed_at(self, second: u64) -> f64 {
-        if (5..5 + self.slow_for).contains(&second) { self.speed / self.slower } else { self.speed }
+        if (5..5 + self.slow_for).contains(&second) { self.speed / self.slowdown } else { self.speed }
     }
 }
 
-/// What a run came to, in its last ten seconds.
+/// Results of a run, over its last ten seconds.
 struct RunResult {
-    /// Calls finished over calls that all servers could have finished.
+    /// Finished calls, relative to the capacity of all servers.
     used: f64,
-    /// Critical calls finished over those that came.
+    /// Finished critical calls, relative to those that arrived.
     critical: f64,
 }
 
@@ -55,7 +55,8 @@
     let mut running: Vec<RunningServer> = servers.iter().map(new).collect();
     let per_step = |speed: f64| f64::from(SLOTS) * speed / (SERVICE_TIME as f64 / MILLISECOND as f64);
     let steady: f64 = servers.iter().map(|server| per_step(server.speed)).sum();
-    let mut told: VecDeque<AdmissionFloor> = VecDeque::from(vec![AdmissionFloor::OPEN; REPORT_DELAY_TICKS]);
+    let mut reported_floors: VecDeque<AdmissionFloor> =
+        VecDeque::from(vec![AdmissionFloor::OPEN; REPORT_DELAY_TICKS]);
     let mut critical_tickets = BTreeSet::new();
     let (mut next, mut due, mut possible) = (0u64, 0.0, 0.0);
     let (mut finished, mut critical_finished, mut critical_came) = (0.0, 0.0, 0.0);
@@ -71,7 +72,7 @@
             let class = if critical { PriorityClass::Critical } else { PriorityClass::Bulk };
             let priority = Priority { class, bucket: (mixed / 1000 % 128) as u8 };
             critical_came += f64::from(u8::from(critical && counts));
-            if !told.front().is_some_and(|floor| floor.admits(priority)) {
+            if !reported_floors.front().is_some_and(|floor| floor.admits(priority)) {
                 continue;
             }
             let load = |index: usize| running[index].queue.running() + running[index].queue.waiting();
@@ -115,17 +116,17 @@
         if step % TICK == TICK - 1 {
             running.iter_mut().for_each(|state| state.queue.tick());
             let floors = running.iter().map(|state| (state.queue.floor(), state.queue.limit()));
-            told.push_back(AdmissionFloor::mean(floors).expect("there are servers"));
-            told.pop_front();
+            reported_floors.push_back(AdmissionFloor::mean(floors).expect("there are servers"));
+            reported_floors.pop_front();
         }
     }
     RunResult { used: finished / possible, critical: critical_finished / critical_came }
 }
 
 fn start(state: &mut RunningServer, ticket: Ticket, speed: f64, now: Instant) {
-    let scatter = 0.5 + (ticket.0.wrapping_mul(0xd1b5_4a32_d192_ed03) >> 40) as f64 / f64::from(1 << 24);
-    let took = SERVICE_TIME as f64 / speed * scatter;
-    state.ends.insert((now.plus(took as u64), ticket));
+    let variation = 0.5 + (ticket.0.wrapping_mul(0xd1b5_4a32_d192_ed03) >> 40) as f64 / f64::from(1 << 24);
+    let service_time = SERVICE_TIME as f64 / speed * variation;
+    state.ends.insert((now.plus(service_time as u64), ticket));
 }
 
 struct ServiceCase {
@@ -137,16 +138,16 @@
 }
 
 #[test]
-fn unequal_servers_are_all_used_and_urgent_work_is_kept() {
+fn unequal_servers_are_all_used_and_critical_calls_are_served() {
     const FAST_AND_SLOW: [UnequalServer; 3] =
         [UnequalServer::steady(0.7), UnequalServer::steady(0.7), UnequalServer::steady(1.6)];
     const ONE_SLOWED: [UnequalServer; 3] = [
-        UnequalServer { speed: 1.0, slow_for: 19, slower: 8.0 },
+        UnequalServer { speed: 1.0, slow_for: 19, slowdown: 8.0 },
         UnequalServer::steady(1.0),
         UnequalServer::steady(1.0),
     ];
     const ONE_COLD: [UnequalServer; 3] = [
-        UnequalServer { speed: 0.7, slow_for: 4, slower: 2.0 },
+        UnequalServer { speed: 0.7, slow_for: 4, slowdown: 2.0 },
         UnequalServer::steady(1.0),
         UnequalServer::steady(1.6),
     ];
--- a/crates/seamhatch-core/tests/silence.rs
+++ b/crates/seamhatch-core/tests/silence.rs
@@ -1,4 +1,4 @@
-//! When a server is left out because its daemon is silent or stops.
+//! Exclusion of servers whose daemons are silent or stopping.
 
 use seamhatch_core::Instant;
 use seamhatch_core::balance::{CandidateStatus, candidate_status, silent_at};
--- a/crates/seamhatch-core/tests/simulation/mod.rs
+++ b/crates/seamhatch-core/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A bottleneck under streams of calls, simulated in steps of a millisecond.
+//! Simulation, in steps of a millisecond, of a bottleneck that receives streams of calls.
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
 use seamhatch_core::Instant;
@@ -12,40 +12,40 @@
 
 /// Slots of a steady server.
 pub const SLOTS: u32 = 31;
-/// Length of a run.
+/// Duration of a run.
 pub const SECONDS: u64 = 20;
 /// Steps between two ticks of the floor.
 const TICK_STEPS: u64 = 100;
-/// Time that a call has beyond twice its usual service time.
+/// Time from the arrival of a call to its expiry, beyond twice its usual service time.
 const SPARE_TIME: Microseconds = 610 * MILLISECOND;
 
-/// Calls of one class that come to the bottleneck.
+/// Calls of one class that arrive at the bottleneck.
 #[derive(Debug, Clone)]
 pub struct Stream {
     pub class: PriorityClass,
-    /// Buckets of the requests that are let in, from 0 on.
+    /// Number of buckets that the requests are spread over, from 0 on.
     pub buckets: u64,
     pub per_second: u64,
     pub service_time: Microseconds,
-    pub patience: Microseconds,
-    /// Milliseconds before its first call.
+    pub max_wait: Microseconds,
+    /// Milliseconds before the first call.
     pub from_step: u64,
 }
 
 impl Stream {
-    /// Slots that all its calls would need.
+    /// Number of slots that all calls of the stream would need.
     pub fn demand(&self) -> f64 {
         self.per_second as f64 * self.service_time as f64 / SECOND as f64
     }
 
-    /// From half to one and a half of the mean. With equal times, calls that once start together end
-    /// together for ever, and no slot is freed in between.
+    /// From half to one and a half of the mean. With equal times, calls that started together would always end
+    /// together, and no slot would become free in between.
     fn service_time_of(&self, ticket: Ticket) -> Microseconds {
         let drawn = ticket.0.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32;
         self.service_time / 2 + self.service_time * (drawn % 1000) / 1000
     }
 
-    /// Calls that come in this step.
+    /// Number of calls that arrive in this step.
     fn due(&self, step: u64) -> u64 {
         if step < self.from_step {
             return 0;
@@ -53,35 +53,36 @@
         (step + 1) * self.per_second / 1000 - step * self.per_second / 1000
     }
 
-    /// Calls that come in the whole run.
+    /// Number of calls that arrive in the whole run.
     fn calls(&self) -> u64 {
         self.per_second * (SECONDS * 1000 - self.from_step) / 1000
     }
 }
 
-/// The server that they come to.
+/// The server that the calls arrive at.
 #[derive(Debug, Clone)]
 pub struct Server {
     pub slots: u32,
-    /// Slots that it begins with, while it is cold.
+    /// Concurrency limit at the start, while the server is cold.
     pub initial_slots: u32,
-    /// Milliseconds in which it ends no call.
+    /// Milliseconds in which no call ends.
     pub paused: Range<u64>,
 }
 
 impl Server {
-    /// One of [`SLOTS`] slots that never pauses.
+    /// A server with [`SLOTS`] slots that never pauses.
     pub fn steady() -> Self {
         Self { slots: SLOTS, initial_slots: SLOTS, paused: 0..0 }
     }
 }
 
-/// What was served of each stream, 0 to 1, where callers don't know the floor.
+/// Share of the calls of each stream that is served, 0 to 1, if callers don't know the floor.
 pub fn served(streams: &[Stream]) -> Vec<f64> {
     served_behind(streams, &Server::steady(), |_, _| true)
 }
 
-/// What `server` served of each stream, 0 to 1. `admits` is the entry's verdict by the floor of the tick before.
+/// Share of the calls of each stream that `server` serves, 0 to 1. `admits` decides at the entry, by the floor of the
+/// last tick.
 pub fn served_behind(
     streams: &[Stream],
     server: &Server,
@@ -93,7 +94,7 @@
         if !server.paused.contains(&step) {
             run.end_calls();
         }
-        run.take_calls(step, &admits);
+        run.admit_calls(step, &admits);
         run.start_waiting();
         if step % TICK_STEPS == TICK_STEPS - 1 {
             run.queue.shed_late_calls(run.now);
@@ -104,16 +105,15 @@
     streams.iter().zip(&run.done).map(|(stream, done)| *done as f64 / stream.calls() as f64).collect()
 }
 
-/// The state of a run.
 struct SimulatedRun<'a> {
     streams: &'a [Stream],
     queue: AdmissionQueue,
-    /// What the entry knows.
+    /// The floor that the entry knows.
     floor: AdmissionFloor,
-    /// Calls at work, by their ends.
+    /// Running calls by the time of their end.
     ends: BTreeSet<(Instant, Ticket)>,
     stream_of: HashMap<Ticket, usize>,
-    /// Calls served of each stream.
+    /// Number of calls served of each stream.
     done: Vec<u64>,
     now: Instant,
     last_ticket: u64,
@@ -143,7 +143,7 @@
         }
     }
 
-    fn take_calls(&mut self, step: u64, admits: &impl Fn(AdmissionFloor, Priority) -> bool) {
+    fn admit_calls(&mut self, step: u64, admits: &impl Fn(AdmissionFloor, Priority) -> bool) {
         for (index, stream) in self.streams.iter().enumerate() {
             for _ in 0..stream.due(step) {
                 self.last_ticket += 1;
@@ -165,7 +165,7 @@
             priority,
             root_admitted: self.now,
             expiry: self.now.plus(stream.service_time * 2 + SPARE_TIME),
-            objective_end: self.now.plus(stream.patience + stream.service_time),
+            objective_end: self.now.plus(stream.max_wait + stream.service_time),
             kind: CallKind(index as u32),
             continues_chain: false,
         };
