--- a/crates/seamhatchd/src/dispatch/candidates.rs
+++ b/crates/seamhatchd/src/dispatch/candidates.rs
@@ -46,7 +46,7 @@
         let candidates: Vec<Candidate> = servers_left.iter().map(read).collect();
         drop(pool);
         let index = self
-            .home_of_suspect(&servers_left, &candidates)
+            .server_for_suspect(&servers_left, &candidates)
             .or_else(|| pick(&candidates, |below| rand::random_range(0..below)))?;
         Some(servers_left[index].peer)
     }
@@ -65,7 +65,7 @@
             success: 1.0,
             turn_in: None,
             pace: KnownPace::Unknown,
-            status: if failing { CandidateStatus::Ejected } else { standing_by_record(server) },
+            status: if failing { CandidateStatus::Ejected } else { status_by_record(server) },
         };
     };
     connection.with_view(|view| {
@@ -86,6 +86,6 @@
 
 /// The status of a server whose daemon this one has no connection to. When a draining one ends is known only after its
 /// first heartbeat, so it counts as the last to end.
-fn standing_by_record(server: &Server) -> CandidateStatus {
+fn status_by_record(server: &Server) -> CandidateStatus {
     if server.leaving { CandidateStatus::Leaving(Microseconds::MAX) } else { CandidateStatus::Available }
 }
--- a/crates/seamhatchd/src/dispatch/mod.rs
+++ b/crates/seamhatchd/src/dispatch/mod.rs
@@ -66,7 +66,7 @@
     /// Servers that were tried, or could not be.
     tried: Vec<Address>,
     /// Servers that refused for pressure.
-    pressed: u32,
+    overload_refusals: u32,
     /// What the server that was tried last said; none where its connection was lost.
     last_refusal: Option<Refusal>,
     /// An attempt may have run, so that `not-run` can't be said any more.
@@ -118,7 +118,7 @@
             AttemptFailure::Lost => {
                 self.may_have_run = true;
                 self.last_refusal = None;
-                if !self.loss_ends_try() && self.may_send_again(Reason::PeerLost, true) {
+                if !self.loss_forbids_resend() && self.may_send_again(Reason::PeerLost, true) {
                     return Ok(());
                 }
                 let detail = "the connection to the server's daemon was lost; its result is not known";
@@ -143,7 +143,7 @@
         let ran = refusal.outcome != Outcome::NotRun;
         self.may_have_run |= ran;
         let reached = ran || refusal.reason.reached_back_end();
-        self.pressed += u32::from(refusal.reason.is_server_overload());
+        self.overload_refusals += u32::from(refusal.reason.is_server_overload());
         if self.crashes_too_much(&refusal) || !self.may_send_again(refusal.reason, reached) {
             return Err(Rejection::of_peer(&refusal));
         }
@@ -190,7 +190,7 @@
 
     /// Records the admission floor of the called service, by the reports of all its servers.
     fn learn_service_floor(&self) {
-        self.learn_floor(self.shared.limits.service_floors.of(&self.request.service, clock::now()));
+        self.learn_floor(self.shared.limits.service_floors.floor(&self.request.service, clock::now()));
     }
 
     /// Records what the call has used: for its parent, or for a successful request from outside as the cost of its kind.
--- a/crates/seamhatchd/src/dispatch/prepare.rs
+++ b/crates/seamhatchd/src/dispatch/prepare.rs
@@ -58,7 +58,7 @@
         ledger_entry,
         claimed: None,
         tried: Vec::new(),
-        pressed: 0,
+        overload_refusals: 0,
         last_refusal: None,
         may_have_run: false,
     };
--- a/crates/seamhatchd/src/dispatch/retries.rs
+++ b/crates/seamhatchd/src/dispatch/retries.rs
@@ -15,7 +15,7 @@
             reached_back_end: reached,
             may_have_run: self.may_have_run,
             repeatable: self.request.repeatable,
-            overload_refusals: self.pressed,
+            overload_refusals: self.overload_refusals,
             can_replay: self.body.can_replay(),
             in_time: clock::now() < self.parent.expiry,
         };
@@ -40,7 +40,7 @@
         }
         match first.budget_entry(self.parent.repeats) {
             BudgetEntry::Retry => return self.take_from_ratio(),
-            BudgetEntry::CallOfRepeat => budget.count_repeat(&self.request.service, &self.settings),
+            BudgetEntry::CallOfRepeat => budget.charge_call_of_repeat(&self.request.service, &self.settings),
             BudgetEntry::FirstTry => budget.first_try(&self.request.service, &self.settings),
         }
         Ok(())
--- a/crates/seamhatchd/src/dispatch/suspects.rs
+++ b/crates/seamhatchd/src/dispatch/suspects.rs
@@ -50,7 +50,7 @@
     }
 
     /// Whether a lost daemon shows that the request has crashed too many servers to be sent again in this try.
-    pub(super) fn loss_ends_try(&self) -> bool {
+    pub(super) fn loss_forbids_resend(&self) -> bool {
         forbids_resend(Reason::PeerLost, self.shared.suspects.standing(self.digest).crashes())
     }
 
@@ -62,7 +62,7 @@
 
     /// The index of the server that runs a suspect. All daemons choose the same one, so that the daemon beside it sees all
     /// copies and lets one run at a time.
-    pub(super) fn home_of_suspect(&self, servers: &[&Server], candidates: &[Candidate]) -> Option<usize> {
+    pub(super) fn server_for_suspect(&self, servers: &[&Server], candidates: &[Candidate]) -> Option<usize> {
         let SuspectStanding::Suspect { .. } = self.shared.suspects.standing(self.digest) else { return None };
         let usable = candidates.iter().map(|candidate| candidate.status == CandidateStatus::Available);
         let indices: Vec<usize> =
--- a/crates/seamhatchd/src/filters/identity.rs
+++ b/crates/seamhatchd/src/filters/identity.rs
@@ -64,7 +64,7 @@
 
 fn holder(shared: &Shared, configuration: &Configuration, key: KeyDigest) -> Result<Arc<Tenant>, Rejection> {
     // Before the key is looked up: an outdated configuration may still hold it, or not hold it yet.
-    if !shared.limits.freshness.is_proved() {
+    if !shared.limits.freshness.is_fresh() {
         let detail = "this daemon can't show that its keys are the newest; come back after Retry-After";
         return Err(Rejection::not_run(Reason::NoProof, detail));
     }
--- a/crates/seamhatchd/src/filters/mod.rs
+++ b/crates/seamhatchd/src/filters/mod.rs
@@ -122,7 +122,7 @@
     let has_newest = shared.lifecycle.is_ready() && !shared.control.is_behind(clock::now());
     let rejected = chain.iter().try_for_each(|filter| filter.apply(shared, request));
     rejected.map_err(|rejection| {
-        if has_newest || !rejection.rests_on_configuration() {
+        if has_newest || !rejection.depends_on_configuration() {
             return rejection;
         }
         let detail = "this daemon's configuration may be out of date; come back after Retry-After";
--- a/crates/seamhatchd/src/filters/readiness.rs
+++ b/crates/seamhatchd/src/filters/readiness.rs
@@ -33,7 +33,7 @@
     fn apply(&self, shared: &Shared, request: &mut RequestState) -> Result<(), Rejection> {
         let state = shared.stop_state();
         let is_taken = match request.parent {
-            Some(_) => state.admits_call(shared.limits.call_times.usual(request.kind())),
+            Some(_) => state.admits_call(shared.limits.call_times.quantile(request.kind())),
             None => !state.refuses_callers(),
         };
         if is_taken {
--- a/crates/seamhatchd/src/filters/rejection.rs
+++ b/crates/seamhatchd/src/filters/rejection.rs
@@ -74,7 +74,7 @@
 
     /// Whether the verdict is true only where the configuration that decided is the one in force.
     #[must_use]
-    pub fn rests_on_configuration(&self) -> bool {
+    pub fn depends_on_configuration(&self) -> bool {
         self.reason.rule().depends_on_configuration
     }
 
--- a/crates/seamhatchd/src/limits/call_times.rs
+++ b/crates/seamhatchd/src/limits/call_times.rs
@@ -17,7 +17,7 @@
 
     /// The time that most calls of this kind stay within; none before the first.
     #[must_use]
-    pub fn usual(&self, kind: &str) -> Option<Microseconds> {
+    pub fn quantile(&self, kind: &str) -> Option<Microseconds> {
         lock(&self.0).quantile(kind)
     }
 }
--- a/crates/seamhatchd/src/limits/freshness.rs
+++ b/crates/seamhatchd/src/limits/freshness.rs
@@ -51,7 +51,7 @@
 
     /// Whether requests may run by the keys of the configuration.
     #[must_use]
-    pub fn is_proved(&self) -> bool {
+    pub fn is_fresh(&self) -> bool {
         let Some(bound) = self.bound else { return true };
         self.lock().is_fresh(bound, clock::now())
     }
--- a/crates/seamhatchd/src/limits/quota/admission.rs
+++ b/crates/seamhatchd/src/limits/quota/admission.rs
@@ -78,7 +78,7 @@
             return Ok(Some(permit));
         }
         let mut any_known = false;
-        for (shard, holder) in self.quota.directory.in_order(self.zone) {
+        for (shard, holder) in self.quota.directory.shards_to_ask(self.zone) {
             if !charge.may_ask(shard) {
                 any_known = true;
                 continue;
@@ -126,7 +126,7 @@
         let lifetime = quota.policy.token_lifetime();
         let wanted = quota.caches().get(self.tenant).map_or(1, |cache| cache.wanted(lifetime));
         let Some(grant) = self.grant_of(shard, holder, wanted).await else {
-            quota.directory.note_silent(shard);
+            quota.directory.mark_unavailable(shard);
             return false;
         };
         if let Some(cache) = quota.caches().get_mut(self.tenant) {
--- a/crates/seamhatchd/src/limits/quota/directory.rs
+++ b/crates/seamhatchd/src/limits/quota/directory.rs
@@ -31,13 +31,13 @@
     }
 
     /// Records that a shard's holder did not answer, or that the daemon that was asked doesn't hold it.
-    pub fn note_silent(&self, shard: ShardNumber) {
+    pub fn mark_unavailable(&self, shard: ShardNumber) {
         self.lock().mark_unavailable(shard, clock::now());
     }
 
     /// The shards that may be asked, those of `zone` first.
     #[must_use]
-    pub fn in_order(&self, zone: &str) -> Vec<(ShardNumber, ShardHolder)> {
+    pub fn shards_to_ask(&self, zone: &str) -> Vec<(ShardNumber, ShardHolder)> {
         self.lock().shards_to_ask(zone, clock::now(), |below| rand::random_range(0..below))
     }
 
--- a/crates/seamhatchd/src/limits/retry_budget.rs
+++ b/crates/seamhatchd/src/limits/retry_budget.rs
@@ -30,7 +30,7 @@
     }
 
     /// Counts a call that a repeated run makes.
-    pub fn count_repeat(&self, service: &str, settings: &ServiceSettings) {
+    pub fn charge_call_of_repeat(&self, service: &str, settings: &ServiceSettings) {
         self.lock().charge_call_of_repeat(service, self.policy(settings), clock::now());
     }
 
--- a/crates/seamhatchd/src/limits/service_floors.rs
+++ b/crates/seamhatchd/src/limits/service_floors.rs
@@ -34,7 +34,7 @@
 
     /// What the service admits, as it is reported up a chain of calls; none where it admits everything.
     #[must_use]
-    pub fn of(&self, service: &str, now: Instant) -> Option<ChainFloor> {
+    pub fn floor(&self, service: &str, now: Instant) -> Option<ChainFloor> {
         let floor = self.lock().floor(service, now)?;
         ChainFloor::unless_open(service, floor)
     }
--- a/crates/seamhatchd/src/server/gate/rate.rs
+++ b/crates/seamhatchd/src/server/gate/rate.rs
@@ -9,14 +9,14 @@
 
 impl AdmissionGate {
     /// Holds calls to a rate that the back end names.
-    pub fn hold_to(&self, rate: RequestRate) {
+    pub fn set_rate_limit(&self, rate: RequestRate) {
         let mut state = self.lock();
         state.queue.set_rate_limit(rate, clock::now());
         self.pump(&mut state);
     }
 
     /// The back end names no rate any more.
-    pub fn lift_rate(&self) {
+    pub fn end_rate_limit(&self) {
         let mut state = self.lock();
         state.queue.end_rate_limit(clock::now());
         self.pump(&mut state);
--- a/crates/seamhatchd/src/server/notices.rs
+++ b/crates/seamhatchd/src/server/notices.rs
@@ -124,12 +124,12 @@
         match change {
             RateChange::Unchanged => return,
             RateChange::HoldTo(rate) => {
-                self.gate.hold_to(rate);
+                self.gate.set_rate_limit(rate);
                 self.is_held.store(true, Ordering::Relaxed);
                 self.metrics.named_rate.set(rate.as_thousandths() as i64);
             }
             RateChange::Lifted => {
-                self.gate.lift_rate();
+                self.gate.end_rate_limit();
                 self.metrics.named_rate.set(NO_NAMED_RATE);
             }
         }
