--- a/crates/seamhatchd/src/dispatch/answer.rs
+++ b/crates/seamhatchd/src/dispatch/answer.rs
@@ -1,4 +1,4 @@
-//! An answer of a back end on its way to the caller.
+//! The answer of a back end on its way to the caller.
 
 use crate::base::clock;
 use crate::claims::Claimed;
@@ -12,16 +12,17 @@
 use seamhatch_core::retry::ChildEnd;
 use seamhatch_wire::{AnswerHead, RecordedAnswer};
 
-/// Largest answer that is recorded for repeats of a claimed request, in bytes of its body. Chosen, not measured.
-const LARGEST_RECORDED: usize = 64 * 1024;
+/// Largest body of an answer that is recorded for repeats of a claimed request, in bytes.
+const MAX_RECORDED_BYTES: usize = 64 * 1024;
 
-/// An answer of a back end on its way to the caller. Dropping it before its end cancels the call.
+/// The answer of a back end on its way to the caller. Dropping it before the end of the body
+/// cancels the call.
 pub struct Answer {
     /// Status and header fields.
     pub head: AnswerHead,
     /// Peer address of the daemon whose server answers.
     pub server: Address,
-    /// Servers that the call was sent to.
+    /// Number of servers that the call was sent to.
     pub dispatches: usize,
     pub(super) body: AnswerBody,
     pub(super) expiry: Instant,
@@ -31,10 +32,11 @@
 }
 
 impl Answer {
-    /// The next piece of the body; none at its end.
+    /// Returns the next piece of the body, or `None` at its end.
     ///
     /// # Errors
-    /// [`Rejection`] when the body will never be complete.
+    /// Returns a [`Rejection`] if the body will never be complete: the back end broke off, or the
+    /// deadline passed.
     pub async fn next(&mut self) -> Result<Option<Bytes>, Rejection> {
         let piece = clock::timeout_at(self.expiry, self.body.next()).await;
         match piece.unwrap_or(AnswerPiece::Broken) {
@@ -54,7 +56,7 @@
 
     fn record(&mut self, piece: &Bytes) {
         let Some(recording) = &mut self.recording else { return };
-        if recording.len() + piece.len() > LARGEST_RECORDED {
+        if recording.len() + piece.len() > MAX_RECORDED_BYTES {
             self.recording = None;
         } else {
             recording.extend_from_slice(piece);
--- a/crates/seamhatchd/src/dispatch/attempt.rs
+++ b/crates/seamhatchd/src/dispatch/attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt of a call at one server: the call is written, and the head of its answer awaited.
+//! One attempt of a call at one server: writes the call and waits for the head of the answer.
 
 use super::Dispatcher;
-use super::replay::next_of_rest;
+use super::replay::next_after_prefix;
 use crate::base::clock;
 use crate::filters::Rejection;
 use crate::intake::RequestStage;
@@ -12,29 +12,30 @@
 use seamhatch_core::priority::AdmissionFloor;
 use seamhatch_wire::{AnswerHead, CallContext, CallHead, Refusal, ServerReport};
 
-/// The receiver's deadline is this much earlier, so that its refusal arrives in time.
+/// The deadline sent to the receiving daemon is earlier by this margin, so that its refusal arrives
+/// in time.
 const EXPIRY_MARGIN: Microseconds = 5 * MILLISECOND;
 
-/// Why an attempt at one server brought no answer.
+/// Why an attempt at one server produced no answer.
 pub(super) enum AttemptFailure {
     /// The server's daemon refused the call, or the call was never written.
     Refused(Refusal),
-    /// The connection was lost, or its peer fell silent, after the call was sent.
+    /// The connection was lost, or the peer stopped responding, after the call was sent.
     Lost,
     /// The deadline passed.
     Expired,
-    /// The caller broke off its body.
-    BrokenOff(Rejection),
+    /// The caller aborted the request body.
+    BodyAborted(Rejection),
 }
 
-/// The head of an answer, and the call whose body follows.
+/// Head of an answer, and the stream that delivers its body.
 pub(super) type AnswerBegun = (Box<AnswerHead>, CallStream);
 
 impl Dispatcher<'_> {
     /// Sends the call to a server and waits for the head of its answer.
     ///
     /// # Errors
-    /// [`AttemptFailure`]: what came instead.
+    /// Returns an [`AttemptFailure`] if the attempt ends without an answer.
     pub(super) async fn attempt(
         &mut self,
         connection: &PeerConnection,
@@ -43,10 +44,10 @@
         if let Some(claimed) = &mut self.claimed {
             claimed.dispatched();
         }
-        self.report_suspicion(connection);
+        self.report_evidence(connection);
         let Ok(stream) = connection.start_call(head) else {
-            // Closed between the choice and here: nothing was written.
-            return Err(AttemptFailure::Refused(not_sent(self.ledger_entry.handed_over)));
+            // The connection closed after it was chosen: nothing was written.
+            return Err(AttemptFailure::Refused(unsent_refusal(self.ledger_entry.handed_over)));
         };
         self.request.progress.set_stage(RequestStage::Sent(connection.address));
         for piece in &self.body.prefix {
@@ -58,7 +59,7 @@
         self.await_head(connection, stream).await
     }
 
-    /// Sends the rest of the body and waits for the head of the answer, until the deadline.
+    /// Sends the rest of the request body and waits for the head of the answer, until the deadline.
     async fn await_head(
         &mut self,
         connection: &PeerConnection,
@@ -74,13 +75,14 @@
                     Some(CallEvent::Refused(refusal)) => Err(AttemptFailure::Refused(refusal)),
                     Some(CallEvent::Chunk(_) | CallEvent::Tail(_)) | None => Err(AttemptFailure::Lost),
                 },
-                piece = next_of_rest(&mut self.body, &window) => match piece {
+                piece = next_after_prefix(&mut self.body, &window) => match piece {
                     Ok(Some(piece)) => stream.send_piece(&piece),
                     Ok(None) => stream.finish_body(),
-                    Err(rejection) => return Err(AttemptFailure::BrokenOff(rejection)),
+                    Err(rejection) => return Err(AttemptFailure::BodyAborted(rejection)),
                 },
                 () = &mut deadline => return Err(AttemptFailure::Expired),
-                // Its daemon is frozen, dead or cut off. A call that is not repeatable can only wait.
+                // The server's daemon is frozen, dead or unreachable. A call that is not repeatable
+                // can only wait.
                 () = connection.until_silent(), if self.request.repeatable => return Err(AttemptFailure::Lost),
             }
         }
@@ -113,19 +115,20 @@
     }
 }
 
-/// What the end of an attempt shows of its server, for outlier ejection.
+/// Classifies the end of an attempt for outlier ejection of the server.
 pub(super) fn call_end(attempt: &Result<AnswerBegun, AttemptFailure>) -> CallEnd {
     match attempt {
         Err(AttemptFailure::Lost) => CallEnd::Lost,
         Err(AttemptFailure::Refused(refusal)) if refusal.reason.counts_as_lost() => CallEnd::Lost,
-        Ok(_) | Err(AttemptFailure::Refused(_) | AttemptFailure::Expired | AttemptFailure::BrokenOff(_)) => {
+        Ok(_)
+        | Err(AttemptFailure::Refused(_) | AttemptFailure::Expired | AttemptFailure::BodyAborted(_)) => {
             CallEnd::Answered
         }
     }
 }
 
-/// Stands for the refusal of a call that was never written.
-fn not_sent(tokens: u32) -> Refusal {
+/// Builds the refusal that stands for a call that was never written.
+fn unsent_refusal(tokens: u32) -> Refusal {
     Refusal {
         outcome: Outcome::NotRun,
         reason: Reason::PeerLost,
--- a/crates/seamhatchd/src/dispatch/candidates.rs
+++ b/crates/seamhatchd/src/dispatch/candidates.rs
@@ -1,4 +1,4 @@
-//! The choice of the next server for a call, from what is known of those that were not tried yet.
+//! Choice of the next server for a call, among those that have not been tried yet.
 
 use super::Dispatcher;
 use crate::base::clock;
@@ -13,7 +13,7 @@
 use seamhatch_wire::CallIntake;
 
 impl Dispatcher<'_> {
-    /// A connection to a server that was not tried yet.
+    /// Returns a connection to a server that has not been tried yet.
     pub(super) async fn connect(&mut self) -> Result<PeerConnection, Rejection> {
         loop {
             let Some(server) = self.choose() else {
@@ -22,14 +22,14 @@
             };
             match self.shared.pool.get(server).await {
                 Ok(connection) if self.can_serve(&connection) => return Ok(connection),
-                // The pool counts failures to connect and leaves such a server out for a while.
+                // The pool counts connection failures and excludes such a server for a while.
                 Ok(_) | Err(_) => self.tried.push(server),
             }
         }
     }
 
-    /// Whether the daemon takes calls for this service, by its own messages: the member's record may be older than the
-    /// server that has its address now.
+    /// Whether the daemon accepts calls for this service, according to its own messages. The member
+    /// record may be older than the server that uses the address now.
     fn can_serve(&self, connection: &PeerConnection) -> bool {
         connection.with_view(|view| view.intake != CallIntake::Closed)
             && *connection.service == *self.request.service
@@ -52,7 +52,8 @@
     }
 }
 
-/// A server as the choice sees it: by its own reports where there is a connection to its daemon, else by its record.
+/// Describes a server to the load balancer: by its own reports if there is a connection to its
+/// daemon, otherwise by its member record.
 fn candidate(server: &Server, own_zone: &str, pool: &PoolReader<'_>, now: Instant) -> Candidate {
     let same_zone = server.zone == own_zone;
     let Some(connection) = pool.connection(server.peer) else {
@@ -84,8 +85,9 @@
     })
 }
 
-/// The status of a server whose daemon this one has no connection to. When a draining one ends is known only after its
-/// first heartbeat, so it counts as the last to end.
+/// Returns the status of a server whose daemon this one has no connection to. The time at which a
+/// draining server ends is known only after its first heartbeat, so it is ranked as the last one to
+/// end.
 fn status_by_record(server: &Server) -> CandidateStatus {
     if server.leaving { CandidateStatus::Leaving(Microseconds::MAX) } else { CandidateStatus::Available }
 }
--- a/crates/seamhatchd/src/dispatch/claiming.rs
+++ b/crates/seamhatchd/src/dispatch/claiming.rs
@@ -1,4 +1,4 @@
-//! Claiming the key of a call that is not repeatable, before anything that may refuse it.
+//! Claims the key of a call that is not repeatable, before any check that may refuse the call.
 
 use super::digests::call_fingerprint;
 use super::{CallResult, Dispatcher};
@@ -10,14 +10,15 @@
 use seamhatch_core::outcome::Reason;
 use seamhatch_core::retry::ChildEnd;
 
-/// What the caller of a request with a key of another request is told.
-const MISMATCH_ADVICE: &str = "this idempotency key was used with another request; use a new key";
+/// Detail for a caller whose key belongs to another request.
+const MISMATCH_DETAIL: &str = "this idempotency key was used with another request; use a new key";
 
 impl Dispatcher<'_> {
-    /// Claims the key of a call that has one.
+    /// Claims the key of the call, if it has one.
     ///
     /// # Errors
-    /// The end of the call: the key belongs to another request, an earlier attempt holds it, or no majority answered.
+    /// Returns the result of the call if the key belongs to another request, an earlier attempt
+    /// holds it, or no majority of witnesses answered.
     pub(super) async fn claim(&mut self, body: Fingerprint) -> Result<Option<Claimed>, CallResult> {
         let Some(text) = &self.request.claim_text else { return Ok(None) };
         let key = ClaimKey::of(&self.request.service, &text.complete(body));
@@ -35,12 +36,12 @@
         match refused {
             ClaimRefused::KeyMismatch => {
                 self.ledger_entry.finish(ChildEnd::NotRun);
-                CallResult::Rejected(Rejection::not_run(Reason::KeyMismatch, MISMATCH_ADVICE))
+                CallResult::Rejected(Rejection::not_run(Reason::KeyMismatch, MISMATCH_DETAIL))
             }
             // This attempt was not run, but an earlier one with the same key may have been.
             ClaimRefused::Undecided(reason) => {
                 self.ledger_entry.finish(ChildEnd::NotRun);
-                CallResult::Rejected(Rejection::unknown(reason, claim_advice(reason)))
+                CallResult::Rejected(Rejection::unknown(reason, undecided_detail(reason)))
             }
             ClaimRefused::Duplicate(Some(answer)) => {
                 let failed = answer.status >= 500;
@@ -52,8 +53,8 @@
     }
 }
 
-/// What the caller is told where nobody knows whether an earlier attempt ran.
-fn claim_advice(reason: Reason) -> &'static str {
+/// Detail for a caller if it is unknown whether an earlier attempt ran.
+fn undecided_detail(reason: Reason) -> &'static str {
     match reason {
         Reason::DeadlineExceeded => "the deadline passed before the key could be claimed",
         _ => "no majority of the key's witnesses answered; repeat it with the same key after Retry-After",
--- a/crates/seamhatchd/src/dispatch/digests.rs
+++ b/crates/seamhatchd/src/dispatch/digests.rs
@@ -1,10 +1,12 @@
-//! Digests that name a call within its request, and a request among all that come in.
+//! Digests that identify a call among those of its parent, and a request among all requests of the
+//! cluster.
 
 use crate::filters::RequestState;
 use crate::shared::Shared;
 use seamhatch_core::identity::{Fingerprint, RequestDigest};
 
-/// Names a call among those of its parent: a repeat of it has the same fingerprint.
+/// Returns the fingerprint of a call among the calls of its parent. A repeat of the call has the
+/// same fingerprint.
 pub(super) fn call_fingerprint(request: &RequestState, body: Fingerprint) -> Fingerprint {
     let parts: [&[u8]; 4] = [
         request.service.as_bytes(),
@@ -15,12 +17,13 @@
     Fingerprint::of(&parts)
 }
 
-/// Names a request, the same at whichever daemon it comes in, so the service beside the daemon is left out. The same
-/// request of two tenants has two digests. The cluster's name makes digests of one deployment useless in another.
+/// Returns the digest of a request. It is the same at every daemon that may receive the request, so
+/// it leaves out the local service. The same request from two tenants has two digests. The cluster
+/// name is part of the digest, so that digests of one deployment are useless in another.
 pub(super) fn request_digest(shared: &Shared, request: &RequestState, body: Fingerprint) -> RequestDigest {
     // An absent field counts as an empty one.
     let header = |name| request.header(name).unwrap_or_default().as_bytes();
-    // A host that the back end doesn't get only says which daemon the caller has addressed.
+    // A host that is not passed on to the back end only tells which daemon the caller addressed.
     let host = request.host.as_deref().filter(|_| shared.conventions.passes_through("host"));
     RequestDigest::of(&[
         shared.settings.cluster.as_bytes(),
--- a/crates/seamhatchd/src/dispatch/mod.rs
+++ b/crates/seamhatchd/src/dispatch/mod.rs
@@ -1,11 +1,13 @@
-//! Sends a call to a server and, where the limits allow, to another one after a failure.
+//! Sends a call to a server and, within the retry limits, to another server after a failure.
 //!
-//! A call comes from a listener once it has passed the filters. [`dispatch`] prepares it (`prepare`: its place in its
-//! parent's retry ledger, the claim of its key in `claiming`, the limits in `retries`), then alternates between choosing
-//! a server (`candidates`) and trying it (`attempt`) until one answers or no further attempt is allowed. An [`Answer`]
-//! keeps what the call holds until its body is complete.
+//! A listener passes a call here after the filters. [`dispatch`] prepares it in `prepare` (its
+//! entry in its parent's retry ledger, the claim of its key in `claiming`, the limits in
+//! `retries`), then alternates between choosing a server (`candidates`) and trying it (`attempt`)
+//! until one answers or no further attempt is allowed. An [`Answer`] keeps the resources of the
+//! call until its body is complete.
 //!
-//! Owns nothing beyond the call. Relies on the published snapshot for servers, and on the pool for connections.
+//! The module owns no state beyond the call. It takes servers from the published snapshot and
+//! connections from the pool.
 
 mod answer;
 mod attempt;
@@ -38,38 +40,38 @@
 use seamhatch_wire::{AnswerHead, ChainFloor, RecordedAnswer, Refusal};
 use std::sync::Arc;
 
-/// How a dispatched call ended.
+/// Result of a dispatched call.
 pub enum CallResult {
     /// The back end answers.
     Answered(Box<Answer>),
-    /// The recorded answer of an earlier attempt with the same key.
+    /// An earlier attempt with the same key has this recorded answer.
     Recorded(RecordedAnswer),
-    /// There is no answer.
+    /// The call has no answer.
     Rejected(Rejection),
 }
 
-/// One call, and what its attempts share.
+/// A call, and the state that its attempts share.
 struct Dispatcher<'a> {
     shared: &'a Arc<Shared>,
     request: &'a RequestState,
     started: Instant,
     settings: ServiceSettings,
-    /// The call that causes it; for a request from outside, the request itself.
+    /// The call that causes this one; for a request from outside, the request itself.
     parent: Arc<RunningCall>,
     body: ReplayBody,
-    /// The same for each copy of the request.
+    /// Digest of the request; copies of a request have the same one.
     digest: RequestDigest,
     ledger_entry: LedgerEntry,
     claimed: Option<Claimed>,
-    /// Its next attempt may repeat a run, of its own or of its parent.
+    /// Whether the next attempt may repeat an earlier run, of this call or of its parent.
     repeat: bool,
-    /// Servers that were tried, or could not be.
+    /// Servers that were tried or could not be reached.
     tried: Vec<Address>,
-    /// Servers that refused for pressure.
+    /// Number of servers that refused the call because of overload.
     overload_refusals: u32,
-    /// What the server that was tried last said; none where its connection was lost.
+    /// Refusal by the last server tried; `None` if its connection was lost.
     last_refusal: Option<Refusal>,
-    /// An attempt may have run, so that `not-run` can't be said any more.
+    /// Whether an attempt may have run; the outcome can't be `not-run` then.
     may_have_run: bool,
 }
 
@@ -82,7 +84,7 @@
 }
 
 impl Dispatcher<'_> {
-    /// Tries servers until one answers or the call must be given up.
+    /// Tries servers until one answers or no further attempt is allowed.
     async fn run(mut self) -> CallResult {
         loop {
             let connection = match self.connect().await {
@@ -108,10 +110,10 @@
         }
     }
 
-    /// Records what a failed attempt shows and decides whether the call is sent again.
+    /// Records the failure of an attempt and decides whether the call is sent again.
     ///
     /// # Errors
-    /// What the caller is told when it is not.
+    /// Returns the rejection for the caller if the call is not sent again.
     fn check_resend(&mut self, failure: AttemptFailure) -> Result<(), Rejection> {
         match failure {
             AttemptFailure::Refused(refusal) => self.check_resend_refused(refusal),
@@ -129,8 +131,8 @@
                 let detail = "no answer came before the deadline; its result is not known";
                 Err(Rejection::unknown(Reason::DeadlineExceeded, detail))
             }
-            AttemptFailure::BrokenOff(rejection) => {
-                // The server may have begun with the part of the body that it got.
+            AttemptFailure::BodyAborted(rejection) => {
+                // The server may have started on the part of the body that it received.
                 self.may_have_run = true;
                 Err(rejection)
             }
@@ -144,7 +146,7 @@
         self.may_have_run |= ran;
         let reached = ran || refusal.reason.reached_back_end();
         self.overload_refusals += u32::from(refusal.reason.is_server_overload());
-        if self.crashes_too_much(&refusal) || !self.may_send_again(refusal.reason, reached) {
+        if self.refusal_forbids_resend(&refusal) || !self.may_send_again(refusal.reason, reached) {
             return Err(Rejection::of_peer(&refusal));
         }
         self.last_refusal = Some(refusal);
@@ -168,7 +170,8 @@
         }))
     }
 
-    /// Rejects a call for which no server is left. What the last server said helps the caller more than that.
+    /// Rejects a call for which no server is left. The refusal by the last server is more useful to
+    /// the caller than the lack of servers.
     fn reject_without_server(mut self, no_server: Rejection) -> CallResult {
         let refused = self.last_refusal.take().map(|refusal| Rejection::of_peer(&refusal));
         self.reject(refused.unwrap_or(no_server))
@@ -177,7 +180,7 @@
     /// Ends the call without an answer.
     fn reject(mut self, mut rejection: Rejection) -> CallResult {
         if self.may_have_run {
-            // An earlier attempt may have run, whatever became of the last one.
+            // An earlier attempt may have run, whatever the result of the last one.
             rejection.outcome = Outcome::Unknown;
         } else {
             self.ledger_entry.finish(ChildEnd::NotRun);
@@ -188,12 +191,14 @@
         CallResult::Rejected(rejection)
     }
 
-    /// Records the admission floor of the called service, by the reports of all its servers.
+    /// Records the admission floor of the called service, which takes the reports of all its
+    /// servers into account.
     fn learn_service_floor(&self) {
         self.learn_floor(self.shared.limits.service_floors.floor(&self.request.service, clock::now()));
     }
 
-    /// Records what the call has used: for its parent, or for a successful request from outside as the cost of its kind.
+    /// Records the slot time that the call has used: with its parent, or for a successful request
+    /// from outside as the cost of its kind.
     fn learn_usage(&self, head: &AnswerHead) {
         let is_root = self.request.entry != Entry::Egress && self.parent.depth == 0;
         if !is_root {
--- a/crates/seamhatchd/src/dispatch/prepare.rs
+++ b/crates/seamhatchd/src/dispatch/prepare.rs
@@ -1,4 +1,5 @@
-//! What comes before the first attempt of a call: its settings, its parent's retry tokens, its claim, the limits.
+//! Steps before the first attempt of a call: its settings, its entry in the retry ledger, its
+//! claim, the limits.
 
 use super::digests::{call_fingerprint, request_digest};
 use super::ledger_entry::LedgerEntry;
@@ -12,10 +13,10 @@
 use seamhatch_policy::ServiceSettings;
 use std::sync::Arc;
 
-/// Makes a call ready for its first attempt.
+/// Prepares a call for its first attempt.
 ///
 /// # Errors
-/// The end of a call that is not sent: it is refused, or its answer is recorded.
+/// Returns the result of a call that is not sent: a rejection, or a recorded answer.
 pub(super) async fn prepare<'a>(
     shared: &'a Arc<Shared>,
     request: &'a RequestState,
@@ -23,7 +24,8 @@
 ) -> Result<Dispatcher<'a>, CallResult> {
     let content = body.digest();
     let (mut dispatcher, first) = begin(shared, request, body, content).map_err(CallResult::Rejected)?;
-    // Before anything that may refuse: `not-run` is true of a request with a key only while its key is held here.
+    // The claim comes before any check that may refuse: a request with a key is proven `not-run`
+    // only while its key is held here.
     dispatcher.claimed = dispatcher.claim(content).await?;
     if let Err(rejection) = dispatcher.check_limits(first) {
         return Err(dispatcher.reject(rejection));
@@ -65,7 +67,8 @@
     Ok((dispatcher, first))
 }
 
-/// Settings of the called service in the configuration that decides the request, or else in the one in force.
+/// Returns the settings of the called service from the configuration that decides the request, or
+/// else from the one in force.
 fn service_settings(shared: &Shared, request: &RequestState) -> Option<ServiceSettings> {
     let snapshot = shared.snapshot();
     let pinned = request.configuration.as_ref().map(|(_, configuration)| configuration);
--- a/crates/seamhatchd/src/dispatch/replay.rs
+++ b/crates/seamhatchd/src/dispatch/replay.rs
@@ -1,4 +1,4 @@
-//! Request bodies whose start is kept, so that a call can be sent again.
+//! Request bodies whose first bytes are kept, so that a call can be sent again.
 
 use crate::filters::Rejection;
 use crate::peer::CreditWindow;
@@ -8,10 +8,10 @@
 use seamhatch_core::identity::Fingerprint;
 use seamhatch_core::outcome::Reason;
 
-/// Part of a request body that is kept, so that the call can be sent again, in bytes. Chosen, not measured.
+/// Number of bytes of a request body that are kept for further attempts.
 const REPLAY_BYTES: usize = 64 * 1024;
 
-/// A request body whose start is kept for further attempts. The rest can be sent once.
+/// A request body whose first bytes are kept for further attempts. The rest can be sent once.
 pub struct ReplayBody {
     pub(super) prefix: Vec<Bytes>,
     pub(super) rest: Option<Incoming>,
@@ -19,16 +19,16 @@
 }
 
 impl ReplayBody {
-    /// The body of a request that has none.
+    /// Returns the body of a request that has none.
     #[must_use]
     pub fn empty() -> Self {
         Self { prefix: Vec::new(), rest: None, rest_used: false }
     }
 
-    /// Reads the start of a body.
+    /// Reads the first bytes of a body.
     ///
     /// # Errors
-    /// The caller broke off.
+    /// Returns a [`Rejection`] if the caller aborts the body.
     pub async fn read_prefix(mut body: Incoming) -> Result<Self, Rejection> {
         let mut prefix = Vec::new();
         let mut length = 0;
@@ -56,7 +56,8 @@
         !self.rest_used
     }
 
-    /// Digest of the kept start: two bodies that differ only after it count as the same.
+    /// Returns the digest of the kept bytes: two bodies that differ only in the rest have the same
+    /// digest.
     pub(super) fn digest(&self) -> Fingerprint {
         let parts: Vec<u8> = self.prefix.iter().flat_map(|piece| piece.iter().copied()).collect();
         Fingerprint::of(&[&parts])
@@ -66,7 +67,7 @@
 async fn next_piece(body: &mut Incoming) -> Result<Option<Bytes>, Rejection> {
     while let Some(frame) = body.frame().await {
         let broken = |_| Rejection::not_run(Reason::BadRequest, "the request body broke off; send it again");
-        // Trailers are dropped: no back end asked for them.
+        // Trailers are dropped: no back end has asked for them.
         if let Ok(data) = frame.map_err(broken)?.into_data() {
             return Ok(Some(data));
         }
@@ -74,8 +75,9 @@
     Ok(None)
 }
 
-/// The next piece after the kept start, once the window allows; pends forever after the end.
-pub(super) async fn next_of_rest(
+/// Returns the next piece after the kept bytes once the credit window allows; never resolves after
+/// the end of the body.
+pub(super) async fn next_after_prefix(
     body: &mut ReplayBody,
     window: &CreditWindow,
 ) -> Result<Option<Bytes>, Rejection> {
--- a/crates/seamhatchd/src/dispatch/retries.rs
+++ b/crates/seamhatchd/src/dispatch/retries.rs
@@ -1,4 +1,6 @@
-//! What a call pays for its attempts, and whether it may be sent to another server. The rules: [`seamhatch_core::retry`].
+//! Limits on the attempts of a call, and the decision to send it to another server.
+//!
+//! The rules are in [`seamhatch_core::retry`].
 
 use super::Dispatcher;
 use crate::base::clock;
@@ -7,8 +9,8 @@
 use seamhatch_core::retry::{BudgetEntry, Dispatch, FailedAttempt, Resend};
 
 impl Dispatcher<'_> {
-    /// Whether the call may be sent to another server. It pays for that if its last attempt `reached` a back end; what a
-    /// daemon refused by itself cost no back end anything.
+    /// Whether the call may be sent to another server. A resend is charged if the last attempt
+    /// `reached` a back end; a call that a daemon refused by itself has cost no back end anything.
     pub(super) fn may_send_again(&mut self, reason: Reason, reached: bool) -> bool {
         let attempt = FailedAttempt {
             reason,
@@ -24,14 +26,14 @@
             Resend::Free => return true,
             Resend::Charged => {}
         }
-        if self.parent.ledger().spend().is_err() || self.take_from_ratio().is_err() {
+        if self.parent.ledger().spend().is_err() || self.charge_retry_budget().is_err() {
             return false;
         }
         self.repeat |= self.may_have_run;
         true
     }
 
-    /// Checks what may refuse a call before its first attempt, and charges the attempt.
+    /// Applies the limits that may refuse a call before its first attempt, and charges the attempt.
     pub(super) fn check_limits(&self, first: Dispatch) -> Result<(), Rejection> {
         let budget = &self.shared.limits.retry_budget;
         self.check_suspect()?;
@@ -39,14 +41,14 @@
             check_entry_floor(self.shared, self.request)?;
         }
         match first.budget_entry(self.parent.repeats) {
-            BudgetEntry::Retry => return self.take_from_ratio(),
+            BudgetEntry::Retry => return self.charge_retry_budget(),
             BudgetEntry::CallOfRepeat => budget.charge_call_of_repeat(&self.request.service, &self.settings),
             BudgetEntry::FirstTry => budget.first_try(&self.request.service, &self.settings),
         }
         Ok(())
     }
 
-    fn take_from_ratio(&self) -> Result<(), Rejection> {
+    fn charge_retry_budget(&self) -> Result<(), Rejection> {
         if self.shared.limits.retry_budget.try_retry(&self.request.service, &self.settings) {
             self.shared.metrics.retries.inc();
             return Ok(());
--- a/crates/seamhatchd/src/dispatch/suspects.rs
+++ b/crates/seamhatchd/src/dispatch/suspects.rs
@@ -1,6 +1,7 @@
-//! Calls whose request ran when servers crashed: whether they are rejected, where they run, and when they are not sent again.
+//! Calls whose request was running when servers crashed: whether they are rejected, where they run,
+//! and when they are not sent again.
 //!
-//! The rules: [`seamhatch_core::crashes`].
+//! The rules are in [`seamhatch_core::crashes`].
 
 use super::Dispatcher;
 use crate::base::clock;
@@ -26,22 +27,24 @@
         Err(Rejection::not_run(Reason::CrashesServers, detail).retry_after(pause))
     }
 
-    /// Reports the evidence against the request to the daemon beside the server, ahead of the call.
-    pub(super) fn report_suspicion(&self, connection: &PeerConnection) {
+    /// Reports the evidence against the request to the server's daemon, ahead of the call.
+    pub(super) fn report_evidence(&self, connection: &PeerConnection) {
         if self.shared.suspects.standing(self.digest).crashes() > 0 {
             let reports = self.shared.suspects.reports(&[self.digest]);
             connection.send(PeerMessage::Suspects(reports));
         }
     }
 
-    /// An attempt that is about to be sent, as far as the loss of the daemon that gets it is evidence against its request.
+    /// Describes an attempt that is about to be sent, as evidence against its request in case the
+    /// receiving daemon is lost.
     pub(super) fn new_run(&self) -> LostRun {
         let crashes = self.shared.suspects.standing(self.digest).crashes();
         LostRun { request: self.digest, sent: clock::now(), isolated: runs_isolated(crashes) }
     }
 
-    /// Reports a run as evidence against its request, and those that were lost with it, where the daemon that got them has ended.
-    /// Before the caller is answered, as its next attempt may come at once.
+    /// Reports a run, and those that were lost with it, as evidence against their requests if the
+    /// daemon that received them has ended. This comes before the answer to the caller, whose next
+    /// attempt may follow at once.
     pub(super) async fn report_lost_daemon(&self, connection: &PeerConnection, run: LostRun) {
         let runs = connection.record_lost_run(run).await;
         if !runs.is_empty() {
@@ -49,19 +52,21 @@
         }
     }
 
-    /// Whether a lost daemon shows that the request has crashed too many servers to be sent again in this try.
+    /// Whether the loss of a daemon shows that the request has crashed too many servers for the
+    /// call to be sent again.
     pub(super) fn loss_forbids_resend(&self) -> bool {
         forbids_resend(Reason::PeerLost, self.shared.suspects.standing(self.digest).crashes())
     }
 
-    /// Whether a refusal shows that the request has crashed too many servers to be sent again in this try.
-    pub(super) fn crashes_too_much(&self, refusal: &Refusal) -> bool {
+    /// Whether a refusal shows that the request has crashed too many servers for the call to be
+    /// sent again.
+    pub(super) fn refusal_forbids_resend(&self, refusal: &Refusal) -> bool {
         let known = self.shared.suspects.standing(self.digest).crashes();
         forbids_resend(refusal.reason, known.max(refusal.crashes))
     }
 
-    /// The index of the server that runs a suspect. All daemons choose the same one, so that the daemon beside it sees all
-    /// copies and lets one run at a time.
+    /// Returns the index of the server that runs a suspect. All daemons choose the same server, so
+    /// that its daemon sees all copies of the request and runs one at a time.
     pub(super) fn server_for_suspect(&self, servers: &[&Server], candidates: &[Candidate]) -> Option<usize> {
         let SuspectStanding::Suspect { .. } = self.shared.suspects.standing(self.digest) else { return None };
         let usable = candidates.iter().map(|candidate| candidate.status == CandidateStatus::Available);
