--- a/crates/seamhatchd/src/limits/call_times.rs
+++ b/crates/seamhatchd/src/limits/call_times.rs
@@ -1,4 +1,5 @@
-//! How long calls of requests that run here take, shared by all threads: what a daemon that stops goes by for those it still takes.
+//! Durations of calls made for requests that run here, shared by all threads. A daemon that stops
+//! uses them to decide which calls it still takes.
 
 use crate::base::lock::lock;
 use seamhatch_core::answer_times::AnswerTimes;
@@ -10,12 +11,13 @@
 pub struct CallTimes(Mutex<AnswerTimes>);
 
 impl CallTimes {
-    /// Records how long a call of this kind took from its arrival to a good answer.
+    /// Records the time from the arrival of a call of this kind to a successful answer.
     pub fn learn(&self, kind: &str, took: Microseconds) {
         lock(&self.0).learn(kind, took);
     }
 
-    /// The time that most calls of this kind stay within; none before the first.
+    /// Returns the time within which most calls of this kind are answered; `None` before the first
+    /// answer.
     #[must_use]
     pub fn quantile(&self, kind: &str) -> Option<Microseconds> {
         lock(&self.0).quantile(kind)
--- a/crates/seamhatchd/src/limits/chain_costs.rs
+++ b/crates/seamhatchd/src/limits/chain_costs.rs
@@ -1,7 +1,8 @@
-//! What requests of each kind cost, shared by all threads.
+//! Costs of requests by kind, shared by all threads.
 //!
-//! Locks the table of [`seamhatch_core::chain_cost`], which decides. Answers of the request path write it; the classification of
-//! requests from outside reads it, and the status page shows it.
+//! Wraps the table in [`seamhatch_core::chain_cost`], which makes the decisions, in a lock. The
+//! request path writes it from answers; the classification of requests from outside reads it, and
+//! the status page shows it.
 
 use crate::base::clock;
 use crate::base::lock::lock;
@@ -15,20 +16,21 @@
 pub struct ChainCosts(Mutex<ChainCostTable>);
 
 impl ChainCosts {
-    /// Records what an answered request of this kind used.
+    /// Records the usage of an answered request of this kind.
     pub fn learn(&self, kind: &str, usage: &[ServiceUsage]) {
         if !usage.is_empty() {
             self.lock().learn(kind, usage, clock::now());
         }
     }
 
-    /// The priority of a request from outside on whose way a service sheds; `bottleneck` is the one with the lowest floor.
+    /// Returns the priority of a request from outside if a service in its chain sheds load;
+    /// `bottleneck` is the service with the lowest floor.
     #[must_use]
     pub fn priority(&self, kind: &str, class: PriorityClass, root: RootId, bottleneck: &str) -> Priority {
         self.lock().priority(kind, class, root, Some(bottleneck), clock::now())
     }
 
-    /// The `most` dearest of the known costs, the dearest first.
+    /// Returns the `most` highest costs, in descending order.
     #[must_use]
     pub fn costs(&self, most: usize) -> Vec<KindCost> {
         self.lock().costs(most, clock::now())
--- a/crates/seamhatchd/src/limits/freshness.rs
+++ b/crates/seamhatchd/src/limits/freshness.rs
@@ -1,7 +1,9 @@
-//! For how long this daemon may have missed a change of the configuration, and whether it may act by it where an old one would do harm.
+//! How long this daemon may have missed a configuration change, and whether it may still act where
+//! an outdated configuration would do harm.
 //!
-//! Locks [`seamhatch_core::freshness::FreshnessTracker`], which decides. The control thread and the links write proofs; the request
-//! path asks before it acts by a tenant's key.
+//! Wraps [`seamhatch_core::freshness::FreshnessTracker`], which makes the decisions, in a lock. The
+//! control thread and the connections between daemons record proofs; the request path checks them
+//! before it accepts a tenant's key.
 
 use crate::base::clock;
 use crate::base::lock::lock;
@@ -13,30 +15,32 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
-/// What this daemon can prove of its configuration, and how old the proof may be.
+/// Freshness proof of the configuration in force, and the age up to which it is accepted.
 #[derive(Debug)]
 pub struct Freshness {
-    /// How old a proof may be for requests to run by a tenant's key; none for any age.
-    bound: Option<Microseconds>,
+    /// Maximum age of a proof for requests that use a tenant's key; `None` if any age is accepted.
+    max_age: Option<Microseconds>,
     tracker: Mutex<FreshnessTracker>,
     relay_position: Mutex<ProofRelayPosition>,
 }
 
-/// Where a daemon gets its proofs from, by the order of all live members.
+/// Position of a daemon in the relay of freshness proofs, in the order of all live members.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ProofRelayPosition {
-    /// Live members that ask the store before this one does.
+    /// Number of live members that ask the store before this one does.
     pub rank: usize,
-    /// Peer address of the member whose heartbeats are to bring proofs; none for the first.
+    /// Peer address of the member whose heartbeats relay proofs to this one; `None` for the first
+    /// member.
     pub upstream: Option<Address>,
 }
 
 impl Freshness {
-    /// No proof yet; one older than `bound` does not count. Without a bound none is needed.
+    /// Creates the state without a proof. A proof older than `max_age` is not accepted; without a
+    /// maximum age, no proof is needed.
     #[must_use]
-    pub fn new(bound: Option<Duration>) -> Self {
-        let bound = bound.map(|bound| bound.as_micros() as Microseconds);
-        Self { bound, tracker: Mutex::default(), relay_position: Mutex::default() }
+    pub fn new(max_age: Option<Duration>) -> Self {
+        let max_age = max_age.map(|age| age.as_micros() as Microseconds);
+        Self { max_age, tracker: Mutex::default(), relay_position: Mutex::default() }
     }
 
     /// Records the configuration in force.
@@ -44,36 +48,36 @@
         self.lock().set_in_force(generation);
     }
 
-    /// Records a proof in the local boot clock.
+    /// Records a proof, whose time is in the local boot clock.
     pub fn record(&self, proof: FreshnessProof) {
         self.lock().record(proof);
     }
 
-    /// Whether requests may run by the keys of the configuration.
+    /// Whether the keys of the configuration may be accepted.
     #[must_use]
     pub fn is_fresh(&self) -> bool {
-        let Some(bound) = self.bound else { return true };
-        self.lock().is_fresh(bound, clock::now())
+        let Some(max_age) = self.max_age else { return true };
+        self.lock().is_fresh(max_age, clock::now())
     }
 
-    /// The proof for other daemons.
+    /// Returns the proof that is relayed to other daemons.
     #[must_use]
     pub fn proof(&self) -> Option<FreshnessProof> {
         self.lock().proof()
     }
 
-    /// How old the proof is, in microseconds; none without one.
+    /// Returns the age of the proof in microseconds; `None` without a proof.
     #[must_use]
     pub fn age(&self, now: Instant) -> Option<Microseconds> {
         self.lock().age(now)
     }
 
-    /// Sets this daemon's place in the order of all live members.
+    /// Sets this daemon's position in the order of all live members.
     pub fn set_relay_position(&self, position: ProofRelayPosition) {
         *lock(&self.relay_position) = position;
     }
 
-    /// This daemon's place in the order of all live members.
+    /// Returns this daemon's position in the order of all live members.
     #[must_use]
     pub fn relay_position(&self) -> ProofRelayPosition {
         *lock(&self.relay_position)
--- a/crates/seamhatchd/src/limits/mod.rs
+++ b/crates/seamhatchd/src/limits/mod.rs
@@ -1,7 +1,7 @@
-//! Limits that no daemon can keep alone: the tenants' quotas, retries to a service, what the servers of a service
-//! admit together, and how old the configuration in force may be.
+//! Limits that a single daemon can't enforce alone: tenant quotas, retries to a service, admission
+//! floors of services, and the age of the configuration in force.
 //!
-//! The request path asks here; the control thread and the connections between daemons feed it.
+//! The request path reads them; the control thread and the connections between daemons update them.
 
 pub mod call_times;
 pub mod chain_costs;
@@ -19,16 +19,16 @@
 use retry_budget::RetryBudget;
 use service_floors::ServiceFloors;
 
-/// What all daemons bound together, as far as this daemon knows and may use it.
+/// Limits that all daemons enforce together, as far as this daemon knows them and may use them.
 #[derive(Debug)]
 pub struct SharedLimits {
     /// Retries that this daemon may cause.
     pub retry_budget: RetryBudget,
-    /// How long calls of requests that run here take.
+    /// Durations of calls made for requests that run here.
     pub call_times: CallTimes,
-    /// What the services admit that this daemon calls.
+    /// Admission floors of the services that this daemon calls.
     pub service_floors: ServiceFloors,
-    /// What the back ends beside other daemons have said of themselves.
+    /// Notices of the back ends of other daemons.
     pub peer_notices: PeerNotices,
     /// Whether the configuration in force is known to be the newest.
     pub freshness: Freshness,
--- a/crates/seamhatchd/src/limits/peer_notices.rs
+++ b/crates/seamhatchd/src/limits/peer_notices.rs
@@ -1,7 +1,7 @@
-//! What the back ends beside other daemons have said of themselves, as those daemons tell it.
+//! Notices of the back ends of other daemons, as those daemons report them.
 //!
-//! It outlives connections, so that it can be handed back to a daemon that has restarted, before the first call that goes there. Heartbeats
-//! and answers write it; the handshake reads it.
+//! A notice outlives the connection, so that it can be handed back to a restarted daemon before the
+//! first call to it. Heartbeats and answers write the notices; the handshake reads them.
 
 use crate::base::lock::lock;
 use seamhatch_core::identity::Address;
@@ -9,12 +9,13 @@
 use std::collections::HashMap;
 use std::sync::Mutex;
 
-/// The last notice of each daemon's back end, by the daemon's peer address; most have none.
+/// The last notice of each daemon's back end, by the daemon's peer address. Most back ends have
+/// none.
 #[derive(Debug, Default)]
 pub struct PeerNotices(Mutex<HashMap<Address, BackEndNotice>>);
 
 impl PeerNotices {
-    /// Records what a daemon tells of its back end.
+    /// Records the notice that a daemon reports for its back end.
     pub fn note(&self, peer: Address, notice: Option<&BackEndNotice>) {
         let mut notices = lock(&self.0);
         match notice {
@@ -28,7 +29,7 @@
         }
     }
 
-    /// What is known of the back end beside a daemon.
+    /// Returns the last notice of the back end of a daemon.
     #[must_use]
     pub fn of(&self, peer: Address) -> Option<BackEndNotice> {
         lock(&self.0).get(&peer).cloned()
--- a/crates/seamhatchd/src/limits/quota/admission.rs
+++ b/crates/seamhatchd/src/limits/quota/admission.rs
@@ -1,6 +1,7 @@
-//! Charges a request to its tenant's limit: with a token of this daemon's cache, else with one that a shard hands out.
+//! Charges a request to its tenant's quota: with a token from this daemon's cache, or else with a
+//! token granted by a quota shard.
 //!
-//! The rules are in [`seamhatch_core::quota`]. Called by the listeners before the body is read.
+//! The rules are in [`seamhatch_core::quota`]. The listeners call this before the body is read.
 
 use super::holder::grant;
 use super::{Quota, limit_of};
@@ -18,10 +19,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest wait for a shard's answer. Chosen, not measured: two hundred times the way between zones of one region.
+/// Longest wait for a shard's answer: two hundred times the latency between zones of one region.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A request that was charged. The token of one that didn't run is given back.
+/// A charged request. Its token is refunded if the request does not run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuotaPermit {
     tenant: String,
@@ -29,7 +30,7 @@
 }
 
 impl QuotaPermit {
-    /// Gives the token back, as the request did not run.
+    /// Returns the token to the cache, as the request did not run.
     pub fn refund(self, quota: &Quota) {
         if let Some(cache) = quota.caches().get_mut(&self.tenant) {
             cache.put_back(self.token, clock::now());
@@ -42,21 +43,21 @@
 pub enum QuotaRefusal {
     /// The tenant is at its limit.
     AtLimit {
-        /// When to return, in microseconds before jitter.
+        /// Time after which the caller should return, in microseconds before jitter.
         return_after: Microseconds,
     },
-    /// No shard of the limit can be asked.
+    /// No shard of the limit could be asked.
     NoShard,
 }
 
-/// The parts of the daemon that charging a request uses.
+/// The parts of the daemon that are used to charge a request.
 #[derive(Debug, Clone, Copy)]
 pub struct QuotaContext<'a> {
-    /// What this daemon knows of the limits.
+    /// State of the limits at this daemon.
     pub quota: &'a Quota,
     /// Connections to the holders of shards.
     pub pool: &'a Arc<PeerPool>,
-    /// The configuration, for shards that are held here.
+    /// The published configuration, for shards that are held here.
     pub published: &'a ArcSwap<Snapshot>,
     /// Zone of this daemon.
     pub zone: &'a str,
@@ -65,10 +66,11 @@
 }
 
 impl QuotaContext<'_> {
-    /// Charges a request to the limit of its tenant, if that has one. A call of a chain has no tenant of its own.
+    /// Charges a request to the limit of its tenant, if the tenant has one. A call of a chain has
+    /// no tenant of its own.
     ///
     /// # Errors
-    /// [`QuotaRefusal`] at the limit, or where no shard can be asked.
+    /// Returns a [`QuotaRefusal`] if the tenant is at its limit or no shard could be asked.
     pub async fn admit(&self, tenant: Option<&Arc<Tenant>>) -> Result<Option<QuotaPermit>, QuotaRefusal> {
         let limited = |tenant: &&Arc<Tenant>| self.quota.is_needed() && limit_of(tenant).is_some();
         let Some(tenant) = tenant.filter(limited) else { return Ok(None) };
@@ -92,7 +94,7 @@
     }
 }
 
-/// One request that is being charged.
+/// A request that is being charged.
 struct Charge<'a> {
     context: &'a QuotaContext<'a>,
     tenant: &'a str,
@@ -119,7 +121,7 @@
         caches.get(self.tenant).is_none_or(|cache| cache.may_ask(shard, clock::now()))
     }
 
-    /// Asks a shard for tokens. False when its holder did not answer.
+    /// Requests tokens from a shard. Returns false if its holder did not answer.
     async fn ask(&self, shard: ShardNumber, holder: ShardHolder) -> bool {
         let quota = &self.context.quota;
         let asked = clock::now();
@@ -151,14 +153,15 @@
         }
     }
 
-    /// The refusal of a request that got no token; `any_known` says that a shard answered, or had no token a moment ago.
+    /// Returns the refusal of a request that got no token. `any_known` is true if a shard answered,
+    /// or had no token a moment ago.
     fn refusal(&self, any_known: bool) -> QuotaRefusal {
         if refusal_without_token(any_known) != Reason::OverQuota {
             return QuotaRefusal::NoShard;
         }
         let now = clock::now();
         let caches = self.context.quota.caches();
-        let room_at = caches.get(self.tenant).and_then(|cache| cache.next_ask_at(now));
-        QuotaRefusal::AtLimit { return_after: return_time::at_limit(room_at.map(|at| at.since(now))) }
+        let next_ask_at = caches.get(self.tenant).and_then(|cache| cache.next_ask_at(now));
+        QuotaRefusal::AtLimit { return_after: return_time::at_limit(next_ask_at.map(|at| at.since(now))) }
     }
 }
--- a/crates/seamhatchd/src/limits/quota/holder.rs
+++ b/crates/seamhatchd/src/limits/quota/holder.rs
@@ -1,7 +1,7 @@
-//! Hands out tokens for the shards that this daemon holds.
+//! Grants tokens of the quota shards that this daemon holds.
 //!
-//! Owns the lease and the buckets of the tenants. The control thread takes and gives up shards; peers and requests here ask for
-//! tokens.
+//! Owns the lease and the tenants' buckets. The control thread takes and releases shards; peers and
+//! local requests ask for tokens.
 
 use super::{Quota, limit_of};
 use crate::base::clock;
@@ -13,41 +13,41 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Mutex, MutexGuard};
 
-/// Shards that this daemon holds under one lease, with the buckets of the tenants.
+/// Shards that this daemon holds under one lease, with the tenants' buckets.
 #[derive(Debug, Default)]
 pub struct HeldShards(Mutex<Holding>);
 
 #[derive(Debug, Default)]
 struct Holding {
     lease: ShardLease,
-    /// The shards, each with the moment from which its buckets fill.
+    /// The shards, each with the time from which its buckets fill.
     shards: BTreeMap<ShardNumber, Instant>,
     buckets: HashMap<ShardNumber, HashMap<String, QuotaBucket>>,
 }
 
 impl HeldShards {
-    /// Records that a call sent at `sent` made or renewed the lease.
+    /// Records that a call sent at `sent` created or renewed the lease.
     pub fn record_renewal(&self, sent: Instant, span: Microseconds) {
         self.lock().lease.renewed(sent, span);
     }
 
-    /// Records that a shard is held from now on, with empty buckets.
+    /// Adds a shard that is held from now on, with empty buckets.
     pub fn add(&self, shard: ShardNumber) {
         self.lock().shards.entry(shard).or_insert_with(clock::now);
     }
 
-    /// Gives up all shards, as the lease is over.
+    /// Drops the lease and all shards, so that no more tokens are granted.
     pub fn release_all(&self) {
         *self.lock() = Holding::default();
     }
 
-    /// Whether the lease counts.
+    /// Whether the lease is valid.
     #[must_use]
     pub fn has_lease(&self) -> bool {
         self.lock().lease.holds(clock::now())
     }
 
-    /// The shards held, a bit each.
+    /// Returns the shards held as a bit mask.
     #[must_use]
     pub fn mask(&self) -> u64 {
         self.lock().shards.keys().fold(0, |mask, shard| mask | 1 << shard)
@@ -58,8 +58,8 @@
     }
 }
 
-/// Hands out tokens of a shard, by the tenant's limit in the published configuration; none where this daemon doesn't hold the
-/// shard, or knows no such tenant.
+/// Grants tokens of a shard, by the tenant's limit in the published configuration. Returns `None`
+/// if this daemon does not hold the shard or the tenant is unknown.
 #[must_use]
 pub fn grant(
     quota: &Quota,
--- a/crates/seamhatchd/src/limits/quota/mod.rs
+++ b/crates/seamhatchd/src/limits/quota/mod.rs
@@ -1,6 +1,8 @@
-//! Limits of tenants: the shards that this daemon holds, the tokens that it holds, and where it asks for more.
+//! Tenant limits: the shards that this daemon holds, the tokens in its cache, and the holders that
+//! it asks for more.
 //!
-//! [`seamhatch_core::quota`] decides; shards are taken in `controllers::follow::quota_shards`.
+//! [`seamhatch_core::quota`] makes the decisions; shards are taken in
+//! `controllers::follow::quota_shards`.
 
 mod admission;
 mod directory;
@@ -19,27 +21,28 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard};
 
-/// A tenant without a request for this long has no token left here that counts. Chosen, not measured.
-const FORGOTTEN_AFTER: Microseconds = 60 * SECOND;
+/// Time without a request after which a tenant's cache is evicted. No token in it is still valid by
+/// then.
+const IDLE_CACHE_RETENTION: Microseconds = 60 * SECOND;
 
-/// What this daemon knows of the tenants' limits.
+/// State of the tenants' limits at this daemon.
 #[derive(Debug)]
 pub struct Quota {
-    /// How exactly limits are kept.
+    /// How exactly limits are enforced.
     pub policy: QuotaPolicy,
-    /// Shards of other daemons and this one, as far as is known.
+    /// Holders of the shards, this daemon included.
     pub directory: SharedShardDirectory,
     /// Shards held here.
     pub held: HeldShards,
     caches: Mutex<HashMap<String, TokenCache>>,
-    /// Whether any tenant has a limit that can be kept.
+    /// Whether any tenant has a limit that can be enforced.
     needed: AtomicBool,
-    /// This daemon stops, and leaves its shards to others.
+    /// Whether this daemon stops and hands over its shards.
     handing_over: AtomicBool,
 }
 
 impl Quota {
-    /// Nothing held, nothing known.
+    /// Creates the state of a daemon that holds no shards and knows no holders.
     #[must_use]
     pub fn new(policy: QuotaPolicy) -> Self {
         Self {
@@ -52,32 +55,32 @@
         }
     }
 
-    /// Sets whether any tenant has a limit that can be kept.
+    /// Sets whether any tenant has a limit that can be enforced.
     pub fn set_needed(&self, needed: bool) {
         self.needed.store(needed, Ordering::Relaxed);
     }
 
-    /// Whether any tenant has a limit that can be kept.
+    /// Whether any tenant has a limit that can be enforced.
     #[must_use]
     pub fn is_needed(&self) -> bool {
         self.needed.load(Ordering::Relaxed)
     }
 
-    /// Has this daemon leave its shards to others, and take none, for the rest of the process.
+    /// Makes this daemon hand over its shards and take none for the rest of the process.
     pub fn start_handover(&self) {
         self.handing_over.store(true, Ordering::Relaxed);
     }
 
-    /// Whether this daemon leaves its shards to others.
+    /// Whether this daemon hands over its shards.
     #[must_use]
     pub fn is_handing_over(&self) -> bool {
         self.handing_over.load(Ordering::Relaxed)
     }
 
-    /// Forgets the tenants without recent requests.
+    /// Evicts the caches of tenants without recent requests.
     pub fn forget_old(&self) {
         let now = clock::now();
-        self.caches().retain(|_, cache| now.since(cache.last_used()) < FORGOTTEN_AFTER);
+        self.caches().retain(|_, cache| now.since(cache.last_used()) < IDLE_CACHE_RETENTION);
     }
 
     fn caches(&self) -> MutexGuard<'_, HashMap<String, TokenCache>> {
@@ -85,7 +88,7 @@
     }
 }
 
-/// The limit of a tenant, if it has one.
+/// Returns the limit of a tenant, if it has one.
 fn limit_of(tenant: &Tenant) -> Option<TenantLimit> {
     tenant.limit.map(|limit| TenantLimit { rate: limit.rate, burst: limit.burst })
 }
--- a/crates/seamhatchd/src/limits/retry_budget.rs
+++ b/crates/seamhatchd/src/limits/retry_budget.rs
@@ -1,7 +1,8 @@
-//! The retry budget of this daemon, shared by the traffic threads.
+//! Retry budget of this daemon, shared by the traffic threads.
 //!
-//! Locks [`seamhatch_core::retry::RetryRatio`], which decides, and picks its policy: the settings' bound for the whole
-//! deployment where there is one, else the service's own ratio and burst. Dispatch calls it.
+//! Wraps [`seamhatch_core::retry::RetryRatio`], which makes the decisions, in a lock and chooses
+//! its policy: the bound for the whole deployment if the settings have one, otherwise the ratio and
+//! burst of the service. Used by dispatch.
 
 use crate::base::clock;
 use crate::base::lock::lock;
@@ -18,7 +19,7 @@
 }
 
 impl RetryBudget {
-    /// The budget of one daemon of a deployment with this bound.
+    /// Creates the budget of one daemon in a deployment with this bound.
     #[must_use]
     pub fn new(bound: Option<RetryBound>) -> Self {
         Self { bound, ratio: Mutex::default() }
@@ -29,12 +30,12 @@
         self.lock().first_try(service, self.policy(settings), clock::now());
     }
 
-    /// Counts a call that a repeated run makes.
+    /// Charges a call that is made by a repeated run.
     pub fn charge_call_of_repeat(&self, service: &str, settings: &ServiceSettings) {
         self.lock().charge_call_of_repeat(service, self.policy(settings), clock::now());
     }
 
-    /// Spends one retry; false when the budget is used up.
+    /// Spends one retry; returns false if the budget is used up.
     pub fn try_retry(&self, service: &str, settings: &ServiceSettings) -> bool {
         self.lock().try_retry(service, self.policy(settings), clock::now())
     }
--- a/crates/seamhatchd/src/limits/service_floors.rs
+++ b/crates/seamhatchd/src/limits/service_floors.rs
@@ -1,7 +1,9 @@
-//! What the servers of each service admit together, shared by all threads.
+//! Admission floors of services, computed from the reports of their servers and shared by all
+//! threads.
 //!
-//! Locks the table of [`seamhatch_core::service_floor`], which decides. Connections to other daemons write it when a report
-//! arrives or a server leaves; the request path reads it.
+//! Wraps the table in [`seamhatch_core::service_floor`], which makes the decisions, in a lock.
+//! Connections to other daemons write it when a report arrives or a server leaves; the request path
+//! reads it.
 
 use crate::base::lock::lock;
 use seamhatch_core::Instant;
@@ -16,7 +18,7 @@
 pub struct ServiceFloors(Mutex<ServiceFloorTable>);
 
 impl ServiceFloors {
-    /// Records a report. Returns what the service admits by all reports.
+    /// Records a report. Returns the floor of the service by all reports.
     pub fn record(
         &self,
         service: &str,
@@ -27,12 +29,13 @@
         self.lock().record(service, server, report.floor, report.limit, now)
     }
 
-    /// Forgets a server that accepts no more calls, or to which there is no connection any more.
+    /// Removes a server that accepts no more calls, or whose connection has ended.
     pub fn forget(&self, service: &str, server: Address) {
         self.lock().forget(service, server);
     }
 
-    /// What the service admits, as it is reported up a chain of calls; none where it admits everything.
+    /// Returns the floor of the service as it is reported up a chain of calls; `None` if the
+    /// service admits everything.
     #[must_use]
     pub fn floor(&self, service: &str, now: Instant) -> Option<ChainFloor> {
         let floor = self.lock().floor(service, now)?;
