--- a/crates/seamhatchd/src/server/backend/answer.rs
+++ b/crates/seamhatchd/src/server/backend/answer.rs
@@ -1,4 +1,4 @@
-//! An answer of the back end whose head has come.
+//! An answer of the back end whose head has been received.
 
 use super::connections::Connection;
 use super::error::{BackendError, describe};
@@ -12,31 +12,32 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// An answer whose head has been judged. Its connection is kept for other calls as soon as the body has been read to its end.
-/// Dropping the answer before that closes the connection, which has the back end stop.
+/// An answer whose head has been checked. Its connection is kept for other calls as soon as the
+/// body has been read to its end. Dropping the answer before that closes the connection, which
+/// makes the back end stop.
 #[derive(Debug)]
 pub struct BackendAnswer {
     /// Status.
     pub status: StatusCode,
     /// Header fields.
     pub headers: HeaderMap,
-    /// What it says of its back end.
+    /// Notice of the back end in the answer.
     pub notice: AnswerNotice,
     pub(super) body: Incoming,
     pub(super) connection: Option<Connection>,
     pub(super) request_written: Arc<AtomicBool>,
-    pub(super) idle_span: Microseconds,
+    pub(super) idle_timeout: Microseconds,
 }
 
 impl BackendAnswer {
-    /// The next piece of the body; none at its end. Cancel-safe.
+    /// Returns the next piece of the body, or `None` at its end. Cancel-safe.
     ///
     /// # Errors
-    /// The body will never be complete.
+    /// Returns a [`BackendError`] if the body will never be complete.
     pub async fn next(&mut self) -> Result<Option<Bytes>, BackendError> {
         while let Some(frame) = self.body.frame().await {
-            let frame = frame.map_err(|error| self.broke_off(&error))?;
-            // Trailers are dropped: no caller asked for them.
+            let frame = frame.map_err(|error| self.body_error(&error))?;
+            // Trailers are dropped: no caller has asked for them.
             if let Ok(data) = frame.into_data() {
                 return Ok(Some(data));
             }
@@ -45,21 +46,22 @@
         Ok(None)
     }
 
-    fn broke_off(&mut self, error: &hyper::Error) -> BackendError {
+    fn body_error(&mut self, error: &hyper::Error) -> BackendError {
         if let Some(connection) = self.connection.take() {
-            connection.lose(OpenCause::ClosedByServer);
+            connection.close(OpenCause::ClosedByServer);
         }
         BackendError::failed(describe(error))
     }
 
-    /// Keeps the connection of an answer that was read to its end, where the whole request was written. An answer that came
-    /// before leaves the rest of the request unwritten, which must not come before the next one.
+    /// Keeps the connection of an answer that was read to its end if the whole request was written.
+    /// After an answer that came earlier, the rest of the request is still unwritten, and it must
+    /// not precede the next request.
     pub(super) fn release(&mut self) {
         let Some(connection) = self.connection.take() else { return };
         if self.request_written.load(Ordering::Acquire) {
-            connection.keep(self.idle_span);
+            connection.return_to_pool(self.idle_timeout);
         } else {
-            connection.lose(OpenCause::UnusableAnswer);
+            connection.close(OpenCause::UnusableAnswer);
         }
     }
 }
--- a/crates/seamhatchd/src/server/backend/body.rs
+++ b/crates/seamhatchd/src/server/backend/body.rs
@@ -1,4 +1,4 @@
-//! Request bodies on their way to the back end, fed piece by piece as they come from the peer.
+//! Request bodies on their way to the back end, fed piece by piece as they arrive from the peer.
 
 use bytes::Bytes;
 use http_body_util::{Either, Empty, StreamBody};
@@ -10,7 +10,7 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// The caller broke off the request body, or its call was cancelled.
+/// The caller aborted the request body, or its call was cancelled.
 #[derive(Debug, Error)]
 #[error("the caller broke off the request body")]
 pub struct BodyAborted;
@@ -18,7 +18,7 @@
 /// A piece of a request body on its way to the back end.
 pub type BodyPiece = Result<Bytes, BodyAborted>;
 
-/// A request body fed through a channel; ends when the channel closes.
+/// A request body fed through a channel. It ends when the channel closes.
 #[derive(Debug)]
 pub struct ChannelStream {
     pieces: mpsc::UnboundedReceiver<BodyPiece>,
@@ -40,14 +40,14 @@
 /// Body of a request to the back end: pieces from a channel, or none.
 pub type HttpRequestBody = Either<StreamBody<ChannelStream>, Empty<Bytes>>;
 
-/// A request body, and whether all of it has been taken by the connection.
+/// A request body, and whether the connection has taken all of it.
 #[derive(Debug)]
 pub struct RequestBody {
     pub(super) http: HttpRequestBody,
     pub(super) written: Arc<AtomicBool>,
 }
 
-/// A request body and the end that feeds it.
+/// Returns a request body and the sender that feeds it.
 #[must_use]
 pub fn request_body() -> (mpsc::UnboundedSender<BodyPiece>, RequestBody) {
     let (sender, pieces) = mpsc::unbounded_channel();
@@ -56,7 +56,7 @@
     (sender, RequestBody { http: Either::Left(StreamBody::new(stream)), written })
 }
 
-/// The body of a request that has none.
+/// Returns the body of a request that has none.
 #[must_use]
 pub fn no_body() -> RequestBody {
     RequestBody { http: Either::Right(Empty::new()), written: Arc::new(AtomicBool::new(true)) }
--- a/crates/seamhatchd/src/server/backend/connections.rs
+++ b/crates/seamhatchd/src/server/backend/connections.rs
@@ -1,8 +1,9 @@
-//! Kept connections to the back end beside the daemon.
+//! Idle connections to the local back end.
 //!
-//! Not the pool of `hyper-util`: a connection may only be kept when the whole request was written and
-//! the whole answer read, it must go when the back end's instance changes, and cancelling a call must
-//! close its connection at once, since that is how the back end learns of it.
+//! The pool of `hyper-util` is not used, for three reasons. A connection may be kept only if the
+//! whole request was written and the whole answer read. It must be closed when the back end's
+//! instance changes. Cancelling a call must close its connection at once, since that is how the
+//! back end learns of the cancellation.
 
 use super::body::HttpRequestBody;
 use super::stream::{CheckedStream, SharedCheck};
@@ -25,18 +26,21 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// Longest wait for a TCP connection; the back end is on the same machine. Chosen, not measured.
+/// Longest wait for a TCP connection; the back end is on the same machine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long an idle connection is kept when the back end doesn't say, margin included. Chosen, not measured.
-const DEFAULT_IDLE: Microseconds = 8 * SECOND;
-/// An idle connection is closed this long before the back end does so, so that no call meets the close. Chosen, not measured.
+/// Time for which an idle connection is kept if the back end does not state one, margin included,
+/// in microseconds.
+const DEFAULT_IDLE_TIMEOUT: Microseconds = 8 * SECOND;
+/// Margin by which an idle connection is closed before the back end closes it, so that no call meets
+/// the close, in microseconds.
 const IDLE_MARGIN: Microseconds = SECOND;
-/// Longest wait for a connection to be done with an exchange that has ended. Chosen, not measured.
-const SETTLE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Most lost connections that are remembered as causes to open others. Bounds the memory; more than this are not in use at once.
-const MOST_LOSSES: usize = 256;
+/// Longest wait for a connection to become ready after an exchange that has ended.
+const READY_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum number of closed connections that are recorded as causes to open others. Bounds the
+/// memory; no more connections than this are in use at once.
+const MAX_RECORDED_CLOSES: usize = 256;
 
-/// An open connection; dropping it closes it at once, whatever is in progress on it.
+/// An open connection. Dropping it closes it at once, whatever is in progress on it.
 #[derive(Debug)]
 struct Link {
     sender: SendRequest<HttpRequestBody>,
@@ -53,7 +57,7 @@
 /// A connection in use. Dropping it closes it, which cancels its call.
 #[derive(Debug)]
 pub struct Connection {
-    /// None once the connection has been kept or lost.
+    /// `None` once the connection has been returned to the pool or closed.
     link: Option<Link>,
     pool: Connections,
 }
@@ -62,7 +66,8 @@
     /// Writes a request and waits for the head of the answer.
     ///
     /// # Errors
-    /// No answer came. The error holds the request where nothing of it was written.
+    /// Returns an error if no answer came. The error holds the request if nothing of it was
+    /// written.
     pub async fn try_send(
         &mut self,
         message: Request<HttpRequestBody>,
@@ -78,57 +83,58 @@
         self.link.as_ref().is_none_or(|link| link.sender.is_closed())
     }
 
-    /// Keeps a connection whose request was written and whose answer was read as a whole. Where it is ready for the next request, no
-    /// task has to wait for that.
-    pub fn keep(mut self, idle_span: Microseconds) {
+    /// Returns the connection to the pool. Its request must have been written and its answer read
+    /// completely. If the connection is ready for the next request, no task has to wait for that.
+    pub fn return_to_pool(mut self, idle_timeout: Microseconds) {
         let Some(mut link) = self.link.take() else { return };
         let pool = self.pool.clone();
         if link.sender.is_ready() {
-            return pool.add(link, idle_span);
+            return pool.add(link, idle_timeout);
         }
         tokio::spawn(async move {
-            match tokio::time::timeout(SETTLE_TIMEOUT, link.sender.ready()).await {
-                Ok(Ok(())) => pool.add(link, idle_span),
-                Ok(Err(_)) => pool.note_loss(OpenCause::ClosedByServer),
-                Err(_) => pool.note_loss(OpenCause::UnusableAnswer),
+            match tokio::time::timeout(READY_TIMEOUT, link.sender.ready()).await {
+                Ok(Ok(())) => pool.add(link, idle_timeout),
+                Ok(Err(_)) => pool.record_close(OpenCause::ClosedByServer),
+                Err(_) => pool.record_close(OpenCause::UnusableAnswer),
             }
         });
     }
 
-    /// Closes the connection for this cause.
-    pub fn lose(mut self, cause: OpenCause) {
+    /// Closes the connection and records the cause.
+    pub fn close(mut self, cause: OpenCause) {
         self.link = None;
-        self.pool.note_loss(cause);
+        self.pool.record_close(cause);
     }
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
         if self.link.take().is_some() {
-            self.pool.note_loss(OpenCause::Cancelled);
+            self.pool.record_close(OpenCause::Cancelled);
         }
     }
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     link: Link,
     until: Instant,
 }
 
-/// A connection that was closed and would be idle now.
+/// A connection that was closed and would otherwise be idle now.
 #[derive(Debug)]
-struct Loss {
+struct ClosedConnection {
     cause: OpenCause,
     until: Instant,
 }
 
 #[derive(Debug, Default)]
 struct Pool {
-    /// In the order in which they were used last.
-    idle: VecDeque<Idle>,
-    /// In the order of time. Each stands for one connection that has to be opened in its place.
-    losses: VecDeque<Loss>,
+    /// Ordered by last use.
+    idle: VecDeque<IdleConnection>,
+    /// Ordered by time. Each entry stands for one connection that has to be opened as a
+    /// replacement.
+    closed: VecDeque<ClosedConnection>,
 }
 
 /// The idle connections to one address.
@@ -140,25 +146,27 @@
 }
 
 impl Connections {
-    /// No connections yet to the back end at `address`.
+    /// Creates a pool without connections for the back end at `address`.
     pub fn new(address: Address, metrics: Arc<Metrics>) -> Self {
         Self { address, pool: Arc::default(), metrics }
     }
 
-    /// Takes the connection that was used last, so that the others can age. From now on it is watched by `check`.
+    /// Takes the connection that was used last, so that the others can age. The connection uses
+    /// `check` from now on.
     pub fn take_idle(&self, check: SilenceCheck) -> Option<Connection> {
         let now = clock::now();
         let mut pool = self.lock();
-        // Each is removed once, so that a call does not pay for the number of those that stay.
+        // Each expired connection is removed once, so that the cost of a call does not depend on
+        // the number of those that stay.
         while pool.idle.front().is_some_and(|oldest| oldest.until <= now) {
             pool.idle.pop_front();
         }
-        while let Some(Idle { link, until }) = pool.idle.pop_back() {
+        while let Some(IdleConnection { link, until }) = pool.idle.pop_back() {
             if until <= now {
                 continue;
             }
             if link.sender.is_closed() {
-                pool.note_loss(OpenCause::ClosedByServer, now);
+                pool.record_close(OpenCause::ClosedByServer, now);
                 continue;
             }
             link.check.set(check);
@@ -167,23 +175,25 @@
         None
     }
 
-    /// Why a connection has to be opened now: in place of the one that was lost last, unless that one would not be idle any more.
-    pub fn cause_to_open(&self) -> OpenCause {
+    /// Returns the cause for opening a connection now: it replaces the connection that was closed
+    /// last, unless that one would no longer be idle.
+    pub fn open_cause(&self) -> OpenCause {
         let now = clock::now();
         let mut pool = self.lock();
-        let lost = pool.losses.pop_back().filter(|loss| loss.until > now);
-        lost.map_or(OpenCause::NoneIdle, |loss| loss.cause)
+        let last_closed = pool.closed.pop_back().filter(|closed| closed.until > now);
+        last_closed.map_or(OpenCause::NoneIdle, |closed| closed.cause)
     }
 
-    /// Closes the connection that has been idle for longest, if any: the back end takes only so many connections.
-    pub fn make_room(&self) {
+    /// Closes the connection that has been idle longest, if any, since the back end accepts a
+    /// limited number of connections.
+    pub fn close_oldest_idle(&self) {
         self.lock().idle.pop_front();
     }
 
     /// Opens a connection.
     ///
     /// # Errors
-    /// It was refused or did not come up in time; nothing was written.
+    /// Returns an error if the connection was refused or timed out; nothing was written.
     pub async fn open(&self, check: SilenceCheck, cause: OpenCause) -> std::io::Result<Connection> {
         self.metrics.backend_connection(cause);
         let connecting = TcpStream::connect(SocketAddr::from(self.address));
@@ -198,17 +208,17 @@
         Ok(Connection { link: Some(Link { sender, task, check: shared_check }), pool: self.clone() })
     }
 
-    fn add(&self, link: Link, idle_span: Microseconds) {
-        let until = clock::now().plus(idle_span);
-        self.lock().idle.push_back(Idle { link, until });
+    fn add(&self, link: Link, idle_timeout: Microseconds) {
+        let until = clock::now().plus(idle_timeout);
+        self.lock().idle.push_back(IdleConnection { link, until });
     }
 
-    fn note_loss(&self, cause: OpenCause) {
-        self.lock().note_loss(cause, clock::now());
+    fn record_close(&self, cause: OpenCause) {
+        self.lock().record_close(cause, clock::now());
     }
 
     /// Closes all idle connections.
-    pub fn forget(&self) {
+    pub fn close_idle(&self) {
         self.lock().idle.clear();
     }
 
@@ -218,19 +228,20 @@
 }
 
 impl Pool {
-    fn note_loss(&mut self, cause: OpenCause, now: Instant) {
-        if self.losses.len() >= MOST_LOSSES {
-            self.losses.pop_front();
+    fn record_close(&mut self, cause: OpenCause, now: Instant) {
+        if self.closed.len() >= MAX_RECORDED_CLOSES {
+            self.closed.pop_front();
         }
-        self.losses.push_back(Loss { cause, until: now.plus(DEFAULT_IDLE) });
+        self.closed.push_back(ClosedConnection { cause, until: now.plus(DEFAULT_IDLE_TIMEOUT) });
     }
 }
 
-/// How long a connection may be kept idle after an answer with these fields: what `Keep-Alive` says, less a margin.
-pub fn idle_span(headers: &HeaderMap) -> Microseconds {
+/// Returns how long a connection may be kept idle after an answer with these fields: the time in
+/// `Keep-Alive`, less a margin.
+pub fn idle_timeout(headers: &HeaderMap) -> Microseconds {
     let stated = headers.get("keep-alive").and_then(|value| value.to_str().ok()).and_then(|value| {
         let timeout = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
         timeout.parse::<u64>().ok()
     });
-    stated.map_or(DEFAULT_IDLE, |seconds| seconds * SECOND).saturating_sub(IDLE_MARGIN)
+    stated.map_or(DEFAULT_IDLE_TIMEOUT, |seconds| seconds * SECOND).saturating_sub(IDLE_MARGIN)
 }
--- a/crates/seamhatchd/src/server/backend/error.rs
+++ b/crates/seamhatchd/src/server/backend/error.rs
@@ -7,22 +7,23 @@
 /// Why the back end gave no answer.
 #[derive(Debug, Error)]
 pub enum BackendError {
-    /// It did not run the call and won't: nothing was written, or it says so itself.
+    /// The back end did not run the call and won't: nothing was written, or the back end says so
+    /// itself.
     #[error(
         "the back end did not run the call ({reason}): {detail}; check that it listens on backend.address"
     )]
     NotRun {
-        /// The kind of failure.
+        /// Kind of failure.
         reason: Reason,
-        /// Why.
+        /// Description of the failure.
         detail: String,
-        /// What it says of itself beside.
+        /// Notice of the back end in its answer.
         notice: AnswerNotice,
     },
-    /// It may have begun to work.
+    /// The back end may have started to work on the call.
     #[error("the back end broke off: {detail}; its own log tells why")]
     Failed {
-        /// Why.
+        /// Description of the failure.
         detail: String,
     },
 }
@@ -36,19 +37,19 @@
         Self::not_sent(Reason::BackendUnreachable, detail)
     }
 
-    /// Nothing was written.
+    /// Creates the error of a call of which nothing was written.
     pub(super) fn not_sent(reason: Reason, detail: impl Into<String>) -> Self {
         Self::NotRun { reason, detail: detail.into(), notice: AnswerNotice::default() }
     }
 
-    /// A failure of a request on a connection: one that was not written at all can be sent again.
+    /// Converts an error of an exchange. A request of which nothing was written can be sent again.
     pub(super) fn of_exchange(error: &hyper::Error, was_written: bool) -> Self {
         let detail = describe(error);
         if was_written { Self::failed(detail) } else { Self::unreachable(detail) }
     }
 }
 
-/// An error with all its causes.
+/// Returns the message of an error with those of all its causes.
 pub(super) fn describe(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
--- a/crates/seamhatchd/src/server/backend/mod.rs
+++ b/crates/seamhatchd/src/server/backend/mod.rs
@@ -1,8 +1,9 @@
-//! HTTP to the back end beside the daemon.
+//! HTTP connections to the local back end.
 //!
-//! Owns the kept connections to it. An error says whether the back end can have run the call, so that `not-run` is said only
-//! where it is proven. Relies on the conventions for the meaning of header fields and answers. Used by the server side of
-//! calls; `client` is for other HTTP services.
+//! Owns the idle connections. Errors tell whether the back end may have run the call, so that
+//! `not-run` is reported only if it is proven. The conventions define the meaning of header fields
+//! and answers. Used by the server side of calls; other HTTP services are called by
+//! `base::http_client`.
 
 mod answer;
 mod body;
@@ -22,7 +23,7 @@
 use crate::conventions::{AnswerVerdict, BackEndCall, HttpConventions};
 use body::HttpRequestBody;
 use bytes::Bytes;
-use connections::{Connection, Connections, idle_span};
+use connections::{Connection, Connections, idle_timeout};
 use futures_util::FutureExt;
 use http::{HeaderMap, Request, Response};
 use http_body_util::BodyExt;
@@ -35,19 +36,20 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Connections in a row that must be refused, or closed at once, before the back end counts as gone, as one may still be
-/// established while the process is ending.
+/// Number of consecutive connection attempts that must be refused, or closed at once, before the
+/// back end counts as exited. A single one may still be established while the process is ending.
 const PROBES: u32 = 2;
-/// How long each of them is watched: a process closes its connections one after the other, its listener among them, and a back
-/// end that has no room for connections takes others a moment later. Without the wait some crashes were reported 1.3 s late.
-/// Calls that broke off wait for it.
+/// Time for which each attempt is observed. A process that ends closes its connections one after
+/// the other, its listener among them, and a back end that has reached its connection limit accepts
+/// others a moment later. Without the wait, some crashes are reported 1.3 s late. Calls that broke
+/// off wait for the result.
 const PROBE_PAUSE: Duration = Duration::from_millis(8);
 /// Longest body of a refusal that is read so that its connection can be kept, in bytes.
-const LONGEST_REFUSAL: usize = 4 * 1024;
-/// Longest wait for the rest of that body. Until then its connection serves no other call.
+const MAX_REFUSAL_BODY_BYTES: usize = 4 * 1024;
+/// Longest wait for the rest of that body. Its connection serves no other call until then.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The back end beside the daemon.
+/// The local back end.
 #[derive(Debug)]
 pub struct Backend {
     address: Address,
@@ -56,7 +58,7 @@
 }
 
 impl Backend {
-    /// The back end at `address`.
+    /// Creates the client of the back end at `address`.
     #[must_use]
     pub fn new(address: Address, conventions: Arc<dyn HttpConventions>, metrics: Arc<Metrics>) -> Self {
         Self { address, connections: Connections::new(address, metrics), conventions }
@@ -65,7 +67,8 @@
     /// Sends a request and waits for the head of the answer.
     ///
     /// # Errors
-    /// [`BackendError::NotRun`] only when nothing was written or the back end says so.
+    /// Returns [`BackendError::NotRun`] only if nothing was written or the back end states that it
+    /// did not run the call.
     pub async fn send(
         &self,
         request: &BackendRequest<'_>,
@@ -82,11 +85,11 @@
             .message(&call, &*self.conventions, self.address, body.http)
             .map_err(|error| BackendError::not_sent(Reason::BadRequest, error.to_string()))?;
         let (connection, response) = self.exchange(message).await?;
-        self.judge(&call, connection, response, body.written).await
+        self.check_response(&call, connection, response, body.written).await
     }
 
-    /// Takes the response for the answer to the call, unless its head says otherwise.
-    async fn judge(
+    /// Accepts the response as the answer to the call, unless its head says otherwise.
+    async fn check_response(
         &self,
         call: &BackEndCall<'_>,
         connection: Connection,
@@ -99,7 +102,7 @@
         match verdict {
             AnswerVerdict::Answer => Ok(BackendAnswer {
                 notice,
-                idle_span: idle_span(&parts.headers),
+                idle_timeout: idle_timeout(&parts.headers),
                 status: parts.status,
                 headers: parts.headers,
                 body,
@@ -108,12 +111,13 @@
             }),
             AnswerVerdict::NotRun(reason) => {
                 let detail = format!("status {}", parts.status);
-                discard(connection, body, idle_span(&parts.headers), request_written);
+                discard(connection, body, idle_timeout(&parts.headers), request_written);
                 Err(BackendError::NotRun { reason, detail, notice })
             }
             AnswerVerdict::Unusable(why) => {
-                // Whoever sent it is not the back end, or has mixed up its answers: nothing else may come from there.
-                connection.lose(OpenCause::UnusableAnswer);
+                // The sender is not the back end or has mixed up its answers, so nothing more may
+                // be read from this connection.
+                connection.close(OpenCause::UnusableAnswer);
                 Err(BackendError::failed(why))
             }
         }
@@ -124,35 +128,35 @@
         answer.release();
     }
 
-    /// Whether nothing listens at the back end's address any more: its process has ended. A connection that opens is kept for
-    /// the next call.
+    /// Whether nothing listens at the back end's address any more, which means that its process has
+    /// ended. A connection that opens is kept for the next call.
     pub async fn has_exited(&self) -> bool {
         for _probe in 0..PROBES {
-            self.connections.make_room();
+            self.connections.close_oldest_idle();
             let opened = self.connections.open(SilenceCheck::Always, OpenCause::Probe).await;
             tokio::time::sleep(PROBE_PAUSE).await;
             match opened {
-                // Established while the process was ending, and reset with it.
-                Ok(connection) if connection.is_closed() => connection.lose(OpenCause::ClosedByServer),
+                // The connection was established while the process was ending, and reset with it.
+                Ok(connection) if connection.is_closed() => connection.close(OpenCause::ClosedByServer),
                 Ok(connection) => {
-                    connection.keep(idle_span(&HeaderMap::new()));
+                    connection.return_to_pool(idle_timeout(&HeaderMap::new()));
                     return false;
                 }
                 Err(error) if error.kind() == std::io::ErrorKind::ConnectionRefused => {}
-                // Silence is no proof: the process may be frozen.
+                // A time-out proves nothing: the process may be frozen.
                 Err(_) => return false,
             }
         }
         true
     }
 
-    /// Closes all idle connections, as another instance may have the address.
+    /// Closes all idle connections, since another instance may use the address.
     pub fn close_idle_connections(&self) {
-        self.connections.forget();
+        self.connections.close_idle();
     }
 
-    /// Writes a request on a kept connection or a new one. A kept connection that closed before anything was written gives the
-    /// request back.
+    /// Writes a request on an idle connection or a new one. An idle connection that closed before
+    /// anything was written returns the request, which is then sent on another one.
     async fn exchange(
         &self,
         mut message: Request<HttpRequestBody>,
@@ -162,7 +166,7 @@
             match connection.try_send(message).await {
                 Ok(response) => return Ok((connection, response)),
                 Err(mut error) => {
-                    connection.lose(OpenCause::ClosedByServer);
+                    connection.close(OpenCause::ClosedByServer);
                     match error.take_message() {
                         Some(unsent) => message = unsent,
                         None => return Err(BackendError::of_exchange(error.error(), true)),
@@ -170,13 +174,13 @@
                 }
             }
         }
-        let cause = self.connections.cause_to_open();
+        let cause = self.connections.open_cause();
         let opened = self.connections.open(check, cause).await;
         let mut connection = opened.map_err(|error| BackendError::unreachable(error.to_string()))?;
         match connection.try_send(message).await {
             Ok(response) => Ok((connection, response)),
             Err(mut error) => {
-                connection.lose(OpenCause::ClosedByServer);
+                connection.close(OpenCause::ClosedByServer);
                 let was_written = error.take_message().is_none();
                 Err(BackendError::of_exchange(error.error(), was_written))
             }
@@ -184,20 +188,20 @@
     }
 }
 
-/// Reads the body of a refusal to its end where that is short, so that the connection can be kept. The refusal does not wait for a body
-/// that is still on its way.
+/// Reads the body of a refusal to its end if it is short, so that the connection can be kept. The
+/// refusal does not wait for a body that has not arrived yet.
 fn discard(
     connection: Connection,
     body: Incoming,
-    idle_span: Microseconds,
+    idle_timeout: Microseconds,
     request_written: Arc<AtomicBool>,
 ) {
     let mut reading = Box::pin(async move {
-        let read = tokio::time::timeout(DISCARD_TIMEOUT, read_short(body)).await;
+        let read = tokio::time::timeout(DISCARD_TIMEOUT, read_short_body(body)).await;
         if read == Ok(true) && request_written.load(Ordering::Acquire) {
-            connection.keep(idle_span);
+            connection.return_to_pool(idle_timeout);
         } else {
-            connection.lose(OpenCause::UnusableAnswer);
+            connection.close(OpenCause::UnusableAnswer);
         }
     });
     if (&mut reading).now_or_never().is_none() {
@@ -205,13 +209,13 @@
     }
 }
 
-/// Reads a body; true when it came to its end within [`LONGEST_REFUSAL`].
-async fn read_short(mut body: Incoming) -> bool {
+/// Reads a body. Returns true if it ended within [`MAX_REFUSAL_BODY_BYTES`].
+async fn read_short_body(mut body: Incoming) -> bool {
     let mut length = 0;
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else { return false };
         length += frame.data_ref().map_or(0, Bytes::len);
-        if length > LONGEST_REFUSAL {
+        if length > MAX_REFUSAL_BODY_BYTES {
             return false;
         }
     }
--- a/crates/seamhatchd/src/server/backend/request.rs
+++ b/crates/seamhatchd/src/server/backend/request.rs
@@ -1,4 +1,4 @@
-//! A request to the back end, from the call that it runs.
+//! Requests to the back end, created from the calls that it runs.
 
 use super::body::HttpRequestBody;
 use crate::base::keepalive::SilenceCheck;
@@ -12,32 +12,32 @@
 use seamhatch_core::instance::InstanceId;
 use seamhatch_wire::HeaderField;
 
-/// Longest request body in bytes that the buffers of a connection surely hold, whether or not the back end reads it.
-/// Chosen, not measured.
-const SHORT_BODY: u64 = 16 * 1024;
+/// Longest request body that the buffers of a connection hold for certain, whether or not the back
+/// end reads it, in bytes.
+const MAX_BUFFERED_BODY_BYTES: u64 = 16 * 1024;
 
-/// What is sent to the back end.
+/// A request to the back end.
 #[derive(Debug)]
 pub struct BackendRequest<'a> {
     /// HTTP method.
     pub method: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// Fields that pass through.
+    /// Header fields that are passed on.
     pub headers: &'a [HeaderField],
     /// Reference to the running call, for the back end's own calls.
     pub context: &'a str,
-    /// When the call becomes useless, in the local boot clock.
+    /// Deadline of the call, in the local boot clock.
     pub expiry: Instant,
-    /// The instance that it is meant for, where instances are registered.
+    /// Instance that the request is meant for, if instances register.
     pub instance: Option<&'a InstanceId>,
 }
 
 impl BackendRequest<'_> {
-    /// The HTTP message.
+    /// Returns the HTTP message.
     ///
     /// # Errors
-    /// The method, path or host is not valid HTTP.
+    /// Returns an error if the method, path or host is not valid HTTP.
     pub(super) fn message(
         &self,
         call: &BackEndCall<'_>,
@@ -58,15 +58,16 @@
     }
 }
 
-/// How the connection of a request is watched: bytes of a long body may wait for a slow back end.
+/// Returns the silence check for the connection of a request: bytes of a long body may wait for a
+/// slow back end.
 pub(super) fn silence_check(message: &Request<HttpRequestBody>) -> SilenceCheck {
     if message.body().is_end_stream() {
         return SilenceCheck::Always;
     }
     let length = message.headers().get(CONTENT_LENGTH).and_then(|value| value.to_str().ok()?.parse().ok());
     match length {
-        Some(0..=SHORT_BODY) => SilenceCheck::Always,
-        // A length that is absent or can't be read may be long.
+        Some(0..=MAX_BUFFERED_BODY_BYTES) => SilenceCheck::Always,
+        // A body whose length is absent or unreadable may be long.
         _ => SilenceCheck::WhileIdle,
     }
 }
--- a/crates/seamhatchd/src/server/backend/stream.rs
+++ b/crates/seamhatchd/src/server/backend/stream.rs
@@ -1,7 +1,9 @@
-//! The stream of a connection to the back end, whose silence check changes with the request that is written.
+//! The stream of a connection to the back end, whose silence check changes with the request that is
+//! written.
 //!
-//! The check is an option of the socket, and the HTTP library owns the socket: a connection takes the check of its next request before
-//! that is written, so that requests of both kinds share the idle connections.
+//! The check is a socket option, and the HTTP library owns the socket. The stream therefore applies
+//! the check of the next request before it writes, so that requests of both kinds share the idle
+//! connections.
 
 use crate::base::keepalive::{SilenceCheck, set_silence_check};
 use std::io::{self, IoSlice};
@@ -12,17 +14,17 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// The check that a connection is to have for the next request.
+/// The silence check that a connection is to have for the next request.
 #[derive(Debug, Clone)]
 pub struct SharedCheck(Arc<AtomicBool>);
 
 impl SharedCheck {
-    /// This check.
+    /// Creates the handle with its initial check.
     pub fn new(check: SilenceCheck) -> Self {
         Self(Arc::new(AtomicBool::new(check == SilenceCheck::Always)))
     }
 
-    /// Changes the check of everything that is written from now on.
+    /// Sets the check for everything that is written from now on.
     pub fn set(&self, check: SilenceCheck) {
         self.0.store(check == SilenceCheck::Always, Ordering::Release);
     }
@@ -32,25 +34,25 @@
     }
 }
 
-/// A stream that takes the check that is wanted before it writes.
+/// A stream that applies the requested check before it writes.
 #[derive(Debug)]
 pub struct CheckedStream {
     stream: TcpStream,
-    wanted: SharedCheck,
-    in_force: SilenceCheck,
+    requested: SharedCheck,
+    applied: SilenceCheck,
 }
 
 impl CheckedStream {
-    /// A stream that has the wanted check already.
-    pub fn new(stream: TcpStream, wanted: SharedCheck) -> Self {
-        Self { stream, in_force: wanted.get(), wanted }
+    /// Wraps a stream that already has the requested check.
+    pub fn new(stream: TcpStream, requested: SharedCheck) -> Self {
+        Self { stream, applied: requested.get(), requested }
     }
 
-    fn with_wanted_check(&mut self) -> io::Result<Pin<&mut TcpStream>> {
-        let wanted = self.wanted.get();
-        if wanted != self.in_force {
-            set_silence_check(&self.stream, wanted)?;
-            self.in_force = wanted;
+    fn apply_requested_check(&mut self) -> io::Result<Pin<&mut TcpStream>> {
+        let requested = self.requested.get();
+        if requested != self.applied {
+            set_silence_check(&self.stream, requested)?;
+            self.applied = requested;
         }
         Ok(Pin::new(&mut self.stream))
     }
@@ -72,7 +74,7 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.with_wanted_check()?.poll_write(context, bytes)
+        self.apply_requested_check()?.poll_write(context, bytes)
     }
 
     fn poll_write_vectored(
@@ -80,7 +82,7 @@
         context: &mut Context<'_>,
         pieces: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.with_wanted_check()?.poll_write_vectored(context, pieces)
+        self.apply_requested_check()?.poll_write_vectored(context, pieces)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/seamhatchd/src/server/crashes/mod.rs
+++ b/crates/seamhatchd/src/server/crashes/mod.rs
@@ -1,9 +1,11 @@
-//! Crashes of the back end beside this daemon, the calls that ran then, and what follows for them.
+//! Crashes of the local back end, the calls that were running then, and the consequences for their
+//! requests.
 //!
-//! A crash is one instance of the back end that ended without reporting that it leaves: connections closed and nothing listens
-//! any more. An answer that broke off is none. [`seamhatch_core::crashes`] decides what
-//! follows; here the back end is looked for, suspects wait for their trial runs, and crashes are reported to the control
-//! thread, which spreads them.
+//! A crash is the end of a back end instance that did not report that it leaves: its connections
+//! close and nothing listens any more. An answer that breaks off is not a crash.
+//! [`seamhatch_core::crashes`] decides the consequences; this module probes the back end, lets
+//! suspects wait for their trial runs, and reports crashes to the control thread, which spreads
+//! them.
 
 mod report;
 mod suspects;
@@ -25,12 +27,12 @@
 use seamhatch_core::instance::InstanceId;
 use seamhatch_core::outcome::Reason;
 
-/// The parts of the daemon that notice a crash, or have to hear of it.
+/// The parts of the daemon that detect a crash or are notified of it.
 #[derive(Debug, Clone, Copy)]
 pub struct CrashContext<'a> {
-    /// The back end.
+    /// The local back end.
     pub server: &'a LocalServer,
-    /// Requests that ran when servers crashed, here and elsewhere.
+    /// Requests that were running when servers crashed, here and elsewhere.
     pub suspects: &'a SuspectRegistry,
     /// Counts the crash.
     pub metrics: &'a Metrics,
@@ -39,32 +41,34 @@
 }
 
 impl CrashContext<'_> {
-    /// Whether the back end has crashed: under a call to `instance`, with its answer's last byte, or before the call could be
-    /// sent. The first call that finds out reports it for all that ran.
-    pub async fn has_crashed(&self, work: &TrackedRun, instance: Option<&InstanceId>) -> bool {
-        let watch = &self.server.crashes;
-        if watch.has_ended(work) {
+    /// Whether the back end has crashed: during a call to `instance`, with the last byte of its
+    /// answer, or before the call could be sent. The first call that finds out reports the crash
+    /// for all calls that were running.
+    pub async fn has_crashed(&self, run: &TrackedRun, instance: Option<&InstanceId>) -> bool {
+        let tracker = &self.server.crashes;
+        if tracker.has_ended(run) {
             return true;
         }
-        let broke = clock::now();
-        let mut seen_alive = watch.seen_alive.lock().await;
-        if watch.has_ended(work) {
+        let broken_at = clock::now();
+        let mut last_seen_alive = tracker.last_seen_alive.lock().await;
+        if tracker.has_ended(run) {
             return true;
         }
-        // Many connections may break at once: one look that began after that answers for all of them.
-        if *seen_alive >= broke {
+        // Many connections may break at once: one probe that began after that is valid for all of
+        // them.
+        if *last_seen_alive >= broken_at {
             return false;
         }
-        let looked = clock::now();
+        let probed_at = clock::now();
         let is_leaving = || instance.is_some_and(|instance| self.server.instances.is_leaving(instance));
-        // The goodbye may come while the back end is being looked for.
+        // The back end may announce its departure during the probe.
         if is_leaving() || !self.server.backend.has_exited().await || is_leaving() {
-            *seen_alive = looked;
+            *last_seen_alive = probed_at;
             return false;
         }
-        let crashed = watch.end_instance(work);
+        let crashed = tracker.end_instance(run);
         if !crashed.suspects.is_empty() {
-            self.report(work.instance, instance, &crashed);
+            self.report(run.instance, instance, &crashed);
         }
         if let Some(instance) = instance {
             self.control.lost_instance(instance.clone(), Reason::BackendCrashed);
@@ -72,8 +76,9 @@
         true
     }
 
-    /// Records that another instance of the back end is there in place of `instance`, which had not reported that it leaves.
-    /// Where this daemon was frozen while that one crashed, nothing else shows the crash.
+    /// Records that another instance of the back end has replaced `instance`, which had not
+    /// reported that it leaves. If this daemon was frozen while that instance crashed, nothing else
+    /// shows the crash.
     pub fn record_replaced_instance(&self, instance: &InstanceId) {
         let crashed = self.server.crashes.replace_instance(instance);
         if !crashed.suspects.is_empty() {
@@ -81,29 +86,31 @@
         }
     }
 
-    /// Records that a daemon has ended under these runs, together with the server beside it as far as anybody can tell.
+    /// Records that a daemon has ended during these runs, together with the server beside it as far
+    /// as can be determined.
     pub fn record_lost_daemon(&self, daemon: Address, incarnation: Incarnation, runs: &[LostRun]) {
-        let news = self.suspects.report_loss(InstanceDigest::beside_lost_daemon(daemon, incarnation), runs);
+        let new_evidence =
+            self.suspects.report_loss(InstanceDigest::beside_lost_daemon(daemon, incarnation), runs);
         warn!(
             peer = daemon.to_string().as_str(),
             calls = runs.len(),
-            counted = news.len(),
-            crashes_by_digest = self.evidence(news.iter().copied()).as_str();
+            counted = new_evidence.len(),
+            crashes_by_digest = self.format_evidence(new_evidence.iter().copied()).as_str();
             "a daemon has ended under calls"
         );
-        if !news.is_empty() {
-            self.control.suspects_changed(news.clone());
-            self.control.remember_evidence(news);
+        if !new_evidence.is_empty() {
+            self.control.suspects_changed(new_evidence.clone());
+            self.control.remember_evidence(new_evidence);
         }
     }
 
-    /// Requests and the crashes that speak against each, for the log.
-    fn evidence(&self, requests: impl Iterator<Item = RequestDigest>) -> String {
+    /// Formats requests with the number of crashes counted against each, for the log.
+    fn format_evidence(&self, requests: impl Iterator<Item = RequestDigest>) -> String {
         let crashes = |request| self.suspects.standing(request).crashes();
         requests.map(|request| format!("{request}:{}", crashes(request))).collect::<Vec<_>>().join(",")
     }
 
-    /// Records a crash here and has it reported to other daemons.
+    /// Records a crash of the local back end and reports it to other daemons.
     fn report(&self, digest: InstanceDigest, instance: Option<&InstanceId>, crashed: &CrashedRuns) {
         let suspects = crashed.suspects.as_slice();
         self.suspects.report_crash(digest, suspects);
@@ -116,7 +123,7 @@
     }
 
     fn log_crash(&self, instance: Option<&InstanceId>, crashed: &CrashedRuns) {
-        let evidence = self.evidence(crashed.suspects.iter().map(|suspect| suspect.request));
+        let evidence = self.format_evidence(crashed.suspects.iter().map(|suspect| suspect.request));
         warn!(
             instance = instance.map_or("", |instance| instance.name.as_str()),
             calls = crashed.calls,
@@ -127,10 +134,10 @@
     }
 }
 
-/// Waits until a call may run at the back end here: at once, unless its request is a suspect.
+/// Waits until a call may run on the local back end: at once, unless its request is a suspect.
 ///
 /// # Errors
-/// [`Reason::CrashesServers`]: it may not run at all.
+/// Returns [`Reason::CrashesServers`] if the call may not run at all.
 pub async fn until_admitted(
     suspects: &SuspectRegistry,
     request: RequestDigest,
@@ -142,7 +149,7 @@
             SuspectStanding::Condemned { .. } => return Err(Reason::CrashesServers),
             SuspectStanding::Suspect { crashes } => {
                 let trial = suspects.trial_runs.begin(request, crashes).await;
-                // The copy before may have ended well, or in a crash.
+                // The previous copy may have ended successfully or in a crash.
                 let now = suspects.standing(request);
                 if now == standing {
                     return Ok(Some(trial));
--- a/crates/seamhatchd/src/server/crashes/report.rs
+++ b/crates/seamhatchd/src/server/crashes/report.rs
@@ -1,4 +1,4 @@
-//! What operators see of requests that ran when servers crashed.
+//! Report to operators about requests that were running when servers crashed.
 
 use crate::server::crashes::SuspectRegistry;
 use seamhatch_core::Instant;
@@ -10,27 +10,28 @@
 /// All suspects that a daemon knows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// Crashes of the back end beside the daemon since its start.
+    /// Crashes of the local back end since the start of the daemon.
     pub crashes_here: u64,
     /// Suspects, those with the most crashes first.
     pub suspects: Vec<SuspectStatus>,
 }
 
-/// One suspect.
+/// A suspect request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectStatus {
-    /// Digest of what is asked, as in the log.
+    /// Digest of the request, as in the log.
     pub digest: String,
-    /// Crashes it was at work in without a good end since.
+    /// Crashes during which the request was running, since its last successful run.
     pub crashes: u32,
-    /// Where it is turned away: milliseconds that callers are told to stay away, after which one copy is tried.
+    /// For a condemned request: milliseconds that callers are told to stay away, after which one
+    /// copy is tried.
     pub turned_away_for_ms: Option<u64>,
-    /// It has had its trial runs: it is turned away until an operator clears it.
+    /// The request has used up its trial runs and is rejected until an operator clears it.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub until_cleared: bool,
 }
 
-/// What this daemon knows; `crashes_here` are those of the back end beside it.
+/// Returns what this daemon knows; `crashes_here` counts the crashes of the local back end.
 #[must_use]
 pub fn crash_report(suspects: &SuspectRegistry, crashes_here: u64) -> CrashReport {
     let status = |(digest, standing): (RequestDigest, SuspectStanding)| {
--- a/crates/seamhatchd/src/server/crashes/suspects.rs
+++ b/crates/seamhatchd/src/server/crashes/suspects.rs
@@ -1,7 +1,7 @@
-//! The requests that ran when servers crashed, shared by all threads.
+//! Requests that were running when servers crashed, shared by all threads.
 //!
-//! Locks [`seamhatch_core::crashes::CrashLedger`], which decides. Calls read it, crashes here and reports of other daemons write
-//! it.
+//! Wraps [`seamhatch_core::crashes::CrashLedger`], which makes the decisions, in a lock. Calls read
+//! it; local crashes and reports of other daemons write it.
 
 use crate::base::clock;
 use crate::base::lock::lock;
@@ -19,15 +19,16 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Mutex, MutexGuard};
 
-/// The ledger of suspects, and their trial runs at the back end beside this daemon.
+/// The ledger of suspects, and their trial runs on the local back end.
 #[derive(Debug)]
 pub struct SuspectRegistry {
     ledger: Mutex<CrashLedger>,
-    /// Records in the ledger, so that a call pays one load while there are none.
-    known: AtomicUsize,
+    /// Number of records in the ledger. While it is zero, a call costs one atomic load instead of
+    /// the lock.
+    record_count: AtomicUsize,
     /// Whether suspects are treated differently from other requests.
-    acts: AtomicBool,
-    /// Suspects that run here.
+    is_enforced: AtomicBool,
+    /// Trial runs of suspects on the local back end.
     pub trial_runs: TrialRuns,
 }
 
@@ -38,19 +39,19 @@
 }
 
 impl SuspectRegistry {
-    /// Nothing known yet.
+    /// Creates an empty ledger with this policy.
     #[must_use]
     pub fn new(policy: CrashPolicy) -> Self {
         let ledger = Mutex::new(CrashLedger::new(policy));
         Self {
             ledger,
-            known: AtomicUsize::new(0),
-            acts: AtomicBool::new(true),
+            record_count: AtomicUsize::new(0),
+            is_enforced: AtomicBool::new(true),
             trial_runs: TrialRuns::default(),
         }
     }
 
-    /// Adopts what the configuration says.
+    /// Applies the settings of the configuration.
     pub fn set_settings(&self, settings: &CrashSettings) {
         let policy = CrashPolicy {
             condemned_after: settings.limit,
@@ -58,13 +59,13 @@
             ..CrashPolicy::default()
         };
         self.lock().set_policy(policy);
-        self.acts.store(settings.turn_away, Ordering::Relaxed);
+        self.is_enforced.store(settings.turn_away, Ordering::Relaxed);
     }
 
-    /// What may be done with a request now.
+    /// Returns the standing of a request, which decides whether and how it may run now.
     #[must_use]
     pub fn standing(&self, request: RequestDigest) -> SuspectStanding {
-        if self.known.load(Ordering::Acquire) == 0 || !self.acts.load(Ordering::Relaxed) {
+        if self.record_count.load(Ordering::Acquire) == 0 || !self.is_enforced.load(Ordering::Relaxed) {
             return SuspectStanding::Clear;
         }
         self.lock().standing(request, clock::now())
@@ -82,10 +83,11 @@
         }
     }
 
-    /// How a call that was admitted, as a trial run or not, runs from now on.
+    /// Returns the mode in which an admitted call runs from now on, whether it was admitted as a
+    /// trial run or not.
     ///
     /// # Errors
-    /// [`Reason::CrashesServers`]: it may not run.
+    /// Returns [`Reason::CrashesServers`] if the call may not run.
     pub fn begin_run(&self, request: RequestDigest, trial: Option<&TrialRun>) -> Result<RunMode, Reason> {
         let is_isolated = trial.is_some_and(TrialRun::is_isolated);
         let mode = if is_isolated { RunMode::Isolated } else { RunMode::Usual };
@@ -97,65 +99,70 @@
         if matches!(ledger.standing(request, now), SuspectStanding::Condemned { .. }) {
             return Err(Reason::CrashesServers);
         }
-        let mark = InstanceDigest::of_trial(rand::random());
-        Ok(if ledger.begin_trial(request, mark, now) { RunMode::Trial(mark) } else { mode })
+        let trial_id = InstanceDigest::of_trial(rand::random());
+        Ok(if ledger.begin_trial(request, trial_id, now) { RunMode::Trial(trial_id) } else { mode })
     }
 
-    /// Takes back a trial run that the server did not begin.
-    pub fn withdraw_trial(&self, request: RequestDigest, mark: InstanceDigest) {
-        self.lock().withdraw_trial(request, mark);
+    /// Withdraws a trial run that the server did not start.
+    pub fn withdraw_trial(&self, request: RequestDigest, trial_id: InstanceDigest) {
+        self.lock().withdraw_trial(request, trial_id);
     }
 
-    /// Time that callers of a condemned request are told to stay away, in microseconds; zero for any other.
+    /// Returns how long callers of a condemned request are told to stay away, in microseconds; zero
+    /// for any other request.
     #[must_use]
     pub fn pause_left(&self, request: RequestDigest) -> Microseconds {
         self.lock().pause_left(request, clock::now())
     }
 
-    /// Records a crash and what ran then.
-    pub fn report_crash(&self, life: InstanceDigest, suspects: &[Suspect]) {
+    /// Records a crash and the requests that were running.
+    pub fn report_crash(&self, instance: InstanceDigest, suspects: &[Suspect]) {
         let now = clock::now();
         let mut ledger = self.lock();
         for Suspect { request, mode } in suspects.iter().copied() {
             let effect = match mode {
-                RunMode::Usual => ledger.report(life, request, false, now),
-                RunMode::Isolated => ledger.report(life, request, true, now),
-                RunMode::Trial(mark) => ledger.report(mark, request, true, now),
+                RunMode::Usual => ledger.report(instance, request, false, now),
+                RunMode::Isolated => ledger.report(instance, request, true, now),
+                RunMode::Trial(trial_id) => ledger.report(trial_id, request, true, now),
             };
             log_effect(&ledger, request, effect, now);
         }
-        self.known.store(ledger.len(), Ordering::Release);
+        self.record_count.store(ledger.len(), Ordering::Release);
     }
 
-    /// Records that a daemon was lost, and its server with it, under these runs. Returns the requests against which there is more than before.
-    pub fn report_loss(&self, life: InstanceDigest, runs: &[LostRun]) -> Vec<RequestDigest> {
+    /// Records the loss of a daemon, and its server with it, during these runs. Returns the
+    /// requests with new evidence against them.
+    pub fn report_loss(&self, instance: InstanceDigest, runs: &[LostRun]) -> Vec<RequestDigest> {
         let now = clock::now();
         let mut ledger = self.lock();
-        let mut news = Vec::new();
+        let mut new_evidence = Vec::new();
         for run in runs.iter().copied() {
-            let effect = ledger.report_loss(life, run, now);
+            let effect = ledger.report_loss(instance, run, now);
             log_effect(&ledger, run.request, effect, now);
             if effect != EvidenceEffect::Known {
-                news.push(run.request);
+                new_evidence.push(run.request);
             }
         }
-        self.known.store(ledger.len(), Ordering::Release);
-        news
+        self.record_count.store(ledger.len(), Ordering::Release);
+        new_evidence
     }
 
-    /// Whether a request ran in several crashes without a good end since.
+    /// Whether a request was running in several crashes, without a successful run since.
     #[must_use]
     pub fn is_repeat_suspect(&self, request: RequestDigest) -> bool {
         runs_isolated(self.lock().standing(request, clock::now()).crashes())
     }
 
-    /// Whether anything speaks against a request, however suspects are treated.
+    /// Whether there is any evidence against a request, even if suspects are not treated
+    /// differently.
     #[must_use]
     pub fn is_suspect(&self, request: RequestDigest) -> bool {
-        self.known.load(Ordering::Acquire) > 0 && self.lock().standing(request, clock::now()).crashes() > 0
+        self.record_count.load(Ordering::Acquire) > 0
+            && self.lock().standing(request, clock::now()).crashes() > 0
     }
 
-    /// Clears a request, as a run of it has ended well or an operator says so. True when it was a suspect.
+    /// Clears a request after a successful run or on an operator's request. Returns true if it was
+    /// a suspect.
     pub fn clear(&self, request: RequestDigest) -> bool {
         let now = clock::now();
         let mut ledger = self.lock();
@@ -164,7 +171,7 @@
         effect != EvidenceEffect::Known
     }
 
-    /// Records what another daemon knows.
+    /// Merges the reports of another daemon.
     pub fn merge(&self, reports: &[SuspectReport]) {
         let now = clock::now();
         let mut ledger = self.lock();
@@ -172,45 +179,45 @@
             let effect = ledger.merge(report, now);
             log_effect(&ledger, report.record.request, effect, now);
         }
-        self.known.store(ledger.len(), Ordering::Release);
+        self.record_count.store(ledger.len(), Ordering::Release);
     }
 
-    /// What is known of these requests, for other daemons.
+    /// Returns the reports on these requests for other daemons.
     #[must_use]
     pub fn reports(&self, requests: &[RequestDigest]) -> Vec<SuspectReport> {
         self.lock().reports(requests, clock::now())
     }
 
-    /// What is known of the `most` requests with the most crashes.
+    /// Returns the reports on the `most` requests with the most crashes.
     #[must_use]
     pub fn with_most_crashes(&self, most: usize) -> Vec<SuspectReport> {
-        if self.known.load(Ordering::Acquire) == 0 {
+        if self.record_count.load(Ordering::Acquire) == 0 {
             return Vec::new();
         }
         self.lock().with_most_crashes(most, clock::now())
     }
 
-    /// Requests with open crashes and what may be done with them.
+    /// Returns the requests with open crashes, with the standing of each.
     #[must_use]
     pub fn suspects(&self) -> Vec<(RequestDigest, SuspectStanding)> {
         self.lock().suspects(clock::now())
     }
 
-    /// Requests that are refused.
+    /// Returns the number of condemned requests.
     #[must_use]
     pub fn condemned(&self) -> usize {
-        if self.known.load(Ordering::Acquire) == 0 {
+        if self.record_count.load(Ordering::Acquire) == 0 {
             return 0;
         }
         let condemned = |standing: &SuspectStanding| matches!(standing, SuspectStanding::Condemned { .. });
         self.suspects().iter().filter(|(_, standing)| condemned(standing)).count()
     }
 
-    /// Forgets what is too old to count.
+    /// Removes records that are too old to count.
     pub fn forget_old(&self) {
         let mut ledger = self.lock();
         ledger.forget_old(clock::now());
-        self.known.store(ledger.len(), Ordering::Release);
+        self.record_count.store(ledger.len(), Ordering::Release);
     }
 
     fn lock(&self) -> MutexGuard<'_, CrashLedger> {
@@ -224,7 +231,7 @@
         EvidenceEffect::Condemned => warn!(
             digest = digest.as_str(),
             crashes = ledger.standing(request, now).crashes();
-            "request condemned: it was at work in crash after crash, and is turned away"
+            "request condemned: it was running in several crashes and is rejected"
         ),
         EvidenceEffect::Released => info!(digest = digest.as_str(); "request released"),
         EvidenceEffect::Known | EvidenceEffect::Changed => {}
--- a/crates/seamhatchd/src/server/crashes/tracker.rs
+++ b/crates/seamhatchd/src/server/crashes/tracker.rs
@@ -1,7 +1,7 @@
-//! The calls that run on the back end beside this daemon, shared by the calls themselves.
+//! The runs in progress on the local back end, shared by the calls themselves.
 //!
-//! Locks the table of [`seamhatch_core::crashes::RunTable`], which decides who becomes a suspect; a call leaves it when its
-//! [`TrackedRun`] is dropped.
+//! Wraps the table in [`seamhatch_core::crashes::RunTable`], which decides which requests become
+//! suspects, in a lock. A run is removed when its [`TrackedRun`] is dropped.
 
 use crate::base::clock;
 use crate::base::lock::lock;
@@ -11,30 +11,31 @@
 use seamhatch_core::instance::InstanceId;
 use std::sync::{Arc, Mutex};
 
-/// What runs on the back end, and which of its instances have ended in a crash.
+/// Tracks the runs on the local back end, and which of its instances have crashed.
 #[derive(Debug)]
 pub struct CrashTracker {
     incarnation: Incarnation,
-    calls: Arc<Mutex<RunTable>>,
-    /// When the last look that found the back end alive began; held by the call that looks.
-    pub(super) seen_alive: tokio::sync::Mutex<Instant>,
+    runs: Arc<Mutex<RunTable>>,
+    /// Start of the last probe that found the back end running. The lock is held by the call that
+    /// probes.
+    pub(super) last_seen_alive: tokio::sync::Mutex<Instant>,
 }
 
-/// A call that runs until this is dropped.
+/// A run in progress. It ends when this is dropped.
 #[derive(Debug)]
 pub struct TrackedRun {
-    /// The instance that runs it.
+    /// Instance that executes the run.
     pub instance: InstanceDigest,
-    /// The back end's instances have no names.
+    /// Whether the back end's instances have no names.
     is_unnamed: bool,
-    calls: Arc<Mutex<RunTable>>,
+    runs: Arc<Mutex<RunTable>>,
     number: RunNumber,
 }
 
 impl TrackedRun {
-    /// Records how the run has ended. One that is dropped without this has broken off.
+    /// Records how the run has ended. A run that is dropped without this call counts as broken off.
     pub fn finish(&self, end: RunEnd) {
-        lock(&self.calls).finish(self.number, end, clock::now());
+        lock(&self.runs).finish(self.number, end, clock::now());
     }
 }
 
@@ -45,33 +46,33 @@
 }
 
 impl CrashTracker {
-    /// Nothing runs yet.
+    /// Creates a tracker without runs.
     #[must_use]
     pub fn new(incarnation: Incarnation) -> Self {
-        Self { incarnation, calls: Arc::default(), seen_alive: tokio::sync::Mutex::default() }
+        Self { incarnation, runs: Arc::default(), last_seen_alive: tokio::sync::Mutex::default() }
     }
 
-    /// A call that is about to be sent to the back end.
+    /// Records a call that is about to be sent to the back end.
     #[must_use]
     pub fn begin(&self, instance: Option<&InstanceId>, request: RequestDigest, mode: RunMode) -> TrackedRun {
         let is_unnamed = instance.is_none();
-        let (number, instance) = lock(&self.calls).begin(self.incarnation, instance, request, mode);
-        TrackedRun { instance, is_unnamed, calls: self.calls.clone(), number }
+        let (number, instance) = lock(&self.runs).begin(self.incarnation, instance, request, mode);
+        TrackedRun { instance, is_unnamed, runs: self.runs.clone(), number }
     }
 
-    /// Whether the instance that runs the call is known to have ended in a crash.
-    pub(super) fn has_ended(&self, work: &TrackedRun) -> bool {
-        lock(&self.calls).has_ended(work.instance)
+    /// Whether the instance that executes the run is known to have crashed.
+    pub(super) fn has_ended(&self, run: &TrackedRun) -> bool {
+        lock(&self.runs).has_ended(run.instance)
     }
 
-    /// Records that the instance that runs the call has ended in a crash. Returns what ran on it.
-    pub(super) fn end_instance(&self, work: &TrackedRun) -> CrashedRuns {
-        lock(&self.calls).end(work.instance, work.is_unnamed, clock::now())
+    /// Records that the instance that executes the run has crashed. Returns what was running on it.
+    pub(super) fn end_instance(&self, run: &TrackedRun) -> CrashedRuns {
+        lock(&self.runs).end(run.instance, run.is_unnamed, clock::now())
     }
 
-    /// Another instance has taken the place of this one, which had not reported that it leaves. Returns what ran on it when
-    /// it ended, where that was not known before.
+    /// Records that another instance has replaced this one, which had not reported that it leaves.
+    /// Returns what was running on it when it ended, if that was not known before.
     pub(super) fn replace_instance(&self, instance: &InstanceId) -> CrashedRuns {
-        lock(&self.calls).replace(instance, clock::now())
+        lock(&self.runs).replace(instance, clock::now())
     }
 }
--- a/crates/seamhatchd/src/server/gate/mod.rs
+++ b/crates/seamhatchd/src/server/gate/mod.rs
@@ -1,7 +1,8 @@
-//! The gate of the back end: where a call waits for its slot.
+//! Admission gate of the back end, where calls wait for slots.
 //!
-//! Locks [`seamhatch_core::admission::AdmissionQueue`], which decides, and owns the channels on which waiting calls get its
-//! verdicts. Each call to the back end holds a [`Permit`]; the control thread calls [`AdmissionGate::tick`].
+//! Wraps [`seamhatch_core::admission::AdmissionQueue`], which makes the decisions, in a lock, and
+//! owns the channels that deliver them to waiting calls. Each call to the back end holds a
+//! [`Permit`]; the control thread calls [`AdmissionGate::tick`].
 
 mod permit;
 mod rate;
@@ -27,20 +28,21 @@
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
 use tokio::sync::oneshot;
 
-/// A call that asks for a slot.
+/// A call that requests a slot.
 #[derive(Debug, Clone, Copy)]
 pub struct GateRequest {
-    /// Order of shedding.
+    /// Order of load shedding.
     pub priority: Priority,
     /// When the root request was admitted.
     pub root_admitted: Instant,
-    /// When the call becomes useless.
+    /// Deadline of the call.
     pub expiry: Instant,
-    /// Until when its answer is early; [`Instant::NEVER`] for a call without an objective.
+    /// Until when the answer meets the objective; [`Instant::NEVER`] for a call without an
+    /// objective.
     pub objective_end: Instant,
-    /// Which calls' service times may be compared with its own.
+    /// Kind of the call: service times are compared only among calls of one kind.
     pub kind: CallKind,
-    /// It goes before first calls of its class, as its chain has begun elsewhere.
+    /// Whether the call goes before first calls of its class, since its chain has begun elsewhere.
     pub continues_chain: bool,
 }
 
@@ -48,9 +50,9 @@
 struct State {
     queue: AdmissionQueue,
     waiters: HashMap<Ticket, oneshot::Sender<Result<(), Reason>>>,
-    /// Slots worth using, as last logged.
+    /// Number of slots worth using, as last logged.
     logged_slots: u32,
-    /// When a task looks for the turn of a waiting call, where the back end is held to a rate.
+    /// When a task checks for the turn of a waiting call, if the back end is rate-limited.
     wake_at: Option<Instant>,
 }
 
@@ -58,12 +60,12 @@
     /// Refuses a call that was removed from the queue.
     fn refuse_waiting(&mut self, ticket: Ticket, reason: Reason) {
         if let Some(waiter) = self.waiters.remove(&ticket) {
-            // Fails where the call has gone away by itself: then nobody needs the verdict.
+            // Fails if the call was dropped: nobody needs the decision then.
             let _ = waiter.send(Err(reason));
         }
     }
 
-    /// Logs how many slots are worth using, when that has changed.
+    /// Logs the number of slots worth using if it has changed.
     fn log_slots(&mut self) {
         let slots = self.queue.worthwhile_slots();
         if slots != self.logged_slots {
@@ -73,35 +75,35 @@
     }
 }
 
-/// Hands out the slots of the server beside the daemon.
+/// Hands out the slots of the local back end.
 #[derive(Debug)]
 pub struct AdmissionGate {
     state: Mutex<State>,
     next_ticket: AtomicU64,
     metrics: Arc<Metrics>,
-    /// The gate itself, for that task.
-    this: Weak<Self>,
+    /// Weak reference to the gate itself, for that task.
+    weak_self: Weak<Self>,
 }
 
 impl AdmissionGate {
-    /// The gate of a cold server.
+    /// Creates the gate of a cold server.
     #[must_use]
     pub fn new(policy: AdmissionPolicy, metrics: Arc<Metrics>) -> Arc<Self> {
         let queue = AdmissionQueue::new(policy);
         let logged_slots = queue.worthwhile_slots();
         let state = State { queue, waiters: HashMap::new(), logged_slots, wake_at: None };
-        Arc::new_cyclic(|this| Self {
+        Arc::new_cyclic(|weak_self| Self {
             state: Mutex::new(state),
             next_ticket: AtomicU64::new(0),
             metrics,
-            this: this.clone(),
+            weak_self: weak_self.clone(),
         })
     }
 
     /// Waits for a slot.
     ///
     /// # Errors
-    /// The reason of the refusal; the call has not run and won't.
+    /// Returns the reason for the refusal; the call has not run and won't.
     pub async fn admit(self: &Arc<Self>, request: GateRequest) -> Result<Permit, Reason> {
         let arrived = clock::now();
         let ticket = Ticket(self.next_ticket.fetch_add(1, Ordering::Relaxed));
@@ -140,14 +142,16 @@
         self.lock().queue.set_queue_per_slot(queue_per_slot);
     }
 
-    /// Adopts what an instance of the back end reports of its slots. More calls may run at once now.
+    /// Applies the number of slots that an instance of the back end reports. Calls that wait may
+    /// run at once.
     pub fn set_slots(&self, slots: u32, initial_slots: u32) {
         let mut state = self.lock();
         state.queue.set_slots(slots, initial_slots);
-        self.pump(&mut state);
+        self.grant_slots(&mut state);
     }
 
-    /// How long calls of this kind usually take from their slot to their answer; none before the first.
+    /// Returns how long calls of this kind usually take from their slot to their answer; `None`
+    /// before the first answer.
     #[must_use]
     pub fn median_service_time(&self, kind: CallKind) -> Option<Microseconds> {
         self.lock().queue.median_service_time(kind)
@@ -161,7 +165,7 @@
         }
     }
 
-    /// The state that is reported to other daemons.
+    /// Returns the report for other daemons.
     #[must_use]
     pub fn report(&self) -> ServerReport {
         let state = self.lock();
@@ -172,26 +176,28 @@
         }
     }
 
-    /// How long work takes at the back end, as other daemons are told; none where it tells no figure.
+    /// Returns the pace of the back end as it is reported to other daemons: how long work takes
+    /// there. `None` if the back end gives no figure.
     #[must_use]
     pub fn pace(&self) -> Option<ServerPace> {
         self.lock().queue.pace(clock::now())
     }
 
-    /// When a refused caller should return, in microseconds before jitter.
+    /// Returns the time after which a refused caller should return, in microseconds before jitter.
     #[must_use]
     pub fn retry_after(&self) -> Microseconds {
         self.lock().queue.retry_after(clock::now())
     }
 
-    /// Calls that run or wait, those included whose answer seems to be lost.
+    /// Returns the number of calls that run or wait, including those whose answer seems to be lost.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         let state = self.lock();
         state.queue.running() + state.queue.lost() + state.queue.waiting()
     }
 
-    /// Refuses the calls that wait for a turn that comes too late, and moves the admission floor; to be called every 100 ms.
+    /// Refuses the calls whose turn would come too late, and adjusts the admission floor; to be
+    /// called every 100 ms.
     pub fn tick(&self) {
         let mut state = self.lock();
         let (now, late_reason) = (clock::now(), state.queue.late_reason());
@@ -201,7 +207,7 @@
         state.queue.ramp_up_rate(now);
         state.queue.tick();
         state.log_slots();
-        self.pump(&mut state);
+        self.grant_slots(&mut state);
         self.metrics.running.set(state.queue.running() as i64);
         self.metrics.waiting.set(state.queue.waiting() as i64);
         self.metrics.lost.set(state.queue.lost() as i64);
@@ -246,10 +252,10 @@
                 state.queue.finish(ticket, now, end == PermitEnd::Succeeded);
             }
         }
-        self.pump(&mut state);
+        self.grant_slots(&mut state);
     }
 
-    fn pump(&self, state: &mut State) {
+    fn grant_slots(&self, state: &mut State) {
         let now = clock::now();
         while let Some(dequeued) = state.queue.next(now) {
             let (ticket, decision) = match dequeued {
--- a/crates/seamhatchd/src/server/gate/permit.rs
+++ b/crates/seamhatchd/src/server/gate/permit.rs
@@ -1,11 +1,12 @@
-//! A slot that a call holds, and the place of one that waits: each is given back when it is dropped.
+//! A slot that a call holds, and the place of a waiting call in the queue. Both are released when
+//! they are dropped.
 
 use super::AdmissionGate;
 use crate::base::clock;
 use seamhatch_core::admission::{BackEndLoad, Ticket};
 use std::sync::Arc;
 
-/// A slot; dropping it frees the slot.
+/// A slot. Dropping it releases the slot.
 #[derive(Debug)]
 pub struct Permit {
     pub(super) gate: Arc<AdmissionGate>,
@@ -13,41 +14,43 @@
     pub(super) end: PermitEnd,
 }
 
-/// What becomes of a call with a slot.
+/// How a call with a slot ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PermitEnd {
-    /// It ran, and its service time says nothing.
+    /// The call ran, but its service time is not a valid sample.
     Ran,
-    /// Its service time is a fair sample.
+    /// The call ran, and its service time is a valid sample.
     Succeeded,
-    /// It was never sent to the back end.
+    /// The call was never sent to the back end.
     Unsent,
 }
 
 impl Permit {
-    /// The call's service time is a fair sample.
+    /// Marks the call's service time as a valid sample.
     pub fn mark_succeeded(&mut self) {
         self.end = PermitEnd::Succeeded;
     }
 
-    /// Nothing of the call was sent to the back end, so that its turn goes to another one.
+    /// Records that nothing of the call was sent to the back end, so that another call gets its
+    /// turn.
     pub fn mark_unsent(&mut self) {
         self.end = PermitEnd::Unsent;
     }
 
-    /// Records the load that the back end reports beside the call's answer.
+    /// Records the load that the back end reports with the call's answer.
     pub fn note_load(&self, load: BackEndLoad) {
         let mut state = self.gate.lock();
         state.queue.note_back_end_load(load, clock::now());
-        self.gate.pump(&mut state);
+        self.gate.grant_slots(&mut state);
     }
 
-    /// The call has made calls of its own, so that its service time depends on other back ends too.
+    /// Records that the call has made calls of its own, so that its service time depends on other
+    /// back ends too.
     pub fn mark_calls_made(&mut self) {
         self.gate.lock().queue.note_calls_made(self.ticket);
     }
 
-    /// The back end answers the call with a failure.
+    /// Records that the back end answered the call with a failure.
     pub fn mark_failed(&mut self) {
         self.gate.lock().queue.note_failure(self.ticket);
     }
@@ -59,13 +62,13 @@
     }
 }
 
-/// Removes a waiting call from the queue when its future is dropped. A slot that was granted at that very moment is given
-/// back.
+/// Removes a waiting call from the queue when its future is dropped. A slot that was granted at the
+/// same moment is released.
 pub(super) struct WaitGuard<'a> {
     pub(super) gate: &'a AdmissionGate,
     pub(super) ticket: Ticket,
     pub(super) armed: bool,
-    /// It has waited as long as it could.
+    /// Whether the call has waited as long as it could.
     pub(super) expired: bool,
 }
 
@@ -80,7 +83,7 @@
             if self.expired { state.queue.expire(self.ticket) } else { state.queue.cancel(self.ticket) };
         if !waited {
             state.queue.withdraw(self.ticket, clock::now());
-            self.gate.pump(&mut state);
+            self.gate.grant_slots(&mut state);
         }
     }
 }
--- a/crates/seamhatchd/src/server/gate/rate.rs
+++ b/crates/seamhatchd/src/server/gate/rate.rs
@@ -1,4 +1,5 @@
-//! The rate that the back end names: setting it, and waking the queue when a call that waits has its turn.
+//! Rate limit of the gate, as named by the back end: setting it, and waking the queue at the turn
+//! of a waiting call.
 
 use super::{AdmissionGate, State};
 use crate::base::clock;
@@ -8,34 +9,36 @@
 use tokio::runtime::Handle;
 
 impl AdmissionGate {
-    /// Holds calls to a rate that the back end names.
+    /// Limits calls to the rate that the back end names.
     pub fn set_rate_limit(&self, rate: RequestRate) {
         let mut state = self.lock();
         state.queue.set_rate_limit(rate, clock::now());
-        self.pump(&mut state);
+        self.grant_slots(&mut state);
     }
 
-    /// The back end names no rate any more.
+    /// Ends the rate limit, as the back end names no rate any more.
     pub fn end_rate_limit(&self) {
         let mut state = self.lock();
         state.queue.end_rate_limit(clock::now());
-        self.pump(&mut state);
+        self.grant_slots(&mut state);
     }
 
-    /// The rate that calls are held to, and the time until the turn of one that comes now; none where there is no rate.
+    /// Returns the rate limit and the time until the turn of a call that arrives now; `None`
+    /// without a limit.
     #[must_use]
     pub fn turn_in(&self) -> Option<(RequestRate, Microseconds)> {
         let state = self.lock();
         state.queue.rate().zip(state.queue.turn_in(clock::now()))
     }
 
-    /// Calls that may run at once at present, whatever the rate.
+    /// Returns how many calls may run at once at present, whatever the rate.
     #[must_use]
     pub fn limit(&self) -> u32 {
         self.lock().queue.limit()
     }
 
-    /// Has a task look for the next call when the rate gives it its turn. Without a runtime the next tick does.
+    /// Schedules a task that checks for the next call when the rate allows its turn. Without a
+    /// runtime, the next tick does this.
     pub(super) fn wake_at_next_turn(&self, state: &mut State, now: Instant) {
         let Some(turn) = state.queue.next_turn(now) else { return };
         if state.wake_at.is_some_and(|wake_at| wake_at <= turn) {
@@ -43,7 +46,7 @@
         }
         let Ok(runtime) = Handle::try_current() else { return };
         state.wake_at = Some(turn);
-        let gate = self.this.clone();
+        let gate = self.weak_self.clone();
         runtime.spawn(async move {
             clock::sleep_until(turn).await;
             if let Some(gate) = gate.upgrade() {
@@ -55,6 +58,6 @@
     fn wake(&self, turn: Instant) {
         let mut state = self.lock();
         state.wake_at = state.wake_at.filter(|wake_at| *wake_at != turn);
-        self.pump(&mut state);
+        self.grant_slots(&mut state);
     }
 }
--- a/crates/seamhatchd/src/server/instances.rs
+++ b/crates/seamhatchd/src/server/instances.rs
@@ -1,7 +1,8 @@
-//! Which instance of the back end takes calls, as the traffic threads see it.
+//! The instance of the back end that takes calls, as the traffic threads see it.
 //!
-//! Owns the registry of instances where the back end registers with heartbeats; the control thread changes it, and calls read it
-//! right before they are written. The rules are [`seamhatch_core::instance`].
+//! If the back end registers with heartbeats, this module owns the registry of its instances. The
+//! control thread changes the registry, and calls read it right before they are written. The rules
+//! are in [`seamhatch_core::instance`].
 
 use crate::base::lock::lock;
 use seamhatch_core::Instant;
@@ -9,39 +10,41 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Whether the back end takes calls, and under which name.
+/// Whether the back end takes calls, and the name of the instance that does.
 #[derive(Debug)]
 pub enum Instances {
-    /// The back end has no name; it is there unless it has said that it leaves.
+    /// The back end's instances have no names. The back end takes calls unless it has announced
+    /// that it leaves.
     Fixed {
-        /// It has said so, and has not ended yet.
+        /// Whether the back end has announced that it leaves and has not ended yet.
         leaving: AtomicBool,
     },
-    /// It registers with heartbeats.
+    /// Instances register with heartbeats.
     Registered(Mutex<InstanceRegistry>),
 }
 
 /// An instance that takes calls.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OpenInstance {
-    /// Its name, where instances register.
+    /// Id of the instance, if instances register.
     pub id: Option<InstanceId>,
 }
 
 impl Instances {
-    /// Instances that register; none is known yet.
+    /// Creates the state of a back end whose instances register. No instance is known yet.
     #[must_use]
     pub fn registered() -> Self {
         Self::Registered(Mutex::default())
     }
 
-    /// A back end without a name.
+    /// Creates the state of a back end whose instances have no names.
     #[must_use]
     pub fn fixed() -> Self {
         Self::Fixed { leaving: AtomicBool::new(false) }
     }
 
-    /// Records that a back end without a name leaves, or that this one has ended. True when that is news.
+    /// Records that a back end without a name leaves, or that a leaving one has ended. Returns true
+    /// if the state changes.
     pub fn set_leaving(&self, is_leaving: bool) -> bool {
         match self {
             Self::Fixed { leaving } => leaving.swap(is_leaving, Ordering::AcqRel) != is_leaving,
@@ -49,7 +52,7 @@
         }
     }
 
-    /// The instance that takes calls, if there is one.
+    /// Returns the instance that takes calls, if there is one.
     #[must_use]
     pub fn open(&self) -> Option<OpenInstance> {
         match self {
@@ -76,7 +79,8 @@
         matches!(self, Self::Registered(_))
     }
 
-    /// Slots of the open instance and when it is warm; none where instances don't register.
+    /// Returns the slots of the open instance and the time at which it is warm; `None` if instances
+    /// don't register.
     #[must_use]
     pub fn capacity(&self) -> Option<(u32, Instant)> {
         match self {
@@ -85,7 +89,7 @@
         }
     }
 
-    /// When the registered instance last sent a heartbeat.
+    /// Returns the time of the registered instance's last heartbeat.
     #[must_use]
     pub fn last_heartbeat(&self) -> Option<Instant> {
         match self {
@@ -94,7 +98,8 @@
         }
     }
 
-    /// Records a heartbeat; stale where instances don't register. An instance that it opens is given to `opened` before it gets a call.
+    /// Records a heartbeat; it is stale if instances don't register. If the heartbeat opens an
+    /// instance, `opened` is called with it before the instance receives a call.
     pub fn heartbeat(
         &self,
         heartbeat: Heartbeat,
@@ -107,14 +112,14 @@
                 let mut registry = lock(registry);
                 let verdict = registry.heartbeat(heartbeat, now);
                 if verdict == HeartbeatVerdict::Opened {
-                    give_open(&registry, opened);
+                    notify_opened(&registry, opened);
                 }
                 verdict
             }
         }
     }
 
-    /// The instance meant by a name without a start time, as far as is known.
+    /// Adds the start time to the id of an instance given by name only, as far as it is known.
     #[must_use]
     pub fn resolve(&self, instance: InstanceId) -> InstanceId {
         match self {
@@ -123,7 +128,7 @@
         }
     }
 
-    /// Records departures. True when that closes the registered instance.
+    /// Records departures. Returns true if that closes the registered instance.
     pub fn depart<'a>(&self, departed: impl IntoIterator<Item = &'a InstanceId>) -> bool {
         match self {
             Self::Fixed { .. } => false,
@@ -135,7 +140,8 @@
         }
     }
 
-    /// Sends an instance no calls until its next heartbeat. True when that closes it.
+    /// Stops sending calls to an instance until its next heartbeat. Returns true if that closes the
+    /// instance.
     pub fn suspend(&self, instance: &InstanceId) -> bool {
         match self {
             Self::Fixed { .. } => false,
@@ -143,8 +149,8 @@
         }
     }
 
-    /// Records that the back end answered a call for this instance as another one. An instance that this opens is given to `opened` before
-    /// it gets a call.
+    /// Records that the back end answered a call for this instance as another instance. If that
+    /// opens an instance, `opened` is called with it before the instance receives a call.
     pub fn refute(
         &self,
         instance: &InstanceId,
@@ -157,7 +163,7 @@
                 let mut registry = lock(registry);
                 let refutation = registry.refute(instance, now);
                 if refutation == Refutation::Replaced {
-                    give_open(&registry, opened);
+                    notify_opened(&registry, opened);
                 }
                 refutation
             }
@@ -173,7 +179,7 @@
         }
     }
 
-    /// The registered instance, whether or not it takes calls.
+    /// Returns the registered instance, whether or not it takes calls.
     #[must_use]
     pub fn current(&self) -> Option<InstanceId> {
         match self {
@@ -191,7 +197,7 @@
         }
     }
 
-    /// Departed instances, the latest last.
+    /// Returns the departed instances, the latest last.
     #[must_use]
     pub fn departed(&self) -> Vec<InstanceId> {
         match self {
@@ -201,8 +207,8 @@
     }
 }
 
-/// Gives the instance that takes calls now to `opened`.
-fn give_open(registry: &InstanceRegistry, opened: impl FnOnce(&InstanceId)) {
+/// Calls `opened` with the instance that takes calls now.
+fn notify_opened(registry: &InstanceRegistry, opened: impl FnOnce(&InstanceId)) {
     if let Some(open) = registry.open() {
         opened(&open.id);
     }
--- a/crates/seamhatchd/src/server/mod.rs
+++ b/crates/seamhatchd/src/server/mod.rs
@@ -1,7 +1,8 @@
-//! The back end beside this daemon: its connections, its instances, the slots that calls wait for, the calls that it
-//! runs, and its crashes.
+//! The local back end: its connections, its instances, its slots and the calls that wait for them,
+//! the calls that it runs, and its crashes.
 //!
-//! All calls to the back end pass through here, so that the daemon knows exactly what is in progress.
+//! All calls to the back end pass through this module, so that the daemon knows exactly which calls
+//! are in progress.
 
 pub mod backend;
 pub mod crashes;
@@ -18,19 +19,19 @@
 use running::RunningCalls;
 use std::sync::Arc;
 
-/// The back end beside this daemon, as all threads share it.
+/// The local back end, shared by all threads.
 #[derive(Debug)]
 pub struct LocalServer {
-    /// Its slots, and the calls that wait for one.
+    /// Slots of the back end, and the calls that wait for one.
     pub gate: Arc<AdmissionGate>,
-    /// What it says of itself in its answers.
+    /// State that the back end reports about itself in its answers.
     pub notices: BackEndNotices,
-    /// Calls that run there.
+    /// Calls that run on the back end.
     pub running: Arc<RunningCalls>,
-    /// The connections to it.
+    /// Connections to the back end.
     pub backend: Backend,
-    /// Which instance of it takes work.
+    /// Which instance of the back end takes calls.
     pub instances: Instances,
-    /// Its crashes, and the calls that were at work then.
+    /// Crashes of the back end, and the calls that were running then.
     pub crashes: CrashTracker,
 }
--- a/crates/seamhatchd/src/server/notices.rs
+++ b/crates/seamhatchd/src/server/notices.rs
@@ -1,8 +1,9 @@
-//! What the back end says of itself in its answers: the rate at which it takes calls, and that it leaves.
+//! State that the back end reports about itself in its answers: its rate limit, and that it leaves.
 //!
-//! Owns the book of its rates, which decides what counts, and the round in which daemons that send calls have their turns. Sets the gate's
-//! rate, so that the sum over all daemons is kept in one place. [`BackEndNotices::notice_for_peers`] goes to the other daemons, which hand it back
-//! should this process restart.
+//! Owns the tracker of its rate limits, which decides which of them is in force, and the round
+//! robin of the daemons that send calls. Sets the rate limit of the gate, so that the sum over all
+//! daemons is enforced in one place. Other daemons receive [`BackEndNotices::notice_for_peers`] and
+//! hand it back if this process restarts.
 
 use crate::base::clock;
 use crate::base::lock::lock;
@@ -19,102 +20,103 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// Shortest time between two log lines on a rate that changes.
-const LOG_PAUSE: Microseconds = SECOND;
+/// Minimum time between two log messages about a changing rate, in microseconds.
+const LOG_INTERVAL: Microseconds = SECOND;
 
 #[derive(Debug, Default)]
 struct State {
-    book: RateTracker,
-    /// The instance that said last that it leaves, until another one opens.
+    rates: RateTracker,
+    /// The last instance that announced that it leaves, until another one opens.
     leaving: Option<InstanceId>,
     senders: SenderRoundRobin,
     /// When a change of the rate was last logged.
-    logged: Instant,
-    /// A field that can't be read has been logged; later ones are counted only.
+    last_logged: Instant,
+    /// Whether an unreadable field has been logged; later ones are only counted.
     unreadable_logged: bool,
 }
 
-/// What the back end beside this daemon says of itself.
+/// State that the local back end reports about itself.
 #[derive(Debug)]
 pub struct BackEndNotices {
     gate: Arc<AdmissionGate>,
     metrics: Arc<Metrics>,
     state: Mutex<State>,
-    /// The gate is held to a rate: saves the lock where it is not.
-    is_held: AtomicBool,
+    /// Whether the gate is rate-limited. Saves taking the lock if it is not.
+    is_rate_limited: AtomicBool,
 }
 
 impl BackEndNotices {
-    /// Nothing is known yet.
+    /// Creates the state of a back end that has reported nothing.
     #[must_use]
     pub fn new(gate: Arc<AdmissionGate>, metrics: Arc<Metrics>) -> Self {
-        Self { gate, metrics, state: Mutex::default(), is_held: AtomicBool::new(false) }
+        Self { gate, metrics, state: Mutex::default(), is_rate_limited: AtomicBool::new(false) }
     }
 
-    /// Records what an answer of `instance` says, to a request that was sent at `sent`.
+    /// Records the notice in an answer of `instance` to a request that was sent at `sent`.
     pub fn note_answer(&self, instance: Option<&InstanceId>, notice: AnswerNotice, sent: Instant) {
         let mut state = lock(&self.state);
         if notice.rate == NamedRate::Unreadable {
             self.note_unreadable(&mut state);
         }
-        let change = state.book.observe(instance, notice, sent, clock::now());
+        let change = state.rates.observe(instance, notice, sent, clock::now());
         self.apply(&mut state, change, "answer");
     }
 
-    /// An instance takes calls from now on; none where instances don't register.
+    /// Records that an instance takes calls from now on; `None` if instances don't register.
     pub fn note_open(&self, instance: Option<&InstanceId>) {
         let mut state = lock(&self.state);
         state.leaving = state.leaving.take().filter(|leaving| Some(leaving) == instance);
-        let change = state.book.open(instance);
+        let change = state.rates.open(instance);
         self.apply(&mut state, change, "handed-back");
     }
 
-    /// An instance has said that it leaves.
+    /// Records that an instance has announced that it leaves.
     pub fn note_leaving(&self, instance: &InstanceId) {
         lock(&self.state).leaving = Some(instance.clone());
     }
 
-    /// Another daemon hands back a rate that this process may have forgotten.
+    /// Records a rate limit that another daemon hands back, since this process may have restarted
+    /// after it was reported.
     pub fn hand_back_rate(&self, instance: Option<&InstanceId>, rate: RequestRate) {
         let mut state = lock(&self.state);
-        let change = state.book.hand_back(instance, rate);
+        let change = state.rates.hand_back(instance, rate);
         self.apply(&mut state, change, "handed-back");
     }
 
-    /// What other daemons are to hand back, should this process restart.
+    /// Returns the notice that other daemons hand back if this process restarts.
     #[must_use]
     pub fn notice_for_peers(&self) -> Option<BackEndNotice> {
         let state = lock(&self.state);
-        if let Some((instance, rate)) = state.book.rate_for_peers() {
+        if let Some((instance, rate)) = state.rates.rate_for_peers() {
             return Some(BackEndNotice { instance: instance.cloned(), rate: Some(rate), leaving: false });
         }
         let leaving = state.leaving.clone()?;
         Some(BackEndNotice { instance: Some(leaving), rate: None, leaving: true })
     }
 
-    /// The rate that the back end names; none where it names none.
+    /// Returns the rate limit that the back end names, if any.
     #[must_use]
     pub fn named_rate(&self) -> Option<RequestRate> {
-        lock(&self.state).book.rate()
+        lock(&self.state).rates.rate()
     }
 
-    /// A daemon has sent a call for the back end.
+    /// Records that a daemon has sent a call for the back end.
     pub fn note_sender(&self, sender: Address) {
-        if self.is_held.load(Ordering::Relaxed) {
+        if self.is_rate_limited.load(Ordering::Relaxed) {
             lock(&self.state).senders.record_call(sender, clock::now());
         }
     }
 
-    /// When a daemon that sends calls has its next turn, where the back end is held to a rate.
+    /// Returns the next turn of a daemon that sends calls, if the back end is rate-limited.
     #[must_use]
     pub fn turn_of(&self, sender: Address) -> Option<TurnReport> {
-        if !self.is_held.load(Ordering::Relaxed) {
+        if !self.is_rate_limited.load(Ordering::Relaxed) {
             return None;
         }
         let state = lock(&self.state);
         let Some((rate, turn_in)) = self.gate.turn_in() else {
-            // It has risen back to what the slots can do.
-            self.is_held.store(false, Ordering::Relaxed);
+            // The rate has risen again to what the slots can do.
+            self.is_rate_limited.store(false, Ordering::Relaxed);
             return None;
         };
         Some(state.senders.report(sender, rate, turn_in, clock::now()))
@@ -125,7 +127,7 @@
             RateChange::Unchanged => return,
             RateChange::HoldTo(rate) => {
                 self.gate.set_rate_limit(rate);
-                self.is_held.store(true, Ordering::Relaxed);
+                self.is_rate_limited.store(true, Ordering::Relaxed);
                 self.metrics.named_rate.set(rate.as_thousandths() as i64);
             }
             RateChange::Lifted => {
@@ -134,11 +136,11 @@
             }
         }
         let now = clock::now();
-        if now.since(state.logged) < LOG_PAUSE && change != RateChange::Lifted {
+        if now.since(state.last_logged) < LOG_INTERVAL && change != RateChange::Lifted {
             return;
         }
-        state.logged = now;
-        let instance = state.book.instance().map_or("", |instance| instance.name.as_str());
+        state.last_logged = now;
+        let instance = state.rates.instance().map_or("", |instance| instance.name.as_str());
         match change {
             RateChange::HoldTo(rate) => {
                 let per_second = rate.as_per_second();
@@ -152,7 +154,7 @@
         self.metrics.bad_input(BadInput::Answer);
         if !std::mem::replace(&mut state.unreadable_logged, true) {
             warn!(
-                "the rate can't be read in an answer of the back end: it is to be one decimal number from 0 on"
+                "the rate can't be read in an answer of the back end: expected one decimal number from 0 on"
             );
         }
     }
--- a/crates/seamhatchd/src/server/running.rs
+++ b/crates/seamhatchd/src/server/running.rs
@@ -1,7 +1,8 @@
-//! Calls that run on the back end, and the context header that names them.
+//! Calls that run on the local back end, and the context header that identifies them.
 //!
-//! [`RunningCalls`] owns the table of running calls, from which filters find the parent of a call that the back end makes. A
-//! [`RunningCall`] holds what its own calls inherit (priority, deadline, retry tokens and tenant), and sums what they use.
+//! [`RunningCalls`] owns the table of running calls, in which the filters look up the parent of a
+//! call that the back end makes. A [`RunningCall`] holds what its child calls inherit (priority,
+//! deadline, retry tokens and tenant) and sums up their usage.
 
 use crate::base::lock::lock;
 use base64::Engine as _;
@@ -20,31 +21,32 @@
 /// A call that runs here, or a request from outside: the parent of further calls.
 #[derive(Debug)]
 pub struct RunningCall {
-    /// The request it belongs to.
+    /// Root request that the call belongs to.
     pub root: RootId,
-    /// Its priority, the same in every service of the request's chain.
+    /// Priority, the same in every service of the request's chain.
     pub priority: Priority,
     /// When the root request was admitted, in the local clock.
     pub root_admitted: Instant,
-    /// When it becomes useless, in the local clock.
+    /// Deadline, in the local clock.
     pub expiry: Instant,
-    /// Services above it.
+    /// Number of services above this call in the chain.
     pub depth: u32,
-    /// It is made by a run that may repeat an earlier one, so that it may itself repeat an earlier call.
+    /// Whether the call is made by a run that may repeat an earlier one, and may therefore repeat
+    /// an earlier call.
     pub repeats: bool,
     ledger: Mutex<RetryLedger>,
     chain_floor: Mutex<Option<ChainFloor>>,
-    /// What its own calls have used.
+    /// Usage of the child calls.
     usage: Mutex<ChainUsage>,
-    cause: Option<Arc<RunningCall>>,
-    /// Name of the tenant whose request it belongs to.
+    parent: Option<Arc<RunningCall>>,
+    /// Name of the tenant whose request the call belongs to.
     tenant: Option<String>,
-    /// It has made calls of its own.
+    /// Whether the call has made calls of its own.
     has_calls: AtomicBool,
 }
 
 impl RunningCall {
-    /// A call that holds `ledger`.
+    /// Creates a call with this retry ledger.
     #[must_use]
     pub fn new(
         root: RootId,
@@ -64,76 +66,77 @@
             ledger,
             chain_floor: Mutex::default(),
             usage: Mutex::default(),
-            cause: None,
+            parent: None,
             tenant: None,
             repeats: false,
             has_calls: AtomicBool::new(false),
         }
     }
 
-    /// A call that the running call `cause` makes, with its own deadline and retries. It has the priority of its cause and
-    /// reports to it the admission floors that it meets.
+    /// Creates a call that the running call `parent` makes, with its own deadline and retries. It
+    /// has the priority of its parent and reports to it the admission floors that it meets.
     #[must_use]
-    pub fn child_of(cause: Arc<RunningCall>, expiry: Instant, ledger: RetryLedger) -> Self {
-        let expiry = cause.expiry.min(expiry);
-        let depth = cause.depth.max(1);
-        let call = Self::new(cause.root, cause.priority, cause.root_admitted, expiry, depth, ledger);
-        let repeats = cause.ledger().is_repeat();
-        cause.has_calls.store(true, Ordering::Relaxed);
-        let tenant = cause.tenant.clone();
-        Self { cause: Some(cause), repeats, tenant, ..call }
+    pub fn child_of(parent: Arc<RunningCall>, expiry: Instant, ledger: RetryLedger) -> Self {
+        let expiry = parent.expiry.min(expiry);
+        let depth = parent.depth.max(1);
+        let call = Self::new(parent.root, parent.priority, parent.root_admitted, expiry, depth, ledger);
+        let repeats = parent.ledger().is_repeat();
+        parent.has_calls.store(true, Ordering::Relaxed);
+        let tenant = parent.tenant.clone();
+        Self { parent: Some(parent), repeats, tenant, ..call }
     }
 
-    /// The same call, as one of this tenant's request.
+    /// Assigns the call to the request of a tenant.
     #[must_use]
     pub fn of_tenant(self, tenant: Option<&str>) -> Self {
         Self { tenant: tenant.map(str::to_owned), ..self }
     }
 
-    /// Name of the tenant whose request it belongs to.
+    /// Returns the name of the tenant whose request the call belongs to.
     #[must_use]
     pub fn tenant(&self) -> Option<&str> {
         self.tenant.as_deref()
     }
 
-    /// Its retry tokens and child calls.
+    /// Returns the retry ledger, which holds the tokens and the child calls.
     pub fn ledger(&self) -> MutexGuard<'_, RetryLedger> {
         lock(&self.ledger)
     }
 
-    /// Whether it has made calls of its own.
+    /// Whether the call has made calls of its own.
     #[must_use]
     pub fn has_calls(&self) -> bool {
         self.has_calls.load(Ordering::Relaxed) || self.ledger().has_children()
     }
 
-    /// Lowest admission floor met by the calls below it so far; none where all were open.
+    /// Returns the lowest admission floor met so far by calls further down the chain; `None` if all
+    /// were open.
     #[must_use]
     pub fn chain_floor(&self) -> Option<ChainFloor> {
         lock(&self.chain_floor).clone()
     }
 
-    /// What its own calls have used so far, as their answers report.
+    /// Returns the usage of the child calls so far, as reported in their answers.
     #[must_use]
     pub fn usage(&self) -> ChainUsage {
         lock(&self.usage).clone()
     }
 
-    /// Records what one of its own calls has used, for itself and for its cause.
+    /// Adds the usage of a child call to this call and to its parent.
     pub fn add_usage(&self, reported: &[ServiceUsage]) {
         if reported.is_empty() {
             return;
         }
-        if let Some(cause) = &self.cause {
-            cause.add_usage(reported);
+        if let Some(parent) = &self.parent {
+            parent.add_usage(reported);
         }
         lock(&self.usage).add(reported);
     }
 
-    /// Records an admission floor met below, for itself and for its cause.
+    /// Records an admission floor met further down the chain, for this call and for its parent.
     pub fn lower_chain_floor(&self, floor: &ChainFloor) {
-        if let Some(cause) = &self.cause {
-            cause.lower_chain_floor(floor);
+        if let Some(parent) = &self.parent {
+            parent.lower_chain_floor(floor);
         }
         let mut lowest = lock(&self.chain_floor);
         if lowest.as_ref().is_none_or(|lowest| floor.floor < lowest.floor) {
@@ -142,8 +145,8 @@
     }
 }
 
-/// What the context header holds. It only names a running call; what that call may do stays in the daemon, so that a forged or
-/// copied header gains nothing.
+/// Content of the context header. It only identifies a running call, whose rights stay in the
+/// daemon, so that a forged or copied header gains nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Readable, Writable)]
 struct ContextToken {
     incarnation: Incarnation,
@@ -151,7 +154,7 @@
     nonce: u64,
 }
 
-/// The calls that run beside this daemon.
+/// The calls that run on the local back end.
 #[derive(Debug)]
 pub struct RunningCalls {
     incarnation: Incarnation,
@@ -181,7 +184,7 @@
 }
 
 impl Registration {
-    /// Value of the context header.
+    /// Returns the value of the context header.
     #[must_use]
     pub fn header(&self) -> &str {
         &self.header
@@ -193,7 +196,7 @@
         let mut calls = self.registry.lock();
         let Some(entry) = calls.by_handle.remove(&self.handle) else { return };
         let Some(name) = entry.name else { return };
-        // A repeat of the same name may have registered since.
+        // A repeat with the same name may have been registered since.
         if calls.handle_by_name.get(&name) == Some(&self.handle) {
             calls.handle_by_name.remove(&name);
         }
@@ -201,13 +204,13 @@
 }
 
 impl RunningCalls {
-    /// No calls yet.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(incarnation: Incarnation) -> Arc<Self> {
         Arc::new(Self { incarnation, next_handle: AtomicU64::new(1), calls: Mutex::default() })
     }
 
-    /// Registers a call that is about to run, under the name of its request if that has one.
+    /// Registers a call that is about to run, also under the name of its request if it has one.
     #[must_use]
     pub fn register(self: &Arc<Self>, call: Arc<RunningCall>, name: Option<&str>) -> Registration {
         let handle = self.next_handle.fetch_add(1, Ordering::Relaxed);
@@ -224,10 +227,10 @@
         Registration { registry: self.clone(), handle, header: URL_SAFE_NO_PAD.encode(bytes) }
     }
 
-    /// The running call that a context header names.
+    /// Returns the running call that a context header identifies.
     ///
-    /// None when the header is forged or unreadable, comes from an earlier incarnation of this daemon, or names a call that has
-    /// ended or was given up.
+    /// Returns `None` if the header is forged or unreadable, comes from an earlier incarnation of
+    /// this daemon, or identifies a call that has ended or was given up.
     #[must_use]
     pub fn find(&self, header: &str) -> Option<Arc<RunningCall>> {
         let bytes = URL_SAFE_NO_PAD.decode(header).ok()?;
@@ -240,7 +243,7 @@
         (entry.nonce == token.nonce).then(|| entry.call.clone())
     }
 
-    /// The running call with this name.
+    /// Returns the running call with this name.
     #[must_use]
     pub fn find_by_name(&self, name: &str) -> Option<Arc<RunningCall>> {
         let calls = self.lock();
@@ -248,7 +251,7 @@
         calls.by_handle.get(handle).map(|entry| entry.call.clone())
     }
 
-    /// Calls that run.
+    /// Returns the number of running calls.
     #[must_use]
     pub fn count(&self) -> usize {
         self.lock().by_handle.len()
