--- a/crates/seamhatchd/src/intake/mod.rs
+++ b/crates/seamhatchd/src/intake/mod.rs
@@ -33,7 +33,7 @@
 
 /// A request that was taken. It is in progress until all clones are dropped.
 #[derive(Debug, Clone)]
-pub struct TakenRequest(Arc<TableEntry>);
+pub struct AcceptedRequest(Arc<TableEntry>);
 
 #[derive(Debug)]
 struct TableEntry {
@@ -50,7 +50,7 @@
     }
 }
 
-impl TakenRequest {
+impl AcceptedRequest {
     /// How far it has come.
     #[must_use]
     pub fn progress(&self) -> &Arc<RequestProgress> {
@@ -59,7 +59,7 @@
 
     /// Whether no other part of the daemon works on it.
     #[must_use]
-    pub fn is_last(&self) -> bool {
+    pub fn is_last_handle(&self) -> bool {
         Arc::strong_count(&self.0) == 1
     }
 }
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     /// [`IntakeClosed`]: the process ends, and the request has to be refused as not run.
-    pub fn take(self: &Arc<Self>, entry: RequestEntry) -> Result<TakenRequest, IntakeClosed> {
+    pub fn accept(self: &Arc<Self>, entry: RequestEntry) -> Result<AcceptedRequest, IntakeClosed> {
         let progress = Arc::new(RequestProgress::begin(entry));
         let mut table = self.lock();
         if let Err(closed) = table.gate.take() {
@@ -86,7 +86,7 @@
         table.next += 1;
         table.taken.insert(number, progress.clone());
         drop(table);
-        Ok(TakenRequest(Arc::new(TableEntry { intake: self.clone(), number, progress })))
+        Ok(AcceptedRequest(Arc::new(TableEntry { intake: self.clone(), number, progress })))
     }
 
     /// Which requests are taken.
--- a/crates/seamhatchd/src/listeners/admin.rs
+++ b/crates/seamhatchd/src/listeners/admin.rs
@@ -98,7 +98,7 @@
 
 /// Carries out an order. It is in progress until it is answered; a daemon that ends takes none.
 async fn order(shared: &Arc<Shared>, path: &str, body: RequestBody) -> WebResponse {
-    let Ok(taken) = shared.intake.take(RequestEntry::Operator) else {
+    let Ok(taken) = shared.intake.accept(RequestEntry::Operator) else {
         let detail = "this daemon ends; nothing was done: give the order to another one";
         return problem(StatusCode::SERVICE_UNAVAILABLE, "unavailable", detail);
     };
--- a/crates/seamhatchd/src/listeners/body.rs
+++ b/crates/seamhatchd/src/listeners/body.rs
@@ -2,7 +2,7 @@
 
 use crate::dispatch::Answer;
 use crate::filters::Rejection;
-use crate::intake::TakenRequest;
+use crate::intake::AcceptedRequest;
 use bytes::Bytes;
 use futures_util::stream;
 use http_body_util::combinators::UnsyncBoxBody;
@@ -28,7 +28,7 @@
 }
 
 /// The body of an answer; an error when it breaks off. Dropping it cancels the call.
-pub fn streamed(answer: Answer, taken: TakenRequest) -> CallerBody {
+pub fn streamed(answer: Answer, taken: AcceptedRequest) -> CallerBody {
     let pieces = stream::unfold(Some((answer, taken)), |state| async {
         let (mut answer, taken) = state?;
         match answer.next().await {
@@ -42,7 +42,7 @@
 
 /// The body of an answer that is read to its end whether or not its caller stays, so that it can be
 /// recorded for repeats of the same request.
-pub fn recorded(mut answer: Answer, taken: TakenRequest) -> CallerBody {
+pub fn recorded(mut answer: Answer, taken: AcceptedRequest) -> CallerBody {
     let (sender, pieces) = mpsc::channel(RECORDED_AHEAD);
     let unwritten = taken.clone();
     tokio::spawn(async move {
--- a/crates/seamhatchd/src/listeners/connection.rs
+++ b/crates/seamhatchd/src/listeners/connection.rs
@@ -11,7 +11,7 @@
 use super::head;
 use super::pipelined::PipelinedRequest;
 use crate::base::lock::lock;
-use crate::intake::TakenRequest;
+use crate::intake::AcceptedRequest;
 use bytes::Bytes;
 use http::request::Parts;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -36,7 +36,7 @@
 #[derive(Default)]
 struct ConnectionState {
     pipeline: Pipeline,
-    unwritten: Vec<TakenRequest>,
+    unwritten: Vec<AcceptedRequest>,
     /// Those that were taken ahead and that the library has not reached.
     ahead: VecDeque<PipelinedRequest>,
     /// The library works on a request.
@@ -88,7 +88,7 @@
     }
 
     /// Keeps a request in progress until its answer is written or the connection ends.
-    pub fn hold(&self, request: TakenRequest) {
+    pub fn hold(&self, request: AcceptedRequest) {
         self.lock().unwritten.push(request);
     }
 
@@ -195,7 +195,7 @@
         let mut unwritten = std::mem::take(&mut state.unwritten);
         drop(state);
         // Requests are let go without the lock: the intake has one of its own.
-        unwritten.retain(|request| !request.is_last());
+        unwritten.retain(|request| !request.is_last_handle());
         if !unwritten.is_empty() {
             self.lock().unwritten.append(&mut unwritten);
         }
--- a/crates/seamhatchd/src/listeners/pipelined.rs
+++ b/crates/seamhatchd/src/listeners/pipelined.rs
@@ -5,7 +5,7 @@
 use super::head::BodilessRequest;
 use super::proxy::{RequestHandler, failed_task};
 use crate::filters::{self, RequestState};
-use crate::intake::{RequestEntry, TakenRequest};
+use crate::intake::{AcceptedRequest, RequestEntry};
 use http::Response;
 use seamhatch_core::identity::RootId;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
     /// Whether requests behind it may be started, too.
     pub repeatable: bool,
     root: RootId,
-    taken: TakenRequest,
+    taken: AcceptedRequest,
     answer: PipelinedAnswer,
 }
 
@@ -49,7 +49,7 @@
         if self.shared.is_draining() {
             return None;
         }
-        let taken = self.shared.intake.take(RequestEntry::Listener).ok()?;
+        let taken = self.shared.intake.accept(RequestEntry::Listener).ok()?;
         let line = (request.parts.method.clone(), request.parts.uri.clone());
         let mut state = self.request_state(&request.parts);
         state.progress = taken.progress().clone();
--- a/crates/seamhatchd/src/listeners/proxy.rs
+++ b/crates/seamhatchd/src/listeners/proxy.rs
@@ -8,7 +8,7 @@
 use crate::conventions::headers;
 use crate::dispatch::{self, Answer, CallResult, ReplayBody};
 use crate::filters::{self, Entry, FilterChain, Rejection, RequestState};
-use crate::intake::{RequestEntry, RequestStage, TakenRequest};
+use crate::intake::{AcceptedRequest, RequestEntry, RequestStage};
 use crate::listeners::body::{self, CallerBody};
 use crate::listeners::connection::{ConnectionRequests, WatchedBody};
 use crate::listeners::pipelined::PipelinedRequest;
@@ -92,7 +92,7 @@
         request: Request<Incoming>,
         connection: &ConnectionRequests,
     ) -> Response<CallerBody> {
-        let taken = self.shared.intake.take(RequestEntry::Listener);
+        let taken = self.shared.intake.accept(RequestEntry::Listener);
         let (parts, body) = request.into_parts();
         let mut request = self.request_state(&parts);
         let Ok(taken) = taken else { return self.reject(&request, &filters::stopping_rejection(&request)) };
@@ -113,7 +113,7 @@
         self: Arc<Self>,
         request: Arc<RequestState>,
         body: Option<Incoming>,
-        taken: TakenRequest,
+        taken: AcceptedRequest,
     ) -> Response<CallerBody> {
         let answering = async {
             if request.claim_text.is_some() {
@@ -148,7 +148,7 @@
         self: Arc<Self>,
         request: Arc<RequestState>,
         body: Option<Incoming>,
-        taken: TakenRequest,
+        taken: AcceptedRequest,
     ) -> Response<CallerBody> {
         let root = request.root;
         let handler = self.clone();
@@ -161,7 +161,7 @@
         &self,
         request: &RequestState,
         body: Option<Incoming>,
-        taken: TakenRequest,
+        taken: AcceptedRequest,
     ) -> Response<CallerBody> {
         let permit = match self.shared.quota_context().admit(request.tenant.as_ref()).await {
             Ok(permit) => permit,
--- a/crates/seamhatchd/src/listeners/registry.rs
+++ b/crates/seamhatchd/src/listeners/registry.rs
@@ -72,7 +72,7 @@
         return Ok(problem(StatusCode::NOT_FOUND, "not-found", "instances are at /v1/instances/NAME"));
     };
     let instance = InstanceId::named(name);
-    let Ok(taken) = shared.intake.take(RequestEntry::Registry) else {
+    let Ok(taken) = shared.intake.accept(RequestEntry::Registry) else {
         let detail = "this daemon ends; tell another one";
         return Ok(problem(StatusCode::SERVICE_UNAVAILABLE, "ending", detail));
     };
--- a/crates/seamhatchd/src/listeners/responses.rs
+++ b/crates/seamhatchd/src/listeners/responses.rs
@@ -10,7 +10,7 @@
 use crate::conventions::{AnswerMark, OwnAnswer};
 use crate::dispatch::Answer;
 use crate::filters::{Rejection, RequestState};
-use crate::intake::{RequestStage, TakenRequest};
+use crate::intake::{AcceptedRequest, RequestStage};
 use bytes::Bytes;
 use http::header::CONTENT_LENGTH;
 use http::{Response, StatusCode};
@@ -26,7 +26,7 @@
         &self,
         request: &RequestState,
         answer: Answer,
-        taken: TakenRequest,
+        taken: AcceptedRequest,
     ) -> Response<CallerBody> {
         request.progress.set_stage(RequestStage::Answering(answer.server));
         let took = clock::now().since(request.arrived);
--- a/crates/seamhatchd/src/peer/connection_task.rs
+++ b/crates/seamhatchd/src/peer/connection_task.rs
@@ -52,7 +52,7 @@
         let outbox = self.outbox.clone();
         let result = tokio::select! {
             result = self.read(host, frames) => result,
-            () = link::send_pulses(host, self.address, LinkEnd::Calling, outbox, || false, to_peer_clock) => Ok(()),
+            () = link::send_heartbeats(host, self.address, LinkEnd::Calling, outbox, || false, to_peer_clock) => Ok(()),
             () = self.until_silent_or_idle(pool) => Ok(()),
             result = &mut writing => result.unwrap_or(Ok(())),
         };
--- a/crates/seamhatchd/src/peer/link.rs
+++ b/crates/seamhatchd/src/peer/link.rs
@@ -151,7 +151,7 @@
 
 /// Sends heartbeats until the outbox closes. `is_busy` returns whether the peer waits for answers; `to_peer_clock` translates a
 /// local instant into the peer's clock, erring early.
-pub async fn send_pulses(
+pub async fn send_heartbeats(
     host: &dyn LinkHost,
     peer: Address,
     end: LinkEnd,
--- a/crates/seamhatchd/src/peer_server/call/mod.rs
+++ b/crates/seamhatchd/src/peer_server/call/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::base::clock;
 use crate::conventions::field_text;
-use crate::intake::{RequestProgress, RequestStage, TakenRequest};
+use crate::intake::{AcceptedRequest, RequestProgress, RequestStage};
 use crate::peer::CreditWindow;
 use crate::peer::Outbox;
 use crate::peer_server::incoming_calls::IncomingCalls;
@@ -63,7 +63,7 @@
     }
 
     /// Follows the call from its arrival to its end and sends its answer or its refusal. `_taken` keeps it in progress meanwhile.
-    pub(super) async fn run(self, body: backend::RequestBody, _taken: TakenRequest) {
+    pub(super) async fn run(self, body: backend::RequestBody, _taken: AcceptedRequest) {
         self.progress.set_name(self.log_name());
         self.shared.control.note_call_generation(self.head.generation);
         self.shared.server.notices.note_sender(self.from);
--- a/crates/seamhatchd/src/peer_server/mod.rs
+++ b/crates/seamhatchd/src/peer_server/mod.rs
@@ -89,7 +89,7 @@
     AbortOnDrop(tokio::spawn(async move {
         let is_busy = || !calls.is_empty();
         let to_peer_clock = |instant| peer_clock.translate(instant);
-        link::send_pulses(&*shared, peer, LinkEnd::Called, outbox, is_busy, to_peer_clock).await;
+        link::send_heartbeats(&*shared, peer, LinkEnd::Called, outbox, is_busy, to_peer_clock).await;
     }))
 }
 
--- a/crates/seamhatchd/src/peer_server/session.rs
+++ b/crates/seamhatchd/src/peer_server/session.rs
@@ -114,7 +114,7 @@
     }
 
     fn start_call(&self, head: CallHead) {
-        let taken = self.shared.intake.take(RequestEntry::Peer);
+        let taken = self.shared.intake.accept(RequestEntry::Peer);
         let (body_sender, body) = if head.has_body {
             let (sender, body) = backend::request_body();
             (Some(sender), body)
