--- a/crates/seamhatchd/src/peer/call.rs
+++ b/crates/seamhatchd/src/peer/call.rs
@@ -1,6 +1,6 @@
-//! One call as the daemon that sends it sees it: events of the answer, and the answer's body.
+//! The sender's side of one call: the events of its answer, and the answer's body.
 //!
-//! Used by dispatch. Dropping a [`CallStream`] before its end cancels the call at the peer.
+//! Used by dispatch. Dropping a [`CallStream`] before the call has ended cancels the call at the peer.
 
 use crate::peer::credit::{CreditWindow, owed_credit};
 use crate::peer::link::Outbox;
@@ -12,25 +12,25 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// What the peer sends about a call.
+/// A message of the peer about a call.
 #[derive(Debug)]
 pub enum CallEvent {
-    /// There is no answer of the back end.
+    /// The call is refused; there is no answer of the back end.
     Refused(Refusal),
-    /// The answer begins.
+    /// The head of the answer.
     Head(Box<AnswerHead>),
-    /// A piece of its body.
+    /// A piece of the answer's body.
     Chunk(Bytes),
-    /// It is over.
+    /// The end of the answer.
     Tail(AnswerTail),
 }
 
-/// A call that was sent; dropping it before its end cancels the call.
+/// A call that has been sent. Dropping the stream before the call has ended cancels the call.
 #[derive(Debug)]
 pub struct CallStream {
-    /// Its number on this connection.
+    /// The call's number on its connection.
     pub call: CallId,
-    /// How much of the request body may be sent.
+    /// Flow-control window of the request body.
     pub window: Arc<CreditWindow>,
     pub(super) outbox: Outbox,
     pub(super) events: mpsc::UnboundedReceiver<CallEvent>,
@@ -39,24 +39,24 @@
 }
 
 impl CallStream {
-    /// The next event; none when the connection was lost. Cancel-safe.
+    /// Returns the next event, or none if the connection is lost. Cancel-safe.
     pub async fn next(&mut self) -> Option<CallEvent> {
         let event = self.events.recv().await;
         self.ended |= matches!(event, None | Some(CallEvent::Refused(_) | CallEvent::Tail(_)));
         event
     }
 
-    /// Sends a piece of the request body. Wait for the window to be ready before.
+    /// Sends a piece of the request body. The caller first waits for [`CreditWindow::ready`].
     pub fn send_piece(&self, piece: &Bytes) {
         self.window.spend(piece.len());
         let message = PeerMessage::RequestChunk { call: self.call, bytes: piece.to_vec() };
-        // A lost connection shows in `next`.
+        // `next` reports a lost connection.
         let _ = self.outbox.send(message);
     }
 
     /// Marks the request body as complete.
     pub fn finish_body(&self) {
-        // A lost connection shows in `next`.
+        // `next` reports a lost connection.
         let _ = self.outbox.send(PeerMessage::RequestEnd { call: self.call });
     }
 }
@@ -65,28 +65,28 @@
     fn drop(&mut self) {
         self.calls.remove(self.call);
         if !self.ended {
-            // The end of a connection cancels its calls anyway.
+            // If the connection is closed, the peer cancels its calls by itself.
             let _ = self.outbox.send(PeerMessage::Cancel { call: self.call });
         }
     }
 }
 
-/// What [`AnswerBody::next`] returns.
+/// A result of [`AnswerBody::next`].
 #[derive(Debug)]
 pub enum AnswerPiece {
-    /// More of the body.
+    /// A piece of the body.
     Data(Bytes),
     /// The body is complete.
     End {
-        /// Tokens that the call did not spend.
+        /// Retry tokens that the call did not spend.
         unspent_tokens: u32,
     },
-    /// The body will never be complete.
+    /// The body was cut short.
     Broken,
 }
 
-/// The body of an answer. It holds one piece back until more follows or the body is complete, so that no reader takes a
-/// body that broke off for a whole one.
+/// The body of an answer. The last received piece is withheld until another follows or the body is complete, so
+/// that no reader mistakes a truncated body for a complete one.
 #[derive(Debug)]
 pub struct AnswerBody {
     stream: CallStream,
@@ -97,13 +97,13 @@
 }
 
 impl AnswerBody {
-    /// The body that follows an answer's head on `stream`.
+    /// Reads the body of an answer whose head was received on `stream`.
     #[must_use]
     pub fn new(stream: CallStream) -> Self {
         Self { stream, owed: owed_credit(), held_back: None, tail: None, lost: false }
     }
 
-    /// The next piece. Cancel-safe.
+    /// Returns the next piece. Cancel-safe.
     pub async fn next(&mut self) -> AnswerPiece {
         while self.tail.is_none() && !self.lost {
             match self.stream.next().await {
@@ -129,7 +129,7 @@
     fn grant(&mut self, bytes: usize) {
         let Some(bytes) = self.owed.take(bytes as u32) else { return };
         let message = PeerMessage::Credit { call: self.stream.call, bytes };
-        // A lost connection shows in the next event.
+        // The next event reports a lost connection.
         let _ = self.stream.outbox.send(message);
     }
 }
--- a/crates/seamhatchd/src/peer/connection.rs
+++ b/crates/seamhatchd/src/peer/connection.rs
@@ -1,8 +1,8 @@
-//! The sending end of a connection to another daemon: calls, claims and control requests go out on it.
+//! The sending end of a connection to another daemon, for calls, claims and control requests.
 //!
-//! Owns the outbox, the table of calls and requests that wait for their end, and the view of the peer. Opened by the
-//! [`PeerPool`](crate::peer::PeerPool); `handshake` opens it, `incoming` handles what the peer sends, `connection_task` runs
-//! its tasks and ends it. Used by dispatch, claims and controllers.
+//! Owns the outbox, the tables of pending calls and requests, and the view of the peer. The
+//! [`PeerPool`](crate::peer::PeerPool) opens it through `handshake`; `incoming` handles the peer's messages and
+//! `connection_task` drives and closes it. Used by dispatch, claims and controllers.
 
 use crate::base::clock;
 use crate::base::lock::lock;
@@ -22,7 +22,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// What the connection and its tasks share.
+/// State shared by the clones of a connection and by its task.
 #[derive(Debug)]
 pub(super) struct ConnectionState {
     view: Mutex<PeerView>,
@@ -31,7 +31,7 @@
     pub(super) controls: PendingReplies<ControlReply>,
     pub(super) loss: ConnectionLoss,
     next_exchange: AtomicU64,
-    /// When a call or request was last sent, in microseconds of the boot clock.
+    /// Time of the last call or request sent, in microseconds of the boot clock.
     last_used: AtomicU64,
 }
 
@@ -53,7 +53,7 @@
         lock(&self.view)
     }
 
-    /// When a call or request was last sent.
+    /// The time of the last call or request sent.
     pub(super) fn last_used(&self) -> Instant {
         Instant(self.last_used.load(Ordering::Relaxed))
     }
@@ -62,7 +62,7 @@
         self.last_used.store(clock::now().0, Ordering::Relaxed);
     }
 
-    /// Ends all calls and fails all requests that wait, as nothing more will come.
+    /// Ends all calls and fails all pending requests, because the connection is closed.
     pub(super) fn end_all(&self) {
         self.calls.end_all();
         self.claims.fail_all();
@@ -70,31 +70,31 @@
     }
 }
 
-/// An open connection on which this daemon sends calls. Cheap to clone.
+/// A connection on which this daemon sends calls. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct PeerConnection {
     /// The peer's address.
     pub address: Address,
     /// The peer's incarnation.
     pub incarnation: Incarnation,
-    /// Service of the server beside it, as its first message states.
+    /// Service of the server beside the peer, as stated in the peer's first message.
     pub service: Arc<str>,
-    /// Additions to the messages that it reads.
+    /// Level of message additions that the peer reads; see [`seamhatch_wire::ADDITIONS`].
     pub additions: u16,
     pub(super) outbox: Outbox,
     pub(super) state: Arc<ConnectionState>,
 }
 
 impl PeerConnection {
-    /// Sends a call.
+    /// Sends the head of a call.
     ///
     /// # Errors
-    /// [`LinkClosed`] when nothing was written.
+    /// [`LinkClosed`] if the connection is closed or the peer is stopping; nothing is written.
     pub fn start_call(&self, head: CallHead) -> Result<CallStream, LinkClosed> {
         self.state.note_used();
         let call = head.call;
         let (events, window) = self.state.calls.add(call);
-        let sent = self.send_unless_ending(head);
+        let sent = self.send_unless_stopping(head);
         if sent.is_err() {
             self.state.calls.remove(call);
             return Err(LinkClosed);
@@ -103,8 +103,9 @@
         Ok(CallStream { call, window, outbox, events, calls, ended: false })
     }
 
-    /// Holds the view while it sends, so that no call follows the answer to a farewell.
-    fn send_unless_ending(&self, head: CallHead) -> Result<(), LinkClosed> {
+    /// Sends a call unless the peer is stopping. The view stays locked during the send, so that no call is queued
+    /// after the acknowledgement of the peer's shutdown.
+    fn send_unless_stopping(&self, head: CallHead) -> Result<(), LinkClosed> {
         let mut view = self.state.view();
         if view.is_stopping {
             return Err(LinkClosed);
@@ -113,19 +114,20 @@
         self.outbox.send(PeerMessage::Call(Box::new(head)))
     }
 
-    /// Sends a claim and waits for the reply; none when the connection was lost.
+    /// Sends a claim and waits for the reply. Returns none if the connection is lost.
     pub async fn claim(&self, shard: u32, epoch: Epoch, claim: Claim) -> Option<ClaimReply> {
         let message = |exchange| PeerMessage::Claim { exchange, shard, epoch, claim };
         self.request(&self.state.claims, message).await
     }
 
-    /// Sends a control request and waits for the reply; none when the connection was lost.
+    /// Sends a control request and waits for the reply. Returns none if the connection is lost.
     pub async fn control(&self, request: ControlRequest) -> Option<ControlReply> {
         let message = |exchange| PeerMessage::ControlRequest { exchange, request };
         self.request(&self.state.controls, message).await
     }
 
-    /// Sends a request under a number of its own and waits for the reply; none when the connection was lost.
+    /// Sends a request under a new exchange number and waits for the reply. Returns none if the connection is
+    /// lost.
     async fn request<R>(
         &self,
         pending: &PendingReplies<R>,
@@ -138,13 +140,13 @@
         reply.await.ok()
     }
 
-    /// Sends a message that needs no reply.
+    /// Sends a message that has no reply.
     pub fn send(&self, message: PeerMessage) {
-        // Nobody waits for it, and the end of a connection is logged by its task.
+        // The connection's task logs the end of the connection.
         let _ = self.outbox.send(message);
     }
 
-    /// Waits until the peer has been silent for so long that calls should leave it.
+    /// Waits until the peer has been silent for so long that calls should no longer wait for it.
     pub async fn until_silent(&self) {
         loop {
             let now = clock::now();
@@ -156,45 +158,46 @@
         }
     }
 
-    /// Whether it can still be used.
+    /// Whether messages can still be sent.
     #[must_use]
     pub fn is_open(&self) -> bool {
         !self.outbox.is_closed()
     }
 
-    /// Translates a local instant into the peer's clock, erring early.
+    /// Converts a local instant to the peer's clock; the result may be early, never late.
     #[must_use]
     pub fn to_peer_clock(&self, instant: Instant) -> Instant {
         self.state.view().to_peer_clock(instant)
     }
 
-    /// Calls in flight on this connection.
+    /// The number of calls in flight on this connection.
     #[must_use]
     pub fn in_flight(&self) -> u32 {
         self.state.calls.count()
     }
 
-    /// Records how a call to the peer ended.
+    /// Records the outcome of a call to the peer.
     pub fn record(&self, end: CallEnd) {
         self.state.view().record(end, clock::now());
     }
 
-    /// Records a call that was lost with this connection. Returns all that were lost so far and that nobody has reported, where the
-    /// daemon has ended without having said that it leaves.
+    /// Records a call that was lost with this connection. If the peer's process has ended without announcing a
+    /// drain, returns all lost calls that have not been reported yet; otherwise returns none.
     pub async fn record_lost_run(&self, run: LostRun) -> Vec<LostRun> {
-        let leaves = self.with_view(|view| view.intake != CallIntake::Open);
-        if self.is_open() || leaves {
+        let is_draining = self.with_view(|view| view.intake != CallIntake::Open);
+        if self.is_open() || is_draining {
             return Vec::new();
         }
         self.state.loss.record(run, self.address.into()).await
     }
 
-    /// Reads what is known of the peer without a copy. `read` must not use this connection, whose view is locked meanwhile.
+    /// Reads the view of the peer without copying it. `read` must not use this connection, because the view is
+    /// locked.
     pub fn with_view<R>(&self, read: impl FnOnce(&PeerView) -> R) -> R {
         read(&self.state.view())
     }
 
-    /// A copy of what is known of the peer.
+    /// A copy of the view of the peer.
     #[must_use]
     pub fn view(&self) -> PeerView {
         self.state.view().clone()
--- a/crates/seamhatchd/src/peer/connection_task.rs
+++ b/crates/seamhatchd/src/peer/connection_task.rs
@@ -1,7 +1,7 @@
-//! The task of an open connection: reading, heartbeats, and its end when it is idle or silent.
+//! The task of an open connection: reads, sends heartbeats, and closes the connection when it is idle or silent.
 //!
-//! One task runs for each connection that this daemon opened. When it ends, calls and requests that wait are ended,
-//! and the pool forgets the connection.
+//! One task runs for each connection that this daemon opened. When the task ends, pending calls and requests fail
+//! and the pool removes the connection.
 
 use crate::base::clock;
 use crate::peer::connection::PeerConnection;
@@ -17,18 +17,18 @@
 use tokio::net::tcp::OwnedReadHalf;
 use tokio::task::JoinHandle;
 
-/// A connection on which nothing was sent for this long is closed, so that random exchanges between controllers
-/// don't add up to a full mesh.
-const IDLE_TO_CLOSE: Microseconds = 10 * SECOND;
-/// The connection of a peer that was silent for this long is closed, and the calls on it are lost.
-const SILENCE_TO_CLOSE: Microseconds = 20 * SECOND;
-/// Pause after the first attempt to reach a silent peer on a new connection, doubled after each further attempt.
-/// The first attempt comes at once and costs a handshake.
-const FIRST_RENEWAL_PAUSE: Microseconds = SECOND;
-/// Longest pause between two such attempts: a peer that is frozen or cut off costs one handshake in this time.
-const LONGEST_RENEWAL_PAUSE: Microseconds = 4 * SECOND;
+/// Idle time after which a connection is closed, so that the controllers' exchanges with random peers don't build
+/// up a full mesh.
+const IDLE_TIMEOUT: Microseconds = 10 * SECOND;
+/// Time without a message from the peer after which the connection is closed and its calls are lost.
+const SILENCE_TIMEOUT: Microseconds = 20 * SECOND;
+/// Backoff after the first attempt to reach a silent peer on a new connection; doubles with each further attempt.
+/// The first attempt is made immediately and costs one handshake.
+const RECONNECT_MIN_BACKOFF: Microseconds = SECOND;
+/// Maximum backoff between two such attempts: a frozen or partitioned peer costs one handshake per interval.
+const RECONNECT_MAX_BACKOFF: Microseconds = 4 * SECOND;
 
-/// Starts the task of a connection whose handshake is done.
+/// Spawns the task of a connection whose handshake is complete.
 pub(super) fn spawn(
     connection: &PeerConnection,
     pool: &Arc<PeerPool>,
@@ -56,56 +56,57 @@
             () = self.until_silent_or_idle(pool) => Ok(()),
             result = &mut writing => result.unwrap_or(Ok(())),
         };
-        // The writer ends first, so that no call can be added after all were ended.
+        // The writer stops first, so that no call can be added after `end_all`.
         writing.abort();
         while !self.outbox.is_closed() {
             tokio::task::yield_now().await;
         }
         self.state.end_all();
         host.connection_ended(&self.service, self.address);
-        pool.forget(self);
+        pool.remove_closed(self);
         link::log_end(&self.address.to_string(), &result);
     }
 
-    /// Waits until the connection should be closed. Meanwhile opens another one beside it while the peer is silent.
+    /// Waits until the connection should be closed. While the peer is silent, opens a second connection to it with
+    /// exponential backoff.
     async fn until_silent_or_idle(&self, pool: &Arc<PeerPool>) {
-        let mut next_renewal = Instant(0);
-        let mut pause = FIRST_RENEWAL_PAUSE;
+        let mut next_reconnect = Instant(0);
+        let mut backoff = RECONNECT_MIN_BACKOFF;
         loop {
-            self.until_upkeep().await;
+            self.until_next_check().await;
             let now = clock::now();
             let last_heard = self.state.view().last_heard;
-            let silent = now.since(last_heard) > SILENCE_TO_CLOSE;
+            let silent = now.since(last_heard) > SILENCE_TIMEOUT;
             if silent || self.is_idle(now) {
                 return;
             }
             if now < balance::silent_at(last_heard) {
-                pause = FIRST_RENEWAL_PAUSE;
-            } else if now >= next_renewal {
-                self.renew(pool);
-                next_renewal = now.plus(pause);
-                pause = (2 * pause).min(LONGEST_RENEWAL_PAUSE);
+                backoff = RECONNECT_MIN_BACKOFF;
+            } else if now >= next_reconnect {
+                self.reconnect(pool);
+                next_reconnect = now.plus(backoff);
+                backoff = (2 * backoff).min(RECONNECT_MAX_BACKOFF);
             }
         }
     }
 
-    /// Waits until the peer may have fallen silent, or an interval where it has. Ends when heartbeats are sent, so that it needs no
-    /// wake-up of its own.
-    async fn until_upkeep(&self) {
+    /// Waits until the peer counts as silent unless heard, or for one interval if it already does. Resolves at an
+    /// instant at which heartbeats are sent, so that it needs no separate wake-up.
+    async fn until_next_check(&self) {
         let until_silent = self.state.view().silent_at().since(clock::now());
         let time = next_instant(link::heartbeat_time() + until_silent, IDLE_INTERVAL);
         link::sleep_until_heartbeat(time).await;
     }
 
     fn is_idle(&self, now: Instant) -> bool {
-        now.since(self.state.last_used()) > IDLE_TO_CLOSE && self.in_flight() == 0
+        now.since(self.state.last_used()) > IDLE_TIMEOUT && self.in_flight() == 0
     }
 
-    /// Has the pool open a new connection beside this silent one, since only the connection may have failed. Calls on
-    /// this one go on, as it may be heard again.
-    fn renew(&self, pool: &Arc<PeerPool>) {
+    /// Asks the pool for a second connection, because only this connection may have failed, not its peer. Calls on
+    /// this connection continue, because the peer may be heard on it again.
+    fn reconnect(&self, pool: &Arc<PeerPool>) {
         let (pool, address) = (pool.clone(), self.address);
-        // An attempt that fails is repeated after the pause.
+        // A failed attempt is repeated after the backoff.
         tokio::spawn(async move { drop(pool.get(address).await) });
     }
 }
--- a/crates/seamhatchd/src/peer/credit.rs
+++ b/crates/seamhatchd/src/peer/credit.rs
@@ -1,7 +1,7 @@
-//! Flow control of one body: how many bytes its receiver can take.
+//! Credit-based flow control of one body.
 //!
-//! The sender of the body owns the window; the session or connection that gets [`Credit`] messages refills it. The receiver
-//! decides by [`OwedCredit`] when it sends them.
+//! The sender of the body owns the window. The session or connection that receives [`Credit`] messages refills it.
+//! The body's receiver decides with [`OwedCredit`] when to send them.
 //!
 //! [`Credit`]: seamhatch_wire::PeerMessage::Credit
 
@@ -10,13 +10,13 @@
 use std::sync::atomic::{AtomicI64, Ordering};
 use tokio::sync::Notify;
 
-/// What the receiver of a body owes its sender at the start.
+/// The receiver's credit account at the start of a body.
 #[must_use]
 pub fn owed_credit() -> OwedCredit {
     OwedCredit::new(BODY_WINDOW as u32)
 }
 
-/// Bytes that may be sent now. Below zero after a piece that was larger than what was left.
+/// The number of bytes that may be sent now; negative after a piece that was larger than the remaining window.
 #[derive(Debug)]
 pub struct CreditWindow {
     available: AtomicI64,
@@ -30,18 +30,18 @@
 }
 
 impl CreditWindow {
-    /// Adds the receiver's credit, in bytes.
+    /// Adds credit granted by the receiver, in bytes.
     pub fn refill(&self, bytes: u32) {
         self.available.fetch_add(i64::from(bytes), Ordering::AcqRel);
         self.refilled.notify_one();
     }
 
-    /// Counts bytes as sent.
+    /// Deducts sent bytes.
     pub fn spend(&self, bytes: usize) {
         self.available.fetch_sub(bytes as i64, Ordering::AcqRel);
     }
 
-    /// Waits until something may be sent. For one waiter.
+    /// Waits until the window is positive. Supports a single waiter.
     pub async fn ready(&self) {
         while self.available.load(Ordering::Acquire) <= 0 {
             self.refilled.notified().await;
--- a/crates/seamhatchd/src/peer/handshake.rs
+++ b/crates/seamhatchd/src/peer/handshake.rs
@@ -1,7 +1,7 @@
-//! Opening a connection to another daemon: TCP, the preface, and the first message in each direction.
+//! Opens a connection to another daemon: TCP connect, the preface, and the first message in each direction.
 //!
-//! Called by the pool. Nothing of a call is written before the handshake is done, so a failure here is safe to
-//! repeat elsewhere.
+//! Called by the pool. No part of a call is written before the handshake completes, so after a failure here the
+//! call can safely be sent to another daemon.
 
 use crate::peer::connection::{ConnectionState, PeerConnection};
 use crate::peer::connection_task;
@@ -15,24 +15,24 @@
 use std::time::Duration;
 use tokio::net::{TcpSocket, TcpStream};
 
-/// Longest wait for the TCP connection and the peer's first message.
+/// Time limit for connecting and receiving the peer's first message.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Connects to a daemon and exchanges first messages.
+/// Connects to a daemon and performs the handshake.
 ///
 /// # Errors
-/// [`WireError`], also where the peer belongs to another cluster; no call was sent.
+/// [`WireError`] if connecting fails or the peer belongs to another cluster; no call was sent.
 pub(super) async fn open(
     pool: &Arc<PeerPool>,
     host: &Arc<dyn LinkHost>,
     address: Address,
 ) -> Result<PeerConnection, WireError> {
-    tokio::time::timeout(CONNECT_TIMEOUT, shake_hands(pool, host, address))
+    tokio::time::timeout(CONNECT_TIMEOUT, perform_handshake(pool, host, address))
         .await
         .map_err(|_| WireError::Io(std::io::ErrorKind::TimedOut.into()))?
 }
 
-async fn shake_hands(
+async fn perform_handshake(
     pool: &Arc<PeerPool>,
     host: &Arc<dyn LinkHost>,
     address: Address,
@@ -42,10 +42,10 @@
     write_preface(&mut stream).await?;
     let (outbox, messages) = Outbox::new(host.unwritten().clone());
     let (mut reader, writer) = stream.into_split();
-    // It carries the clock, so it is made right before it is sent.
+    // The message carries the clock, so it is created right before it is sent.
     let own = host.hello(Some(address));
     let cluster = own.cluster.clone();
-    // The outbox was made just now and can't be closed.
+    // A new outbox can't be closed.
     let _ = outbox.send(PeerMessage::Hello(own));
     let writing = tokio::spawn(link::write_messages(writer, messages));
     read_preface(&mut reader).await?;
@@ -64,7 +64,7 @@
     Ok(connection)
 }
 
-/// Connects from the daemon's own address, so that the peer's logs and filters show which daemon it is.
+/// Binds the socket to this daemon's own address, so that the peer's logs and packet filters identify the daemon.
 async fn connect_from(own: IpAddr, target: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = if target.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     if own.is_ipv4() == target.is_ipv4() {
--- a/crates/seamhatchd/src/peer/host.rs
+++ b/crates/seamhatchd/src/peer/host.rs
@@ -1,7 +1,7 @@
-//! What the connections between daemons need of the daemon that they belong to.
+//! The interface between peer connections and the daemon that owns them.
 //!
-//! The parts that keep what peers report (admission floors, freshness, the control thread) stand above this layer, so
-//! the daemon's shared state implements [`LinkHost`].
+//! The components that consume peers' reports (admission floors, freshness, the control thread) are in higher
+//! layers, so the daemon's shared state implements [`LinkHost`].
 
 use crate::base::metrics::BadInput;
 use crate::peer::link::UnwrittenMessages;
@@ -16,59 +16,60 @@
 use std::net::IpAddr;
 use tokio::sync::futures::Notified;
 
-/// What the heartbeats of this daemon report.
+/// The state that this daemon's heartbeats report.
 #[derive(Debug, Clone)]
 pub struct LocalState {
-    /// Configuration in force.
+    /// Generation of the configuration in force.
     pub generation: Generation,
-    /// Which calls the back end gets.
+    /// Which calls the back end accepts.
     pub intake: CallIntake,
-    /// State of the back end.
+    /// Load of the back end.
     pub server: ServerReport,
     /// Proof that the configuration is the newest, in the local boot clock.
     pub proof: Option<FreshnessProof>,
-    /// When the back end has a turn for the peer, where it names a rate.
+    /// When the back end next accepts a call of the peer; none unless the back end names a rate.
     pub turn: Option<TurnReport>,
-    /// What the back end says of itself.
+    /// The rate limit and departure that the back end has announced.
     pub notice: Option<BackEndNotice>,
-    /// How long work takes at the back end, where it tells that.
+    /// How long work takes at the back end; none if the back end does not report it.
     pub pace: Option<ServerPace>,
-    /// The daemon is about to end and takes no more calls.
+    /// The daemon is about to stop and accepts no more calls.
     pub is_stopping: bool,
 }
 
-/// The daemon at this end of its connections. Its methods are called for each message and must not block.
+/// The daemon that owns the connections. The methods are called for each message and must not block.
 pub trait LinkHost: fmt::Debug + Send + Sync {
-    /// The first message on each connection. One that is opened to `callee` hands back what is known of its back end.
+    /// The first message on a connection. For a connection opened to `callee`, it returns to the callee what this
+    /// daemon knows of the callee's back end, which the callee may have lost in a restart.
     fn hello(&self, callee: Option<Address>) -> Hello;
 
-    /// Counts the messages of all connections that are not written yet.
+    /// The counter of unwritten messages of all connections.
     fn unwritten(&self) -> &UnwrittenMessages;
 
-    /// The address from which connections are opened, so that peers see which machine it is.
+    /// The local address of outgoing connections, which identifies this machine to peers.
     fn own_ip(&self) -> IpAddr;
 
-    /// What heartbeats to this peer report now.
+    /// The state that a heartbeat to `peer` reports now.
     fn local_state(&self, peer: Address) -> LocalState;
 
-    /// Resolves when the back end starts or stops taking calls.
+    /// Resolves when the back end starts or stops accepting calls.
     fn intake_changed(&self) -> Notified<'_>;
 
-    /// A heartbeat came from the daemon at `peer`, beside a server of `service`, on a connection opened here.
-    fn heartbeat_received(&self, service: &str, peer: Address, pulse: &Pulse);
+    /// Called for a heartbeat of the daemon at `peer`, beside a server of `service`, on an outgoing connection.
+    fn heartbeat_received(&self, service: &str, peer: Address, heartbeat: &Pulse);
 
-    /// A peer reported the state of its server beside an answer.
+    /// Called when a peer reports the load of its server with an answer.
     fn server_report(&self, service: &str, peer: Address, report: ServerReport);
 
-    /// A peer tells what its back end says of itself.
+    /// Called when a peer reports what its back end has announced.
     fn back_end_notice(&self, peer: Address, notice: Option<&BackEndNotice>);
 
-    /// A connection opened here has ended.
+    /// Called when an outgoing connection has closed.
     fn connection_ended(&self, service: &str, peer: Address);
 
-    /// A peer reported suspects.
+    /// Called when a peer reports requests that are suspected of crashing servers.
     fn suspects_reported(&self, reports: &[SuspectReport]);
 
-    /// Counts input that was dropped.
+    /// Counts dropped input.
     fn bad_input(&self, kind: BadInput);
 }
--- a/crates/seamhatchd/src/peer/incoming.rs
+++ b/crates/seamhatchd/src/peer/incoming.rs
@@ -1,7 +1,7 @@
-//! What a peer sends on a connection that this daemon opened: heartbeats, answers and replies.
+//! Handles the messages that a peer sends on a connection opened by this daemon: heartbeats, answers and replies.
 //!
-//! Updates the view of the peer, hands answers to their calls and replies to their requests, and reports to the
-//! [`LinkHost`] what concerns the rest of the daemon. Run by the connection's task.
+//! Updates the view of the peer, delivers answers to their calls and replies to their requests, and notifies the
+//! [`LinkHost`]. Runs on the connection's task.
 
 use crate::base::clock;
 use crate::base::metrics::BadInput;
@@ -16,7 +16,7 @@
 use tokio::net::tcp::OwnedReadHalf;
 
 impl PeerConnection {
-    /// Reads until the connection ends.
+    /// Reads and handles messages until the connection ends.
     pub(super) async fn read(
         &self,
         host: &dyn LinkHost,
@@ -31,7 +31,7 @@
 
     fn handle(&self, host: &dyn LinkHost, message: PeerMessage) {
         match message {
-            PeerMessage::Pulse(pulse) => self.handle_pulse(host, &pulse),
+            PeerMessage::Pulse(heartbeat) => self.handle_heartbeat(host, &heartbeat),
             PeerMessage::Suspects(reports) => host.suspects_reported(&reports),
             PeerMessage::Refused { call, refusal } => {
                 self.note_report(host, refusal.server, refusal.turn, refusal.pace);
@@ -53,24 +53,25 @@
         }
     }
 
-    fn handle_pulse(&self, host: &dyn LinkHost, pulse: &Pulse) {
-        self.state.view().apply_pulse(pulse);
-        if pulse.farewell == Some(Farewell::Said) {
-            self.answer_farewell(host);
+    fn handle_heartbeat(&self, host: &dyn LinkHost, heartbeat: &Pulse) {
+        self.state.view().apply_heartbeat(heartbeat);
+        if heartbeat.farewell == Some(Farewell::Said) {
+            self.acknowledge_shutdown(host);
         }
-        host.heartbeat_received(&self.service, self.address, pulse);
-        host.back_end_notice(self.address, pulse.notice.as_ref());
+        host.heartbeat_received(&self.service, self.address, heartbeat);
+        host.back_end_notice(self.address, heartbeat.notice.as_ref());
     }
 
-    /// Tells a peer that is about to end that no call follows: none is sent once its view says so.
-    fn answer_farewell(&self, host: &dyn LinkHost) {
-        let pulse = link::pulse(host, self.address, &|instant| self.to_peer_clock(instant));
-        // A connection that has ended takes no calls either.
-        let _ = self.outbox.send(PeerMessage::Pulse(Pulse { farewell: Some(Farewell::Heard), ..pulse }));
+    /// Acknowledges the shutdown of a peer, which tells it that no further call follows on this connection. The
+    /// view of the peer already prevents further calls.
+    fn acknowledge_shutdown(&self, host: &dyn LinkHost) {
+        let heartbeat = link::heartbeat(host, self.address, &|instant| self.to_peer_clock(instant));
+        // A closed connection carries no further calls either.
+        let _ = self.outbox.send(PeerMessage::Pulse(Pulse { farewell: Some(Farewell::Heard), ..heartbeat }));
     }
 
-    /// Records what the peer reports of its server beside an answer. A server that takes no more calls doesn't count
-    /// for the admission floor of its service.
+    /// Records the server state that the peer reports with an answer. A server that accepts no more calls is
+    /// excluded from the admission floor of its service.
     fn note_report(
         &self,
         host: &dyn LinkHost,
--- a/crates/seamhatchd/src/peer/link.rs
+++ b/crates/seamhatchd/src/peer/link.rs
@@ -1,7 +1,9 @@
-//! What both ends of a connection share: the outbox with its writer, the first message, and heartbeats.
+//! The parts of a peer connection that both ends share: the outbox and its writer, the first message, and
+//! heartbeats.
 //!
-//! Heartbeats report this daemon's configuration, which calls its back end gets, the state of that, and its freshness proof.
-//! They come at once when the back end starts or stops taking calls; [`seamhatch_core::heartbeat`] says when else.
+//! A heartbeat reports this daemon's configuration generation, which calls its back end accepts, the back end's
+//! load, and the freshness proof. A heartbeat is sent immediately when the back end starts or stops accepting
+//! calls, and otherwise on the schedule of [`seamhatch_core::heartbeat`].
 
 use crate::base::clock;
 use crate::peer::host::{LinkHost, LocalState};
@@ -18,19 +20,18 @@
 use tokio::io::{AsyncWrite, AsyncWriteExt};
 use tokio::sync::mpsc;
 
-/// The instant from which the times of all heartbeats of this process are counted, so that they are sent together and one wake-up
-/// serves all connections.
+/// The common time origin of all heartbeat schedules of this process, so that one wake-up serves all connections.
 static HEARTBEAT_START: LazyLock<tokio::time::Instant> = LazyLock::new(tokio::time::Instant::now);
 
-/// Bytes that are gathered for one write.
+/// Number of buffered bytes at which a batch of messages is written.
 const WRITE_BATCH: usize = 64 * 1024;
 
-/// Messages of all connections that were put into an outbox and are not written yet. Cheap to clone.
+/// Counts the messages of all connections that are queued and not yet written. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct UnwrittenMessages(Arc<AtomicUsize>);
 
 impl UnwrittenMessages {
-    /// How many there are.
+    /// The number of unwritten messages.
     #[must_use]
     pub fn count(&self) -> usize {
         self.0.load(Ordering::Acquire)
@@ -45,41 +46,41 @@
     }
 }
 
-/// Messages that wait to be written to the peer. Cheap to clone.
+/// The sending half of a connection's queue of outgoing messages. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Outbox {
     messages: mpsc::UnboundedSender<PeerMessage>,
     unwritten: UnwrittenMessages,
-    /// Messages that were ever put in.
+    /// Total number of messages queued so far.
     sent: Arc<AtomicU64>,
 }
 
-/// The end of an outbox that its writer reads.
+/// The receiving half of an [`Outbox`], read by the connection's writer.
 #[derive(Debug)]
 pub struct OutboxReader {
     messages: mpsc::UnboundedReceiver<PeerMessage>,
     unwritten: UnwrittenMessages,
-    /// Messages that were read and are not written yet.
-    in_hand: usize,
+    /// Messages taken from the queue and not yet written.
+    unflushed: usize,
 }
 
-/// The connection has ended.
+/// Error: the connection is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LinkClosed;
 
 impl Outbox {
-    /// An outbox and the end that its writer reads; its messages count among these.
+    /// Creates an outbox and its reader; `unwritten` counts its messages.
     #[must_use]
     pub fn new(unwritten: UnwrittenMessages) -> (Self, OutboxReader) {
         let (sender, messages) = mpsc::unbounded_channel();
-        let reader = OutboxReader { messages, unwritten: unwritten.clone(), in_hand: 0 };
+        let reader = OutboxReader { messages, unwritten: unwritten.clone(), unflushed: 0 };
         (Self { messages: sender, unwritten, sent: Arc::default() }, reader)
     }
 
-    /// Puts a message in.
+    /// Queues a message.
     ///
     /// # Errors
-    /// [`LinkClosed`] when the writer has stopped; the message was not written.
+    /// [`LinkClosed`] if the writer has stopped; the message is not written.
     pub fn send(&self, message: PeerMessage) -> Result<(), LinkClosed> {
         self.unwritten.add();
         self.sent.fetch_add(1, Ordering::Relaxed);
@@ -89,7 +90,7 @@
         })
     }
 
-    /// Messages that were put in so far.
+    /// The number of messages queued so far.
     fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
@@ -102,22 +103,22 @@
 }
 
 impl OutboxReader {
-    /// Gathers messages for one write; false when the outbox is closed.
-    async fn gather(&mut self, buffer: &mut Vec<u8>) -> Result<bool, WireError> {
+    /// Encodes queued messages into `buffer` for one write. Returns false when the outbox is closed.
+    async fn fill_batch(&mut self, buffer: &mut Vec<u8>) -> Result<bool, WireError> {
         let Some(message) = self.messages.recv().await else { return Ok(false) };
-        self.in_hand = 1;
+        self.unflushed = 1;
         encode_frame(&message, buffer)?;
         while buffer.len() < WRITE_BATCH {
             let Ok(message) = self.messages.try_recv() else { break };
-            self.in_hand += 1;
+            self.unflushed += 1;
             encode_frame(&message, buffer)?;
         }
         Ok(true)
     }
 
-    /// All that was gathered is written.
+    /// Marks all encoded messages as written.
     fn note_written(&mut self) {
-        self.unwritten.remove(std::mem::take(&mut self.in_hand));
+        self.unwritten.remove(std::mem::take(&mut self.unflushed));
     }
 }
 
@@ -125,22 +126,22 @@
     fn drop(&mut self) {
         self.messages.close();
         while self.messages.try_recv().is_ok() {
-            self.in_hand += 1;
+            self.unflushed += 1;
         }
         self.note_written();
     }
 }
 
-/// Writes the messages of an outbox until it closes or the connection fails.
+/// Writes the messages of an outbox until the outbox closes or the connection fails.
 ///
 /// # Errors
-/// [`WireError`] of the connection.
+/// [`WireError`] if encoding or writing fails.
 pub async fn write_messages(
     mut stream: impl AsyncWrite + Unpin,
     mut messages: OutboxReader,
 ) -> Result<(), WireError> {
     let mut buffer = Vec::with_capacity(WRITE_BATCH);
-    while messages.gather(&mut buffer).await? {
+    while messages.fill_batch(&mut buffer).await? {
         stream.write_all(&buffer).await?;
         messages.note_written();
         buffer.clear();
@@ -149,8 +150,8 @@
     Ok(())
 }
 
-/// Sends heartbeats until the outbox closes. `is_busy` returns whether the peer waits for answers; `to_peer_clock` translates a
-/// local instant into the peer's clock, erring early.
+/// Sends heartbeats until the outbox closes. `is_busy` returns whether calls of the peer are in progress.
+/// `to_peer_clock` converts a local instant to the peer's clock; its result may be early, never late.
 pub async fn send_heartbeats(
     host: &dyn LinkHost,
     peer: Address,
@@ -161,23 +162,24 @@
 ) {
     let mut schedule = HeartbeatSchedule::new(end, heartbeat_time());
     loop {
-        // Before the state is read, so that no later change of it is missed.
+        // Subscribes before the state is read, so that no change is missed.
         let changed = host.intake_changed();
         tokio::pin!(changed);
         changed.as_mut().enable();
-        if outbox.send(PeerMessage::Pulse(pulse(host, peer, &to_peer_clock))).is_err() {
+        if outbox.send(PeerMessage::Pulse(heartbeat(host, peer, &to_peer_clock))).is_err() {
             return;
         }
         tokio::select! {
-            () = next_pulse(&mut schedule, &outbox, &is_busy) => {}
-            // Peers must not wait for the next heartbeat to learn whether the back end takes calls.
+            () = until_heartbeat_due(&mut schedule, &outbox, &is_busy) => {}
+            // Peers must learn without delay whether the back end accepts calls.
             () = changed => {}
         }
     }
 }
 
-/// Waits until a heartbeat is due. The daemon may become busy meanwhile.
-async fn next_pulse(schedule: &mut HeartbeatSchedule, outbox: &Outbox, is_busy: &impl Fn() -> bool) {
+/// Waits until a heartbeat is due. Activity is checked at each instant of the schedule, since calls may arrive
+/// while waiting.
+async fn until_heartbeat_due(schedule: &mut HeartbeatSchedule, outbox: &Outbox, is_busy: &impl Fn() -> bool) {
     let mut sent = outbox.sent();
     loop {
         sleep_until_heartbeat(schedule.next_check()).await;
@@ -190,18 +192,18 @@
     }
 }
 
-/// Time since the instant from which the times of all heartbeats are counted.
+/// The time since [`HEARTBEAT_START`].
 pub(super) fn heartbeat_time() -> Microseconds {
     HEARTBEAT_START.elapsed().as_micros() as Microseconds
 }
 
-/// Waits until such a time.
+/// Sleeps until `time` after [`HEARTBEAT_START`].
 pub(super) async fn sleep_until_heartbeat(time: Microseconds) {
     tokio::time::sleep_until(*HEARTBEAT_START + Duration::from_micros(time)).await;
 }
 
-/// The present heartbeat.
-pub(super) fn pulse(
+/// Builds a heartbeat from the current local state.
+pub(super) fn heartbeat(
     host: &dyn LinkHost,
     peer: Address,
     to_peer_clock: &impl Fn(Instant) -> Instant,
@@ -213,11 +215,11 @@
     Pulse { clock: clock::now(), generation, intake, server, proof, turn, notice, farewell, pace }
 }
 
-/// Takes the peer's first message for its `Hello`.
+/// Checks that the peer's first message is a `Hello` of this cluster.
 ///
 /// # Errors
-/// [`WireError::NotSeamhatch`] when the connection ended, began with another message, or the peer belongs to another
-/// cluster.
+/// [`WireError::NotSeamhatch`] if the connection ended, the first message is not a `Hello`, or the peer belongs to
+/// another cluster.
 pub fn first_hello(first: Option<PeerMessage>, cluster: &str) -> Result<Hello, WireError> {
     match first {
         Some(PeerMessage::Hello(hello)) if hello.cluster == cluster => Ok(hello),
@@ -225,7 +227,7 @@
     }
 }
 
-/// Logs how a connection ended.
+/// Logs the error with which a connection ended, if any.
 pub fn log_end(peer: &str, result: &Result<(), WireError>) {
     if let Err(error) = result {
         debug!(peer = peer, error = error.to_string().as_str(); "connection to a daemon ended");
--- a/crates/seamhatchd/src/peer/loss.rs
+++ b/crates/seamhatchd/src/peer/loss.rs
@@ -1,8 +1,8 @@
-//! Calls whose connection was lost, and whether the daemon at its other end has ended.
+//! Calls whose connection was lost, and whether the daemon at the other end has ended.
 //!
-//! A daemon that ends together with the server beside it can't tell which requests ran there: those that had calls there can. A lost
-//! connection alone is no sign of that, and neither is silence; that nothing listens at the daemon's address any more is. Used by
-//! dispatch.
+//! A daemon that ends together with its server can't report which requests ran there; the daemons that sent those
+//! requests can. Neither a lost connection nor silence shows that the daemon has ended, but a refused connection
+//! to its address does. Used by dispatch.
 
 use crate::base::lock::lock;
 use seamhatch_core::crashes::LostRun;
@@ -13,14 +13,16 @@
 use tokio::net::TcpStream;
 use tokio::sync::OnceCell;
 
-/// Looks for a daemon whose connection was lost: the first may meet its listener while the process ends.
+/// Maximum number of connection attempts to a daemon whose connection was lost. The first may still reach the
+/// listener of a process that is ending.
 const PROBES: usize = 4;
-/// Pause between two looks.
+/// Pause between two attempts.
 const PROBE_PAUSE: Duration = Duration::from_millis(2);
-/// Longest wait for the answer to one look: a machine that answers neither way may only be cut off.
+/// Time limit for one attempt. A machine that neither accepts nor refuses may only be unreachable, so it does not
+/// count as ended.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// The calls that were under way on a lost connection, and what became of its daemon.
+/// The calls that were in flight on a lost connection, and whether its daemon has ended.
 #[derive(Debug, Default)]
 pub(super) struct ConnectionLoss {
     runs: Mutex<Vec<LostRun>>,
@@ -28,11 +30,12 @@
 }
 
 impl ConnectionLoss {
-    /// Records a call that was lost with the connection to this daemon. Returns all that were lost so far and that nobody has reported,
-    /// where the daemon has ended.
+    /// Records a call that was lost with the connection to `daemon`. If the daemon has ended, returns all lost
+    /// calls that have not been returned before; otherwise returns none.
     pub(super) async fn record(&self, run: LostRun, daemon: SocketAddr) -> Vec<LostRun> {
         lock(&self.runs).push(run);
-        // All calls of a connection are lost in one moment: one look answers for them, and the first to hear reports all.
+        // All calls of a connection are lost at once, so they share one probe, and the first to get its result
+        // reports all of them.
         if !*self.has_ended.get_or_init(|| has_ended(daemon)).await {
             return Vec::new();
         }
@@ -40,7 +43,7 @@
     }
 }
 
-/// Whether nothing listens at a daemon's address any more.
+/// Whether the daemon's address refuses connections.
 async fn has_ended(daemon: SocketAddr) -> bool {
     for _probe in 0..PROBES {
         match tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(daemon)).await {
@@ -48,10 +51,10 @@
             Err(_) => return false,
             Ok(Ok(stream)) => {
                 tokio::time::sleep(PROBE_PAUSE).await;
-                // A daemon waits for the other's first message; one that is ending has closed the connection.
+                // A running daemon waits for the first message; one that is ending has closed the connection.
                 let mut first = [0];
-                let waits = matches!(stream.try_read(&mut first), Err(error) if error.kind() == ErrorKind::WouldBlock);
-                if waits {
+                let is_waiting = matches!(stream.try_read(&mut first), Err(error) if error.kind() == ErrorKind::WouldBlock);
+                if is_waiting {
                     return false;
                 }
             }
--- a/crates/seamhatchd/src/peer/mod.rs
+++ b/crates/seamhatchd/src/peer/mod.rs
@@ -1,8 +1,9 @@
-//! Connections that this daemon opens to other daemons, for calls, claims and control requests.
+//! Outgoing connections to other daemons, which carry calls, claims and control requests.
 //!
-//! [`PeerPool`] owns the connections. `handshake` opens a [`PeerConnection`], `connection_task` runs and ends it, `incoming` handles what
-//! comes back, [`CallStream`] is one call on it. `link` (outbox, writer, heartbeats) and [`CreditWindow`] are shared with the
-//! other end, `peer_server`. Of the daemon around it this module sees only its [`LinkHost`].
+//! [`PeerPool`] owns the connections. `handshake` opens a [`PeerConnection`], `connection_task` drives and closes
+//! it, `incoming` handles the peer's messages, and [`CallStream`] is one call on it. The receiving side,
+//! `peer_server`, shares `link` (outbox, writer, heartbeats) and [`CreditWindow`]. The module depends on the rest
+//! of the daemon only through [`LinkHost`].
 
 mod call;
 mod connection;
@@ -28,8 +29,8 @@
 pub use shutdown_acks::{PendingShutdownAck, ShutdownAcks};
 pub use view::PeerView;
 
-/// Bytes of a body that may be sent before its receiver gives credit.
+/// Initial flow-control window of a body, in bytes.
 pub const BODY_WINDOW: usize = 256 * 1024;
 
-/// Largest piece of a body in one message, in bytes.
+/// Maximum number of body bytes in one message.
 pub const BODY_PIECE: usize = 32 * 1024;
--- a/crates/seamhatchd/src/peer/pending_replies.rs
+++ b/crates/seamhatchd/src/peer/pending_replies.rs
@@ -1,14 +1,14 @@
-//! Requests on a connection that wait for their replies.
+//! The requests on a connection that wait for their replies.
 //!
-//! Each request carries a number that its reply repeats. The connection that sends the requests owns the
-//! table and fails all waits when it ends.
+//! Each request carries an exchange number, which its reply repeats. The connection that sends the requests owns
+//! the table and fails all pending requests when it closes.
 
 use crate::base::lock::lock;
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard};
 use tokio::sync::oneshot;
 
-/// Requests of one kind whose replies are of type `R`, by number.
+/// Pending requests of one kind, with replies of type `R`, by exchange number.
 #[derive(Debug)]
 pub(super) struct PendingReplies<R>(Mutex<HashMap<u64, oneshot::Sender<R>>>);
 
@@ -19,20 +19,20 @@
 }
 
 impl<R> PendingReplies<R> {
-    /// Adds a request that is about to be sent. The receiver fails when the connection ends first.
+    /// Adds a request that is about to be sent. The receiver fails if the connection closes before the reply.
     pub(super) fn add(&self, exchange: u64) -> oneshot::Receiver<R> {
         let (sender, receiver) = oneshot::channel();
         self.lock().insert(exchange, sender);
         receiver
     }
 
-    /// Hands a reply to its request. One that nobody waits for any more is dropped: its request timed out.
+    /// Delivers a reply to its request. A reply whose request has timed out is dropped.
     pub(super) fn complete(&self, exchange: u64, reply: R) {
         let waiting = self.lock().remove(&exchange);
         waiting.map(|waiting| waiting.send(reply));
     }
 
-    /// Fails all waits.
+    /// Fails all pending requests.
     pub(super) fn fail_all(&self) {
         self.lock().clear();
     }
--- a/crates/seamhatchd/src/peer/pool.rs
+++ b/crates/seamhatchd/src/peer/pool.rs
@@ -1,7 +1,7 @@
-//! Connections to other daemons, opened when they are first needed and shared by all calls and requests.
+//! The pool of connections to other daemons, opened on first use and shared by all calls and requests.
 //!
-//! Owns at most one connection in use for each daemon, and the outlier ejection of daemons that can't be reached.
-//! Connections live on the traffic runtime, whichever thread asks for them. Used by dispatch, claims, quotas and
+//! Owns at most one connection in use per daemon, and the outlier ejection of unreachable daemons. Connections run
+//! on the traffic runtime, regardless of the thread that requests them. Used by dispatch, claims, quotas and
 //! controllers.
 
 use crate::base::clock;
@@ -21,53 +21,53 @@
 use thiserror::Error;
 use tokio::runtime::Handle;
 
-/// Longest wait for a daemon's answer to a control request, the connection to it included. Chosen, not measured.
+/// Time limit for a control request, including the time to connect.
 const ASK_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// No connection to a daemon; nothing was sent.
+/// A daemon could not be connected to; nothing was sent.
 #[derive(Debug, Clone, Error)]
 #[error("the daemon at {address} can't be reached: {detail}; it is tried again")]
 pub struct PeerUnreachable {
-    /// Its peer address.
+    /// The daemon's peer address.
     pub address: Address,
-    /// Why.
+    /// The cause.
     pub detail: String,
 }
 
 #[derive(Debug, Default)]
 struct PoolEntry {
     connection: Option<PeerConnection>,
-    /// Held by the task that opens a connection, so that others wait for it.
+    /// Held by the task that opens a connection, so that concurrent requests wait for that connection.
     opening: Arc<tokio::sync::Mutex<()>>,
     failures: Ejection,
 }
 
-/// All connections on which this daemon sends.
+/// All outgoing connections of this daemon.
 #[derive(Debug)]
 pub struct PeerPool {
     runtime: Handle,
-    /// The daemon that the pool is a part of.
+    /// The daemon that owns the pool.
     host: Weak<dyn LinkHost>,
     entries: Mutex<HashMap<Address, PoolEntry>>,
 }
 
 impl PeerPool {
-    /// A pool of the daemon `host` whose connections live on `runtime`.
+    /// Creates the pool of the daemon `host`, whose connections run on `runtime`.
     #[must_use]
     pub fn new(runtime: Handle, host: Weak<dyn LinkHost>) -> Arc<Self> {
         Arc::new(Self { runtime, host, entries: Mutex::default() })
     }
 
-    /// The open connection to a daemon, or a new one.
+    /// Returns the usable connection to a daemon, or opens one.
     ///
     /// # Errors
-    /// [`PeerUnreachable`].
+    /// [`PeerUnreachable`] if no connection can be opened.
     pub async fn get(self: &Arc<Self>, address: Address) -> Result<PeerConnection, PeerUnreachable> {
         if let Some(connection) = self.usable(address) {
             return Ok(connection);
         }
         let opening = self.lock().entry(address).or_default().opening.clone();
-        let _only_one = opening.lock().await;
+        let _opening_guard = opening.lock().await;
         if let Some(connection) = self.usable(address) {
             return Ok(connection);
         }
@@ -97,44 +97,45 @@
         }
     }
 
-    /// A connection to a witness; none unless this very incarnation of it answers.
+    /// Returns a connection to a witness, or none if the daemon is unreachable or runs as another incarnation.
     pub async fn get_witness(self: &Arc<Self>, witness: WitnessId) -> Option<PeerConnection> {
-        // A witness that can't be reached counts as one that doesn't answer.
+        // An unreachable witness counts as one that does not answer.
         let connection = self.get(witness.daemon).await.ok()?;
         (connection.incarnation == witness.incarnation).then_some(connection)
     }
 
-    /// Sends a control request to a daemon; none when it can't be reached or doesn't answer within 0.8 s. The asker then asks
-    /// another one or tries again.
+    /// Sends a control request to a daemon. Returns none if the daemon is unreachable or does not reply in 0.8 s;
+    /// the requester then asks another daemon or retries.
     pub async fn ask(self: &Arc<Self>, daemon: Address, request: ControlRequest) -> Option<ControlReply> {
-        in_time(async {
+        with_timeout(async {
             let connection = self.get(daemon).await.ok()?;
             connection.control(request).await
         })
         .await
     }
 
-    /// Sends a control request to a witness; none unless this very incarnation of it answers within 0.8 s.
+    /// Sends a control request to a witness. Returns none unless the same incarnation of the witness replies
+    /// within 0.8 s.
     pub async fn ask_witness(
         self: &Arc<Self>,
         witness: WitnessId,
         request: ControlRequest,
     ) -> Option<ControlReply> {
-        in_time(async {
+        with_timeout(async {
             let connection = self.get_witness(witness).await?;
             connection.control(request).await
         })
         .await
     }
 
-    /// The open connection to a daemon, if there is one.
+    /// Returns the open connection to a daemon, if any.
     #[must_use]
     pub fn existing(&self, address: Address) -> Option<PeerConnection> {
         self.read().connection(address).cloned()
     }
 
-    /// The open connection, unless it has fallen silent: the peer may have restarted behind a network cut, which only a
-    /// new connection shows. Calls on the old one go on.
+    /// Returns the open connection unless its peer is silent: the peer may have restarted during a network
+    /// partition, which only a new connection reveals. Calls on the old connection continue.
     fn usable(&self, address: Address) -> Option<PeerConnection> {
         let now = clock::now();
         let pool = self.read();
@@ -143,20 +144,20 @@
             .cloned()
     }
 
-    /// What is known of several daemons, read under one lock and without copies.
+    /// Locks the pool to read the state of several daemons without copying it.
     #[must_use]
     pub fn read(&self) -> PoolReader<'_> {
         PoolReader(self.lock())
     }
 
-    /// Whether a daemon is ejected because connecting to it failed several times recently.
+    /// Whether a daemon is ejected because recent connection attempts failed repeatedly.
     #[must_use]
     pub fn is_failing(&self, address: Address, now: Instant) -> bool {
         self.read().is_failing(address, now)
     }
 
-    /// Drops a connection that ended, unless a newer one took its place.
-    pub(super) fn forget(&self, ended: &PeerConnection) {
+    /// Removes a closed connection, unless a newer one has replaced it.
+    pub(super) fn remove_closed(&self, ended: &PeerConnection) {
         let mut entries = self.lock();
         let Some(entry) = entries.get_mut(&ended.address) else { return };
         let has_ended = entry.connection.as_ref().is_some_and(|connection| !connection.is_open());
@@ -170,24 +171,24 @@
     }
 }
 
-/// The pool while it is read. Nothing may wait for anything while it is held.
+/// Read access to the locked pool. Its holder must not block or await.
 #[derive(Debug)]
 pub struct PoolReader<'a>(MutexGuard<'a, HashMap<Address, PoolEntry>>);
 
 impl PoolReader<'_> {
-    /// The open connection to a daemon, if there is one.
+    /// Returns the open connection to a daemon, if any.
     #[must_use]
     pub fn connection(&self, address: Address) -> Option<&PeerConnection> {
         self.0.get(&address)?.connection.as_ref().filter(|connection| connection.is_open())
     }
 
-    /// Whether a daemon is ejected because connecting to it failed several times recently.
+    /// Whether a daemon is ejected because recent connection attempts failed repeatedly.
     #[must_use]
     pub fn is_failing(&self, address: Address, now: Instant) -> bool {
         self.0.get(&address).is_some_and(|entry| entry.failures.is_ejected(now))
     }
 }
 
-async fn in_time(asking: impl Future<Output = Option<ControlReply>>) -> Option<ControlReply> {
-    tokio::time::timeout(ASK_TIMEOUT, asking).await.ok().flatten()
+async fn with_timeout(exchange: impl Future<Output = Option<ControlReply>>) -> Option<ControlReply> {
+    tokio::time::timeout(ASK_TIMEOUT, exchange).await.ok().flatten()
 }
--- a/crates/seamhatchd/src/peer/shutdown_acks.rs
+++ b/crates/seamhatchd/src/peer/shutdown_acks.rs
@@ -1,31 +1,31 @@
-//! Which daemons that send calls here have not heard yet that this one is about to end.
+//! Tracks which peers that send calls have not acknowledged the shutdown of this daemon.
 //!
-//! A connection on which calls come holds an [`PendingShutdownAck`] from its beginning; it lets go when its peer has answered the farewell, or with the
-//! connection. Once none is held, no call is on its way here.
+//! Each incoming connection holds a [`PendingShutdownAck`] from its start until the peer acknowledges the shutdown
+//! or the connection closes. Once none is pending, no further call can arrive.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
-/// Counts the connections whose peers have not answered. Cheap to clone.
+/// Counts the connections whose peers have not acknowledged the shutdown. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct ShutdownAcks(Arc<AtomicUsize>);
 
 impl ShutdownAcks {
-    /// A connection begins on which calls may come.
+    /// Registers a new connection on which calls may arrive.
     #[must_use]
     pub fn begin(&self) -> PendingShutdownAck {
         self.0.fetch_add(1, Ordering::AcqRel);
         PendingShutdownAck { acks: self.clone(), acknowledged: AtomicBool::new(false) }
     }
 
-    /// Connections whose peers have not answered.
+    /// The number of connections whose peers have not acknowledged the shutdown.
     #[must_use]
     pub fn pending(&self) -> usize {
         self.0.load(Ordering::Acquire)
     }
 }
 
-/// A connection whose peer may send calls, until it has heard that none are taken.
+/// A connection whose peer may send calls until it acknowledges the shutdown.
 #[derive(Debug)]
 pub struct PendingShutdownAck {
     acks: ShutdownAcks,
@@ -33,7 +33,7 @@
 }
 
 impl PendingShutdownAck {
-    /// The peer has heard it: no call follows on this connection.
+    /// Records the peer's acknowledgement, after which no call follows on this connection.
     pub fn acknowledge(&self) {
         if !self.acknowledged.swap(true, Ordering::AcqRel) {
             self.acks.0.fetch_sub(1, Ordering::AcqRel);
--- a/crates/seamhatchd/src/peer/view.rs
+++ b/crates/seamhatchd/src/peer/view.rs
@@ -1,6 +1,6 @@
-//! What one daemon knows of a peer from its messages and from how calls to it ended.
+//! The state of a peer as known from its messages and from the outcomes of calls to it.
 //!
-//! Each connection owns one view; the choice of a server and the silence check read it under its lock.
+//! Each connection owns one view. The choice of a server and the silence check read it under its lock.
 
 use crate::base::clock;
 use seamhatch_core::Instant;
@@ -10,22 +10,22 @@
 use seamhatch_core::clock::{Microseconds, PeerClock};
 use seamhatch_wire::{CallIntake, Farewell, ServerReport};
 
-/// What is known of the peer from its messages.
+/// The known state of a peer and of the server beside it.
 #[derive(Debug, Clone)]
 pub struct PeerView {
-    /// When it was last heard.
+    /// Time of the last message received from the peer.
     pub last_heard: Instant,
-    /// Which calls its server gets.
+    /// Which calls the server accepts.
     pub intake: CallIntake,
-    /// It is about to end, and no call may be sent to it any more.
+    /// The peer is about to stop; no further call may be sent to it.
     pub(super) is_stopping: bool,
-    /// State of its server; none before the first report.
+    /// Load of the server; none before the first report.
     pub server: Option<ServerReport>,
-    /// When its process ends, while it drains.
-    leaves_at: Instant,
-    /// When its server has a turn for a call of this daemon, where that names a rate.
+    /// When a draining peer's process ends.
+    ends_at: Instant,
+    /// When a rate-limited server next accepts a call of this daemon; none if the server names no rate.
     turn: Option<NextTurn>,
-    /// What it reported last of its server's pace, and when; none before the first report.
+    /// The last reported pace of the server, and when it was reported; none before the first report.
     pace: Option<(Option<ServerPace>, Instant)>,
     clock: PeerClock,
     ejection: Ejection,
@@ -34,7 +34,7 @@
 }
 
 impl PeerView {
-    /// A peer of which only the boot clock is known, as of now.
+    /// Creates the view of a peer of which only the boot clock is known.
     #[must_use]
     pub fn new(peer_clock: Instant, now: Instant) -> Self {
         let mut clock = PeerClock::default();
@@ -44,7 +44,7 @@
             intake: CallIntake::Open,
             is_stopping: false,
             server: None,
-            leaves_at: now,
+            ends_at: now,
             turn: None,
             pace: None,
             clock,
@@ -54,96 +54,96 @@
         }
     }
 
-    /// Translates a local instant into the peer's clock, erring early.
+    /// Converts a local instant to the peer's clock; the result may be early, never late.
     #[must_use]
     pub fn to_peer_clock(&self, instant: Instant) -> Instant {
-        // The first message set an offset before this view existed.
+        // `new` has recorded an offset.
         self.clock.to_peer(instant).unwrap_or(instant)
     }
 
-    /// Time until its server has a turn for a call of this daemon; none where that names no rate.
+    /// Time until a rate-limited server has a turn for a call of this daemon; none if the server names no rate.
     #[must_use]
     pub fn turn_in(&self, now: Instant) -> Option<Microseconds> {
         self.turn.map(|turn| turn.wait(now))
     }
 
-    /// Records what it reports of this daemon's next turn.
+    /// Records the reported time of this daemon's next turn.
     pub(super) fn note_turn(&mut self, turn: Option<TurnReport>, now: Instant) {
         self.turn = turn.map(|turn| NextTurn::from_report(turn, now));
     }
 
-    /// How long work takes at its server.
+    /// The pace of the server, if known.
     #[must_use]
     pub fn pace(&self, now: Instant) -> KnownPace {
         self.pace.map_or(KnownPace::Unknown, |(pace, heard)| KnownPace::from_report(pace, heard, now))
     }
 
-    /// Records what it reports of its server's pace.
+    /// Records the reported pace of the server.
     pub(super) fn note_pace(&mut self, pace: Option<ServerPace>, now: Instant) {
         self.pace = Some((pace, now));
     }
 
-    /// A call is sent to it.
+    /// Records that a call is sent to the peer.
     pub(super) fn note_sent(&mut self, now: Instant) {
         if let Some(turn) = &mut self.turn {
             turn.note_sent(now);
         }
     }
 
-    /// Records how a call to it ended.
+    /// Records the outcome of a call to the peer.
     pub fn record(&mut self, end: CallEnd, now: Instant) {
         self.ejection.record(end, now);
         self.success.record(end, now);
         self.losses = if end == CallEnd::Lost { self.losses + 1 } else { 0 };
     }
 
-    /// When it counts as silent, unless it is heard before.
+    /// When the peer counts as silent, unless a message arrives before.
     #[must_use]
     pub fn silent_at(&self) -> Instant {
         balance::silent_at(self.last_heard)
     }
 
-    /// Whether nothing was heard of it for so long that it should get no new calls.
+    /// Whether the peer has been silent for so long that it should get no new calls.
     #[must_use]
     pub fn is_silent(&self, now: Instant) -> bool {
         now >= self.silent_at()
     }
 
-    /// Whether it should get no new calls.
+    /// Whether the peer should get no new calls because it is silent or ejected.
     #[must_use]
     pub fn should_avoid(&self, now: Instant) -> bool {
         self.is_silent(now) || self.ejection.is_ejected(now)
     }
 
-    /// Whether it is used while other servers are there.
+    /// The server's status in the choice among the servers of its service.
     #[must_use]
     pub fn standing(&self, now: Instant) -> CandidateStatus {
-        balance::candidate_status(self.intake, self.should_avoid(now), self.leaves_at, now)
+        balance::candidate_status(self.intake, self.should_avoid(now), self.ends_at, now)
     }
 
-    /// Share of its answers that arrived recently, 0 to 1.
+    /// The share of recent calls to the peer whose answers arrived, from 0 to 1.
     #[must_use]
     pub fn success(&self, now: Instant) -> f64 {
         self.success.at(now)
     }
 
-    /// Calls lost in a row.
+    /// The number of consecutive lost calls.
     #[must_use]
     pub fn losses(&self) -> u32 {
         self.losses
     }
 
-    /// Records a heartbeat.
-    pub(super) fn apply_pulse(&mut self, pulse: &seamhatch_wire::Pulse) {
+    /// Applies a heartbeat of the peer.
+    pub(super) fn apply_heartbeat(&mut self, heartbeat: &seamhatch_wire::Pulse) {
         let now = clock::now();
-        self.clock.observe(pulse.clock, now);
-        self.intake = pulse.intake;
-        self.is_stopping |= pulse.farewell == Some(Farewell::Said);
-        if let CallIntake::FallbackOnly { left } = pulse.intake {
-            self.leaves_at = now.plus(left);
+        self.clock.observe(heartbeat.clock, now);
+        self.intake = heartbeat.intake;
+        self.is_stopping |= heartbeat.farewell == Some(Farewell::Said);
+        if let CallIntake::FallbackOnly { left } = heartbeat.intake {
+            self.ends_at = now.plus(left);
         }
-        self.server = Some(pulse.server);
-        self.note_turn(pulse.turn, now);
-        self.note_pace(pulse.pace, now);
+        self.server = Some(heartbeat.server);
+        self.note_turn(heartbeat.turn, now);
+        self.note_pace(heartbeat.pace, now);
     }
 }
