--- a/crates/seamhatchd/src/peer_server/call/answer.rs
+++ b/crates/seamhatchd/src/peer_server/call/answer.rs
@@ -1,4 +1,4 @@
-//! Passing a back end's answer on to the daemon that sent the call.
+//! Forwards a back end's answer to the daemon that sent the call.
 
 use super::ServerCall;
 use crate::base::clock;
@@ -12,19 +12,20 @@
 use seamhatch_core::clock::MILLISECOND;
 use seamhatch_wire::{AnswerHead, AnswerTail, PeerMessage};
 
-/// Part of an answer that is read before its head is passed on, in bytes. Where the whole answer fits, one that breaks
-/// off is refused as a whole, so that the call can be repeated and no caller gets half an answer.
+/// Number of bytes of an answer's body that are buffered before its head is forwarded. If a body that would fit
+/// into the buffer is truncated, the call is refused instead, so that it can be retried and no caller gets a
+/// partial answer.
 const ANSWER_START: usize = 64 * 1024;
 
-/// The start of an answer's body.
+/// The buffered start of an answer's body.
 pub(super) struct AnswerStart {
     pieces: Vec<Bytes>,
-    /// It is the whole body.
+    /// Whether the body is complete.
     is_whole: bool,
 }
 
 impl AnswerStart {
-    /// Reads until the body ends or [`ANSWER_START`] is reached.
+    /// Reads until the body ends or [`ANSWER_START`] bytes are buffered.
     pub(super) async fn read(answer: &mut BackendAnswer) -> Result<Self, BackendError> {
         let mut pieces = Vec::new();
         let mut length = 0;
@@ -38,8 +39,8 @@
 }
 
 impl ServerCall {
-    /// Passes the answer of a call that got its slot at `started` on; true when it was complete.
-    pub(super) async fn pass_answer(
+    /// Forwards the answer of a call that got its slot at `started`. Returns whether the answer was complete.
+    pub(super) async fn forward_answer(
         &self,
         running: &RunningCall,
         started: Instant,
@@ -50,7 +51,7 @@
         for piece in start.pieces {
             self.send_pieces(piece).await;
         }
-        if !start.is_whole && !self.pass_rest(&mut answer).await {
+        if !start.is_whole && !self.forward_rest(&mut answer).await {
             return false;
         }
         self.shared.server.backend.finish(answer);
@@ -60,7 +61,7 @@
     fn answer_head(&self, running: &RunningCall, started: Instant, answer: &BackendAnswer) -> AnswerHead {
         let conventions = &self.shared.conventions;
         let pace = self.shared.server.gate.pace();
-        let usage = if self.counts_costs(pace) { self.usage(running, started) } else { Vec::new() };
+        let usage = if self.uses_costs(pace) { self.usage(running, started) } else { Vec::new() };
         AnswerHead {
             call: self.head.call,
             status: answer.status.as_u16(),
@@ -74,7 +75,8 @@
         }
     }
 
-    /// What the call and the calls below it have used. A body that is still on its way adds nothing.
+    /// The usage of this call and of the calls made for it. The time to transfer the rest of the body is not
+    /// included.
     fn usage(&self, running: &RunningCall, started: Instant) -> Vec<ServiceUsage> {
         let held = clock::now().since(started) / MILLISECOND;
         let own = ServiceUsage {
@@ -87,19 +89,19 @@
         usage.services().to_vec()
     }
 
-    /// Passes on what follows the start; true when the body came to its end.
-    async fn pass_rest(&self, answer: &mut BackendAnswer) -> bool {
+    /// Forwards the body after its buffered start. Returns whether the body was complete.
+    async fn forward_rest(&self, answer: &mut BackendAnswer) -> bool {
         loop {
             match answer.next().await {
                 Ok(Some(piece)) => self.send_pieces(piece).await,
                 Ok(None) => return true,
-                // The sender learns of it by the tail, and the log by `complete` of the run.
+                // The answer's tail tells the sender, and `complete` shows it in the log.
                 Err(_) => return false,
             }
         }
     }
 
-    /// Sends part of the body, as fast as its receiver gives credit.
+    /// Sends body bytes as the receiver grants credit.
     async fn send_pieces(&self, mut data: Bytes) {
         while !data.is_empty() {
             let piece = data.split_to(data.len().min(BODY_PIECE));
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Ends the answer and gives back the retry tokens that the call did not spend.
+    /// Ends the answer and returns the retry tokens that the call did not spend.
     pub(super) fn end(&self, running: &RunningCall, complete: bool) {
         let unspent_tokens = running.ledger().close();
         self.send(PeerMessage::AnswerTail(AnswerTail { call: self.head.call, complete, unspent_tokens }));
--- a/crates/seamhatchd/src/peer_server/call/execute.rs
+++ b/crates/seamhatchd/src/peer_server/call/execute.rs
@@ -1,8 +1,9 @@
-//! Running an admitted call on the back end.
+//! Runs an admitted call on the back end.
 //!
-//! The order of the steps matters. What may have changed while the call waited is checked last, right before the request is
-//! written. The permit is held until the body of the answer, or the refusal, has been sent. After an answer that broke off the
-//! sender gets the end first and the check for a crash follows; a refusal waits for that check, as its reason depends on it.
+//! The order of the steps matters. Conditions that may have changed while the call was queued are checked last,
+//! right before the request is written. The permit is held until the answer's body, or the refusal, has been sent.
+//! A truncated answer is ended before the check for a crash, but a refusal waits for that check, because its
+//! reason depends on the result.
 
 use super::ServerCall;
 use super::answer::AnswerStart;
@@ -24,18 +25,18 @@
 use seamhatch_core::return_time;
 use std::sync::Arc;
 
-/// A call that has been written to the back end, or is about to be.
+/// One execution of a call on the back end.
 struct BackendRun {
-    /// The instance that it is meant for, where instances are registered.
+    /// The intended instance, if instances register.
     instance: Option<InstanceId>,
-    /// Its entry among the calls that a crash of the back end would concern.
+    /// The call's entry in the table by which a crash of the back end is attributed to requests.
     work: TrackedRun,
     mode: RunMode,
     started: Instant,
 }
 
 impl ServerCall {
-    /// Runs the call on the back end and sends its answer, or the refusal that takes its place.
+    /// Runs the call on the back end and sends its answer or a refusal.
     pub(super) async fn execute(
         &self,
         running: &Arc<RunningCall>,
@@ -58,7 +59,7 @@
         let run = BackendRun { instance, work, mode, started: clock::now() };
         let exchanged = tokio::select! {
             exchanged = self.exchange(running, &run, registration.header(), body) => exchanged,
-            () = self.given_up() => return self.refuse(running, Outcome::Unknown, Reason::Cancelled, ""),
+            () = self.until_abandoned() => return self.refuse(running, Outcome::Unknown, Reason::Cancelled, ""),
         };
         match exchanged {
             Ok((answer, start)) => self.finish(running, &run, permit, answer, start).await,
@@ -66,19 +67,19 @@
         }
     }
 
-    /// Records how far the call has come at the back end beside this daemon.
+    /// Records the call's stage at the back end beside this daemon.
     fn set_stage(&self, stage: impl FnOnce(Address) -> RequestStage) {
         self.progress.set_stage(stage(self.shared.settings.advertise.peer));
     }
 
-    /// Refuses a call whose turn at the back end another one can have.
+    /// Refuses a call that was not sent to the back end. Its turn at the back end passes to another call.
     fn refuse_unsent(&self, running: &RunningCall, mut permit: Permit, reason: Reason) {
         permit.mark_unsent();
         self.refuse(running, Outcome::NotRun, reason, "");
     }
 
-    /// Records what the back end says of itself, before anybody else hears its answer.
-    fn hear(&self, run: &BackendRun, answered: &Result<BackendAnswer, BackendError>) {
+    /// Records the rate limit and departure that the back end announces, before its answer is forwarded.
+    fn record_notice(&self, run: &BackendRun, answered: &Result<BackendAnswer, BackendError>) {
         let notice = match answered {
             Ok(answer) => answer.notice,
             Err(BackendError::NotRun { notice, .. }) => *notice,
@@ -90,8 +91,8 @@
         }
     }
 
-    /// Checks once more what may have changed since the call was admitted: it waited for its slot, and the process may
-    /// have been frozen since.
+    /// Repeats the checks whose results may have changed: the call was queued for its slot, and the process may
+    /// have been frozen since then.
     fn check_before_run(&self, running: &RunningCall) -> Result<OpenInstance, Reason> {
         if running.expiry <= clock::now() {
             return Err(Reason::DeadlineExceeded);
@@ -102,7 +103,8 @@
         self.shared.server.instances.open().ok_or(Reason::NoInstance)
     }
 
-    /// How the call runs. All daemons and the store hear of the trial run of a condemned request as it begins.
+    /// Returns how the call runs. The trial run of a condemned request is announced to all daemons and the store
+    /// as it begins.
     fn begin_run(&self, trial: Option<&TrialRun>) -> Result<RunMode, Reason> {
         let request = self.head.request;
         let mode = self.shared.suspects.begin_run(request, trial)?;
@@ -131,22 +133,22 @@
             instance: run.instance.as_ref(),
         };
         let answered = self.shared.server.backend.send(&request, body).await;
-        self.hear(run, &answered);
+        self.record_notice(run, &answered);
         let mut answer = answered?;
         let start = AnswerStart::read(&mut answer).await?;
         Ok((answer, start))
     }
 
-    /// Resolves when the sender has given up a call that may run again. A call that may not runs to its end, since its
-    /// effect is wanted or can't be undone.
-    async fn given_up(&self) {
+    /// Resolves when the sender has cancelled a repeatable call. A call that is not repeatable runs to its end,
+    /// because its effect is wanted or can't be undone.
+    async fn until_abandoned(&self) {
         self.cancelled.notified().await;
         if !self.head.context.repeatable {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Passes the answer on and records how the run went.
+    /// Forwards the answer and records the result of the execution.
     async fn finish(
         &self,
         running: &RunningCall,
@@ -160,11 +162,11 @@
         }
         self.set_stage(RequestStage::Answering);
         let status = answer.status.as_u16();
-        let passed = tokio::select! {
-            complete = self.pass_answer(running, run.started, answer, start) => Some(complete),
-            () = self.given_up() => None,
+        let forwarded = tokio::select! {
+            complete = self.forward_answer(running, run.started, answer, start) => Some(complete),
+            () = self.until_abandoned() => None,
         };
-        let complete = passed == Some(true);
+        let complete = forwarded == Some(true);
         if running.has_calls() {
             permit.mark_calls_made();
         }
@@ -175,11 +177,11 @@
             permit.mark_succeeded();
             self.shared.metrics.backend_seconds.observe(seconds(clock::now().since(run.started)));
         }
-        // The slot is free before the sender learns that the call has ended.
+        // The slot is released before the sender learns that the call has ended.
         drop(permit);
         self.log_run(status, complete, run.started);
         self.end(running, complete);
-        match passed {
+        match forwarded {
             Some(true) => self.clear_suspicion(run).await,
             Some(false) => drop(self.has_crashed(run).await),
             None => {}
@@ -197,12 +199,12 @@
                 if let Some(instance) = run.instance.as_ref().filter(|_| lost) {
                     self.shared.control.lost_instance(instance.clone(), reason);
                 }
-                self.take_back(run);
+                self.record_not_run(run);
                 let stated = notice.return_after.map(return_time::as_stated);
                 let retry_after = stated.unwrap_or_else(|| self.retry_after(reason));
-                self.refuse_until(running, Outcome::NotRun, reason, &detail, retry_after);
+                self.refuse_with_retry_after(running, Outcome::NotRun, reason, &detail, retry_after);
                 if reason == Reason::BackendUnreachable {
-                    // Whatever ran last may have crashed it.
+                    // One of the last executions may have crashed the back end.
                     self.has_crashed(run).await;
                 }
             }
@@ -214,8 +216,8 @@
         }
     }
 
-    /// Records that the back end has not begun the call.
-    fn take_back(&self, run: &BackendRun) {
+    /// Records that the back end did not start the call, and withdraws its trial run, if any.
+    fn record_not_run(&self, run: &BackendRun) {
         run.work.finish(RunEnd::NotRun);
         if let RunMode::Trial(mark) = run.mode {
             self.shared.suspects.withdraw_trial(self.head.request, mark);
@@ -227,8 +229,9 @@
         self.shared.crash_context().has_crashed(&run.work, run.instance.as_ref()).await
     }
 
-    /// Clears the request of any suspicion, once the back end has lived on for a moment: one that crashes every server may do
-    /// so with its answer's last byte. A suspect's copies wait for this.
+    /// Clears a suspect request once the back end has stayed up for [`SURVIVAL_AFTER_ANSWER`] after the answer,
+    /// because a request may crash its server with the answer's last byte. Other copies of the request wait for
+    /// the result.
     async fn clear_suspicion(&self, run: &BackendRun) {
         let request = self.head.request;
         if !self.shared.suspects.is_suspect(request) {
--- a/crates/seamhatchd/src/peer_server/call/mod.rs
+++ b/crates/seamhatchd/src/peer_server/call/mod.rs
@@ -1,9 +1,9 @@
-//! One call on its way through the daemon beside its server: admission, the back end, the answer.
+//! One incoming call in the daemon beside its server: admission, execution on the back end, and the answer.
 //!
-//! A session starts a [`ServerCall`] for each call that comes in; it ends with exactly one of an answer or a refusal.
-//! It owns nothing that outlives it: its entries among the running calls, the suspects' trials and the admission queue
-//! are freed when it ends or is cancelled. `execute` follows one call on the back end, `answer` passes its answer on,
-//! `refusal` says why there is none.
+//! A session starts a [`ServerCall`] for each incoming call, which ends with exactly one answer or refusal. It
+//! owns nothing that outlives it: its entries in the table of running calls, the trial runs of suspects and the
+//! admission queue are released when it ends or is cancelled. `execute` runs the call on the back end, `answer`
+//! forwards the answer, and `refusal` reports why there is none.
 
 mod answer;
 mod execute;
@@ -31,22 +31,21 @@
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// One call on its way through this daemon to the back end.
+/// One incoming call for the back end beside this daemon.
 pub(super) struct ServerCall {
     pub(super) shared: Arc<Shared>,
     pub(super) outbox: Outbox,
     pub(super) calls: IncomingCalls,
-    /// How much of the answer's body the sender can take.
+    /// Flow-control window of the answer's body.
     pub(super) window: Arc<CreditWindow>,
-    /// Woken once when the sender has given the call up.
+    /// Notified once when the sender cancels the call.
     pub(super) cancelled: Arc<Notify>,
     pub(super) head: CallHead,
     /// Peer address of the daemon that sent it.
     pub(super) from: Address,
-    /// Additions to the messages that it reads.
+    /// Level of message additions that the sender reads; see [`seamhatch_wire::ADDITIONS`].
     pub(super) additions: u16,
     pub(super) arrived: Instant,
-    /// How far it has come.
     pub(super) progress: Arc<RequestProgress>,
 }
 
@@ -57,32 +56,33 @@
 }
 
 impl ServerCall {
-    /// Refuses a call that came after the intake had closed.
-    pub(super) fn refuse_late(self) {
+    /// Refuses a call that arrived after the intake closed.
+    pub(super) fn refuse_stopping(self) {
         self.refuse(&self.running_call(), Outcome::NotRun, Reason::Draining, "");
     }
 
-    /// Follows the call from its arrival to its end and sends its answer or its refusal. `_taken` keeps it in progress meanwhile.
-    pub(super) async fn run(self, body: backend::RequestBody, _taken: AcceptedRequest) {
+    /// Processes the call and sends its answer or refusal. `_accepted` keeps the call counted as in progress
+    /// meanwhile.
+    pub(super) async fn run(self, body: backend::RequestBody, _accepted: AcceptedRequest) {
         self.progress.set_name(self.log_name());
         self.shared.control.note_call_generation(self.head.generation);
         self.shared.server.notices.note_sender(self.from);
         let running = Arc::new(self.running_call());
         tokio::select! {
             biased;
-            () = self.follow(&running, body) => {}
+            () = self.process(&running, body) => {}
             () = self.shared.intake.until_cut() => self.cut_off(&running),
         }
     }
 
-    async fn follow(&self, running: &Arc<RunningCall>, body: backend::RequestBody) {
+    async fn process(&self, running: &Arc<RunningCall>, body: backend::RequestBody) {
         match self.admit(running).await {
             Ok((permit, trial)) => self.execute(running, permit, trial.as_ref(), body).await,
             Err(reason) => self.refuse(running, Outcome::NotRun, reason, ""),
         }
     }
 
-    /// Ends a call as the process ends.
+    /// Ends the call because the process is about to end.
     fn cut_off(&self, running: &RunningCall) {
         match self.progress.stage() {
             RequestStage::Waiting => self.refuse(running, Outcome::NotRun, Reason::Draining, ""),
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The call as the parent of the calls that it will make.
+    /// Describes this call as the parent of the calls that the back end makes for it.
     fn running_call(&self) -> RunningCall {
         let context = &self.head.context;
         let running = RunningCall::new(
@@ -106,17 +106,18 @@
         running.of_tenant(field_text(&self.head.headers, self.shared.conventions.tenant_field()))
     }
 
-    /// Waits for a slot of the back end.
+    /// Waits until the call may run: for its trial if its request is a suspect, and for a slot of the back end.
     ///
     /// # Errors
-    /// The reason of the refusal; the call has not run.
+    /// The reason for refusing the call, which has not run.
     async fn admit(&self, running: &RunningCall) -> Result<(Permit, Option<TrialRun>), Reason> {
         self.check_intake(running)?;
         let objective_end = clock::now().plus(self.head.context.objective_left);
         loop {
             let trial = self.admit_suspect(running, objective_end).await?;
             let permit = self.wait_for_slot(running, objective_end).await?;
-            // Servers may have crashed under the request in the meantime, so that it has to run alone now, or not at all.
+            // The request may have crashed servers in the meantime, so that it must now run in isolation or not at
+            // all.
             if self.shared.suspects.may_run(self.head.request, trial.as_ref()) {
                 return Ok((permit, trial));
             }
@@ -130,7 +131,7 @@
             expiry: running.expiry,
             objective_end,
             kind: call_kind(running),
-            continues_chain: self.goes_first(),
+            continues_chain: self.has_precedence(),
         };
         tokio::select! {
             permit = self.shared.server.gate.admit(request) => permit,
@@ -138,26 +139,27 @@
         }
     }
 
-    /// Whether the operator orders requests by cost.
+    /// Whether the configuration orders requests by cost.
     fn is_ordered_by_cost(&self) -> bool {
         let snapshot = self.shared.snapshot();
         snapshot.configuration().is_some_and(|configuration| configuration.admission().by_cost)
     }
 
-    /// Whether costs count here: the operator orders by cost, and the server reports this pace.
-    fn counts_costs(&self, pace: Option<ServerPace>) -> bool {
+    /// Whether costs are taken into account: the configuration orders by cost, and the server reports its pace.
+    fn uses_costs(&self, pace: Option<ServerPace>) -> bool {
         pace.is_some() && self.is_ordered_by_cost()
     }
 
-    /// Whether the call goes before first calls of its class: its chain has begun at another server, and costs count here.
-    fn goes_first(&self) -> bool {
-        self.head.context.depth > 0 && self.counts_costs(self.shared.server.gate.pace())
+    /// Whether the call precedes calls of its class that begin a chain: it continues a chain that has begun at
+    /// another server, and costs are taken into account.
+    fn has_precedence(&self) -> bool {
+        self.head.context.depth > 0 && self.uses_costs(self.shared.server.gate.pace())
     }
 
-    /// Checks that the call is for this service, and that the daemon takes calls that end when this one does.
+    /// Checks that the call is for this service, and that the daemon accepts calls with this deadline.
     fn check_intake(&self, running: &RunningCall) -> Result<(), Reason> {
         if self.head.service != self.shared.settings.service {
-            // The route exists; the sender's record of this server is out of date.
+            // The route is valid, but the sender's record of this server is stale.
             return Err(Reason::OtherService);
         }
         match self.shared.call_intake() {
@@ -168,14 +170,14 @@
         }
     }
 
-    /// Whether the call, if it starts now, can end before the process does.
+    /// Whether the call, if started now, can finish before the process ends.
     fn can_finish(&self, running: &RunningCall) -> bool {
         self.shared
             .can_finish(running.expiry, self.shared.server.gate.median_service_time(call_kind(running)))
     }
 
-    /// Waits until a call whose request is a suspect may run, as long as its answer is worth waiting for. Other calls
-    /// don't wait.
+    /// Waits until a call whose request is a suspect may run, at most until the call's objective or expiry. Calls
+    /// of other requests don't wait.
     async fn admit_suspect(
         &self,
         running: &RunningCall,
@@ -191,23 +193,23 @@
         }
     }
 
-    /// The caller's name of the request, where the conventions have one.
+    /// The caller's name for the request, if the conventions define one.
     fn request_name(&self) -> Option<&str> {
         self.shared.conventions.request_name(&self.head.headers)
     }
 
-    /// How logs name the request: as its caller does, else by its root id.
+    /// The name of the request in logs: the caller's name, or else the root id.
     fn log_name(&self) -> String {
         self.request_name().map_or_else(|| self.head.context.root.to_string(), str::to_owned)
     }
 
     fn send(&self, message: PeerMessage) {
-        // A lost connection cancels the call through its session.
+        // If the connection is lost, the session cancels the call.
         let _ = self.outbox.send(message);
     }
 }
 
-/// Groups calls whose service times may be compared: calls of one class at one depth mostly do the same work.
+/// Groups calls with comparable service times: calls of one class at one depth mostly do the same work.
 fn call_kind(running: &RunningCall) -> CallKind {
     let classes = PriorityClass::ALL.len() as u32;
     CallKind(running.depth * classes + running.priority.class.rank() as u32)
--- a/crates/seamhatchd/src/peer_server/call/refusal.rs
+++ b/crates/seamhatchd/src/peer_server/call/refusal.rs
@@ -1,4 +1,4 @@
-//! Telling the daemon that sent a call why there is no answer of the back end.
+//! Refusals, which tell the daemon that sent a call why the back end does not answer it.
 
 use super::ServerCall;
 use crate::base::clock;
@@ -12,13 +12,14 @@
 use seamhatch_wire::{PeerMessage, READS_BACKEND_RATE, Refusal, ServerReport};
 
 impl ServerCall {
-    /// Refuses the call and gives back its retry tokens. `detail` is what the back end did, where it is the cause.
+    /// Refuses the call and returns its unspent retry tokens. `detail` describes the back end's fault, if that is
+    /// the cause.
     pub(super) fn refuse(&self, running: &RunningCall, outcome: Outcome, reason: Reason, detail: &str) {
-        self.refuse_until(running, outcome, reason, detail, self.retry_after(reason));
+        self.refuse_with_retry_after(running, outcome, reason, detail, self.retry_after(reason));
     }
 
-    /// Refuses the call with this time after which the caller should come back, before jitter.
-    pub(super) fn refuse_until(
+    /// Refuses the call with an explicit time after which the caller should retry, before jitter.
+    pub(super) fn refuse_with_retry_after(
         &self,
         running: &RunningCall,
         outcome: Outcome,
@@ -31,13 +32,13 @@
         let server = self.shared.server.gate.report();
         self.log_refusal(running, outcome, reason, detail, server);
         if matches!(reason, Reason::BackendCrashed | Reason::CrashesServers) {
-            // Ahead of the refusal, so that the sender's next attempt knows of the crash.
+            // Sent before the refusal, so that the sender knows of the crash when it makes its next attempt.
             let reports = self.shared.suspects.reports(&[self.head.request]);
             self.send(PeerMessage::Suspects(reports));
         }
         let refusal = Refusal {
             outcome,
-            reason: self.readable(reason),
+            reason: self.reason_for_sender(reason),
             retry_after,
             unspent_tokens: running.ledger().close(),
             crashes: self.shared.suspects.standing(self.head.request).crashes(),
@@ -48,15 +49,15 @@
         self.send(PeerMessage::Refused { call: self.head.call, refusal });
     }
 
-    /// The reason as the sender can read it.
-    fn readable(&self, reason: Reason) -> Reason {
+    /// The reason, or a replacement if the sender's release does not know it.
+    fn reason_for_sender(&self, reason: Reason) -> Reason {
         match reason {
             Reason::BackendRate if self.additions < READS_BACKEND_RATE => Reason::QueueFull,
             reason => reason,
         }
     }
 
-    /// When the caller should come back, before jitter.
+    /// The time after which the caller should retry, before jitter.
     pub(super) fn retry_after(&self, reason: Reason) -> Microseconds {
         match reason.rule().return_time {
             ReturnTime::AfterQueue => self.shared.server.gate.retry_after(),
--- a/crates/seamhatchd/src/peer_server/incoming_calls.rs
+++ b/crates/seamhatchd/src/peer_server/incoming_calls.rs
@@ -1,7 +1,7 @@
-//! The calls in progress on a connection that another daemon opened.
+//! The table of calls in progress on a connection that another daemon opened.
 //!
-//! Shared by the connection's session, which feeds and cancels calls, and the [`ServerCall`] of each call, which removes
-//! its entry when it ends.
+//! Shared by the connection's session, which forwards request bodies and cancels calls, and the [`ServerCall`] of
+//! each call, which removes its entry when it ends.
 //!
 //! [`ServerCall`]: crate::peer_server::call::ServerCall
 
@@ -15,25 +15,25 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::{Notify, mpsc};
 
-/// A call in progress, as its session sees it.
+/// The session's handle to a call in progress.
 pub(super) struct IncomingCall {
-    /// Feeds the request body; none for a call without one, and after its end.
+    /// Channel of the request body; none for a call without a body, and after the body's end.
     pub(super) body: Option<mpsc::UnboundedSender<BodyPiece>>,
-    /// Credit for the request body that its sender has not got yet.
+    /// Credit for the request body that has not been granted to its sender yet.
     pub(super) owed: OwedCredit,
-    /// How much of the answer's body the sender can take.
+    /// Flow-control window of the answer's body.
     pub(super) window: Arc<CreditWindow>,
-    /// Woken once when the sender has given the call up.
+    /// Notified once when the sender cancels the call.
     pub(super) cancelled: Arc<Notify>,
 }
 
-/// The calls in progress on one connection, by number. Cheap to clone.
+/// The calls in progress on one connection, by call number. Cheap to clone.
 #[derive(Clone, Default)]
 pub(super) struct IncomingCalls(Arc<Mutex<HashMap<CallId, IncomingCall>>>);
 
 impl IncomingCalls {
-    /// Adds a call. False when its number was in use: the sender made a mistake, and the earlier call can't be reached
-    /// any more.
+    /// Adds a call. Returns false if its number was in use: the sender violates the protocol, and messages no
+    /// longer reach the earlier call.
     pub(super) fn add(&self, call: CallId, entry: IncomingCall) -> bool {
         self.lock().insert(call, entry).is_none()
     }
@@ -48,8 +48,8 @@
         self.lock().is_empty()
     }
 
-    /// Passes on a piece of a request body. Returns the credit that its sender gets now; none where the call has ended or needs no
-    /// more of it.
+    /// Forwards a piece of a request body. Returns the credit to grant now, or none if no credit is due, the call
+    /// has ended, or its body is no longer read.
     pub(super) fn feed(&self, call: CallId, bytes: Bytes) -> Option<u32> {
         let mut calls = self.lock();
         let entry = calls.get_mut(&call)?;
@@ -65,21 +65,21 @@
         }
     }
 
-    /// Allows `bytes` more of an answer's body to be sent.
+    /// Adds `bytes` of credit for an answer's body.
     pub(super) fn refill(&self, call: CallId, bytes: u32) {
         if let Some(entry) = self.lock().get(&call) {
             entry.window.refill(bytes);
         }
     }
 
-    /// Cancels a call that its sender has given up.
+    /// Cancels a call at the request of its sender.
     pub(super) fn cancel(&self, call: CallId) {
         if let Some(entry) = self.lock().get_mut(&call) {
             entry.cancel();
         }
     }
 
-    /// Cancels all calls, as their sender is gone.
+    /// Cancels all calls, because the connection to their sender has ended.
     pub(super) fn cancel_all(&self) {
         self.lock().values_mut().for_each(IncomingCall::cancel);
     }
@@ -92,8 +92,8 @@
 impl IncomingCall {
     fn cancel(&mut self) {
         if let Some(body) = self.body.take() {
-            // So that the back end doesn't take the part it has for the whole. Fails where nothing reads the body
-            // any more.
+            // Prevents the back end from treating the partial body as complete. Fails if the body is no longer
+            // read.
             let _ = body.send(Err(BodyAborted));
         }
         self.cancelled.notify_one();
--- a/crates/seamhatchd/src/peer_server/mod.rs
+++ b/crates/seamhatchd/src/peer_server/mod.rs
@@ -1,7 +1,9 @@
-//! The receiving end of connections between daemons: accepts peers, does the handshake, and runs a session for each.
+//! The server side of connections between daemons: accepts peers, performs the handshake, and runs a session for
+//! each.
 //!
-//! `session` handles the messages of a peer and `call` follows one call of it to the back end and back. Started once at
-//! startup. Nothing of a peer is handled before it has shown that it belongs to this cluster.
+//! `session` handles the messages of a peer, and `call` executes one call on the back end and returns its answer.
+//! Started once at startup. No message of a peer is handled before its `Hello` has shown that it belongs to this
+//! cluster.
 
 mod call;
 mod incoming_calls;
@@ -20,12 +22,12 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Longest wait for the preface of a new connection, and again for its first message.
+/// Time limit for the preface of a new connection, and again for its first message.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// Wait after a failed accept, so that a lack of file descriptors doesn't spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Backoff after a failed accept, so that the loop does not spin when file descriptors run out.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Accepts connections of other daemons forever.
+/// Accepts connections of other daemons until the process ends.
 pub async fn serve(shared: Arc<Shared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -34,7 +36,7 @@
             }
             Err(error) => {
                 warn!(error = error.to_string().as_str(); "accepting a daemon's connection failed");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
@@ -60,24 +62,24 @@
     let first = tokio::time::timeout(HELLO_TIMEOUT, frames.next()).await.map_err(timed_out)??;
     let hello = link::first_hello(first, &shared.settings.cluster)?;
     shared.control.daemon_connected(hello.gossip);
-    // Before any call on this connection, and before anything is told on it.
+    // Before any call is handled on this connection, and before any state is reported on it.
     if let Some(notice) = &hello.handed_back {
         shared.take_back(notice);
     }
     let (outbox, messages) = Outbox::new(shared.unwritten.clone());
-    // The outbox was made just now and can't be closed.
+    // A new outbox can't be closed.
     let _ = outbox.send(PeerMessage::Hello(shared.hello(None)));
     let writing = AbortOnDrop(tokio::spawn(link::write_messages(writer, messages)));
     let (calls, peer_clock) = (IncomingCalls::default(), SenderClock::new(hello.clock));
-    let pulses = spawn_pulses(shared, hello.peer, &outbox, &calls, &peer_clock);
-    let farewell = shared.farewells.begin();
-    let session = Session { shared: shared.clone(), outbox, hello, calls, peer_clock, farewell };
+    let heartbeats = spawn_heartbeats(shared, hello.peer, &outbox, &calls, &peer_clock);
+    let shutdown_ack = shared.farewells.begin();
+    let session = Session { shared: shared.clone(), outbox, hello, calls, peer_clock, shutdown_ack };
     let result = session.run(frames).await;
-    drop((writing, pulses));
+    drop((writing, heartbeats));
     result
 }
 
-fn spawn_pulses(
+fn spawn_heartbeats(
     shared: &Arc<Shared>,
     peer: Address,
     outbox: &Outbox,
@@ -93,7 +95,7 @@
     }))
 }
 
-/// A task that ends with its connection.
+/// A task that is aborted when its handle is dropped.
 struct AbortOnDrop<T>(tokio::task::JoinHandle<T>);
 
 impl<T> Drop for AbortOnDrop<T> {
--- a/crates/seamhatchd/src/peer_server/session.rs
+++ b/crates/seamhatchd/src/peer_server/session.rs
@@ -1,7 +1,8 @@
-//! One connection that another daemon opened: handles its messages in the order in which they arrive.
+//! One connection opened by another daemon. Messages are handled in order of arrival.
 //!
-//! Starts a [`ServerCall`] for each call, answers claims as a witness and control requests for the controllers. Owns
-//! the table of the connection's calls; their sender's silence or the connection's end cancels them.
+//! Starts a [`ServerCall`] for each call, answers claims as a witness, and passes control requests to the
+//! controllers. Owns the table of the connection's calls, which are cancelled when the connection ends or its peer
+//! falls silent.
 
 use crate::base::clock;
 use crate::base::lock::lock;
@@ -26,24 +27,24 @@
 use tokio::net::tcp::OwnedReadHalf;
 use tokio::sync::Notify;
 
-/// A peer that was silent for this long is gone. The same as at the other end of a connection.
-const SILENCE_TO_CLOSE: Duration = Duration::from_secs(20);
+/// Time without a message after which the connection is closed; the sending end uses the same value.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The boot clock of the daemon that sends calls. Cheap to clone.
+/// The estimated boot clock of the daemon that sends calls. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub(super) struct SenderClock(Arc<Mutex<PeerClock>>);
 
 impl SenderClock {
-    /// The clock of a peer whose first message carried this instant.
+    /// Creates the clock of a peer whose first message carried the instant `sent`.
     pub(super) fn new(sent: Instant) -> Self {
         let clock = Self::default();
         clock.observe(sent);
         clock
     }
 
-    /// Translates a local instant, erring early.
+    /// Converts a local instant to the peer's clock; the result may be early, never late.
     pub(super) fn translate(&self, instant: Instant) -> Instant {
-        // An offset is known since the first message.
+        // `new` has recorded an offset.
         self.lock().to_peer(instant).unwrap_or_default()
     }
 
@@ -56,18 +57,18 @@
     }
 }
 
-/// A connection of a daemon that sends calls here.
+/// A connection on which another daemon sends calls.
 pub(super) struct Session {
     pub(super) shared: Arc<Shared>,
     pub(super) outbox: Outbox,
     pub(super) hello: Hello,
     pub(super) calls: IncomingCalls,
     pub(super) peer_clock: SenderClock,
-    pub(super) farewell: PendingShutdownAck,
+    pub(super) shutdown_ack: PendingShutdownAck,
 }
 
 impl Session {
-    /// Handles messages until the connection ends or falls silent, then cancels its calls.
+    /// Handles messages until the connection ends or times out, then cancels its calls.
     pub(super) async fn run(&self, frames: FrameReader<OwnedReadHalf>) -> Result<(), WireError> {
         let result = self.read(frames).await;
         self.calls.cancel_all();
@@ -76,7 +77,7 @@
 
     async fn read(&self, mut frames: FrameReader<OwnedReadHalf>) -> Result<(), WireError> {
         loop {
-            let next = tokio::time::timeout(SILENCE_TO_CLOSE, frames.next()).await;
+            let next = tokio::time::timeout(SILENCE_TIMEOUT, frames.next()).await;
             let next = next.map_err(|_| WireError::Io(std::io::ErrorKind::TimedOut.into()))?;
             let Some(message) = next? else { return Ok(()) };
             self.handle(message);
@@ -99,22 +100,22 @@
                 self.shared.claims.witnesses.release(shard, epoch, key, holder);
             }
             PeerMessage::ControlRequest { exchange, request } => self.answer_control(exchange, request),
-            PeerMessage::Pulse(pulse) => self.handle_pulse(&pulse),
+            PeerMessage::Pulse(heartbeat) => self.handle_heartbeat(&heartbeat),
             _ => self.shared.metrics.bad_input(BadInput::PeerConnection),
         }
     }
 
-    fn handle_pulse(&self, pulse: &Pulse) {
-        self.peer_clock.observe(pulse.clock);
-        if pulse.farewell == Some(Farewell::Heard) {
-            self.farewell.acknowledge();
+    fn handle_heartbeat(&self, heartbeat: &Pulse) {
+        self.peer_clock.observe(heartbeat.clock);
+        if heartbeat.farewell == Some(Farewell::Heard) {
+            self.shutdown_ack.acknowledge();
         }
-        pulse.proof.into_iter().for_each(|proof| self.shared.limits.freshness.record(proof));
-        self.shared.control.note_peer_generation(self.hello.peer, pulse.generation);
+        heartbeat.proof.into_iter().for_each(|proof| self.shared.limits.freshness.record(proof));
+        self.shared.control.note_peer_generation(self.hello.peer, heartbeat.generation);
     }
 
     fn start_call(&self, head: CallHead) {
-        let taken = self.shared.intake.accept(RequestEntry::Peer);
+        let accepted = self.shared.intake.accept(RequestEntry::Peer);
         let (body_sender, body) = if head.has_body {
             let (sender, body) = backend::request_body();
             (Some(sender), body)
@@ -142,23 +143,23 @@
             from: self.hello.peer,
             additions: self.hello.additions,
             arrived: clock::now(),
-            progress: taken.as_ref().map(|taken| taken.progress().clone()).unwrap_or_default(),
+            progress: accepted.as_ref().map(|accepted| accepted.progress().clone()).unwrap_or_default(),
         };
-        match taken {
-            Ok(taken) => drop(tokio::spawn(async move { server_call.run(body, taken).await })),
-            Err(_) => server_call.refuse_late(),
+        match accepted {
+            Ok(accepted) => drop(tokio::spawn(async move { server_call.run(body, accepted).await })),
+            Err(_) => server_call.refuse_stopping(),
         }
     }
 
-    /// Passes on a piece of a request body and gives its sender the credit that is due. The credit is all that bounds the
-    /// channel to the back end.
+    /// Forwards a piece of a request body and grants its sender the credit that is due. The channel to the back
+    /// end is unbounded, so the credit alone limits how much it holds.
     fn feed(&self, call: CallId, bytes: Bytes) {
         if let Some(bytes) = self.calls.feed(call, bytes) {
             self.send(PeerMessage::Credit { call, bytes });
         }
     }
 
-    /// Answers a control request: tokens here, the rest on the control thread.
+    /// Answers a control request. Requests for quota tokens are answered here, all others by the control thread.
     fn answer_control(&self, exchange: u64, request: ControlRequest) {
         if let ControlRequest::GetTokens { shard, tenant, wanted } = request {
             let grant =
@@ -172,13 +173,13 @@
         let reply = self.shared.control.ask(request);
         tokio::spawn(async move {
             let reply = reply.await;
-            // The asker treats a lost connection as no reply.
+            // The requester treats a lost connection as no reply.
             let _ = outbox.send(PeerMessage::ControlReply { exchange, reply });
         });
     }
 
     fn send(&self, message: PeerMessage) {
-        // A closed outbox means that the connection has ended; reading ends the session.
+        // A closed outbox means that the connection has ended; the read loop then ends the session.
         let _ = self.outbox.send(message);
     }
 }
