--- a/crates/seamhatchd/src/listeners/admin.rs
+++ b/crates/seamhatchd/src/listeners/admin.rs
@@ -1,11 +1,11 @@
-//! The operators' listener: state, metrics, submissions, drains and suspects, as HTTP with JSON bodies.
+//! The admin listener: status, metrics, submissions, drains and suspects, over HTTP with JSON bodies.
 //!
-//! Answers come from the control thread, or from shared state where that is enough. Paths, JSON keys and problem kinds are part of the
-//! operators' interface, as the `seamhatch` client speaks it (docs/OPERATIONS.md).
+//! Answers come from the control thread, or from shared state where that suffices. Paths, JSON keys and problem
+//! kinds are part of the operators' interface, which the `seamhatch` client uses (docs/OPERATIONS.md).
 
 use crate::control::{DrainTarget, SubmitError, SubmitRequest};
 use crate::intake::RequestEntry;
-use crate::listeners::json_http::{self, json, typed};
+use crate::listeners::json_http::{self, json, with_media_type};
 use crate::server::crashes::crash_report;
 use crate::shared::Shared;
 use http::{Method, StatusCode};
@@ -19,12 +19,12 @@
 use xitca_web::body::RequestBody;
 use xitca_web::http::WebResponse;
 
-/// Largest body of a request, in bytes.
+/// Maximum size of a request body, in bytes.
 const LARGEST_BODY: usize = 1024 * 1024;
 /// Media type of the OpenMetrics text format.
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// A submission as the client sends it.
+/// The body of a configuration submission.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct SubmissionBody {
@@ -34,14 +34,14 @@
     expect_generation: Option<u64>,
 }
 
-/// A drain as the client sends it; of this daemon where there is no `member`.
+/// The body of a drain request. Without `member`, this daemon drains.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct DrainBody {
     member: Option<Address>,
 }
 
-/// The suspect that is to be cleared, by its digest in hexadecimal digits.
+/// The body of a request to clear a suspect, which is identified by its hexadecimal digest.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ClearBody {
@@ -72,16 +72,16 @@
     failed_functions: Vec<&'static str>,
 }
 
-/// Answers one operator's request.
+/// Handles one request of an operator.
 pub async fn handle(mut context: WebContext<'_, Arc<Shared>>) -> Result<WebResponse, Infallible> {
     let shared = context.state().clone();
     let (parts, extension) = context.take_request().into_parts();
     let (_, body) = extension.replace_body(());
     let response = match (&parts.method, parts.uri.path()) {
-        (&Method::GET, "/healthz") => typed(StatusCode::OK, "text/plain", b"ok\n".to_vec()),
+        (&Method::GET, "/healthz") => with_media_type(StatusCode::OK, "text/plain", b"ok\n".to_vec()),
         (&Method::GET, "/readyz") => readiness(&shared),
         (&Method::GET, "/metrics") => {
-            typed(StatusCode::OK, METRICS_TYPE, shared.metrics.to_text().into_bytes())
+            with_media_type(StatusCode::OK, METRICS_TYPE, shared.metrics.to_text().into_bytes())
         }
         (&Method::GET, "/v1/status") => json(StatusCode::OK, &shared.control.status().await),
         (&Method::GET, "/v1/configuration") => configuration(&shared).await,
@@ -90,19 +90,19 @@
             let report = crash_report(&shared.suspects, shared.metrics.crashes.get());
             json(StatusCode::OK, &report)
         }
-        (&Method::POST, path) => order(&shared, path, body).await,
+        (&Method::POST, path) => run_command(&shared, path, body).await,
         _ => not_found(),
     };
     Ok(response)
 }
 
-/// Carries out an order. It is in progress until it is answered; a daemon that ends takes none.
-async fn order(shared: &Arc<Shared>, path: &str, body: RequestBody) -> WebResponse {
-    let Ok(taken) = shared.intake.accept(RequestEntry::Operator) else {
+/// Executes a command, which counts as in progress until answered. A daemon that is about to end refuses it.
+async fn run_command(shared: &Arc<Shared>, path: &str, body: RequestBody) -> WebResponse {
+    let Ok(accepted) = shared.intake.accept(RequestEntry::Operator) else {
         let detail = "this daemon ends; nothing was done: give the order to another one";
         return problem(StatusCode::SERVICE_UNAVAILABLE, "unavailable", detail);
     };
-    taken.progress().set_name(path.to_owned());
+    accepted.progress().set_name(path.to_owned());
     match path {
         "/v1/submissions" => submit(shared, body).await,
         "/v1/drain" => drain(shared, body).await,
@@ -121,12 +121,12 @@
 
 fn readiness(shared: &Shared) -> WebResponse {
     if shared.serves_callers() {
-        typed(StatusCode::OK, "text/plain", b"ready\n".to_vec())
+        with_media_type(StatusCode::OK, "text/plain", b"ready\n".to_vec())
     } else {
         if shared.is_draining() {
             shared.lifecycle.count_not_ready_answer();
         }
-        typed(StatusCode::SERVICE_UNAVAILABLE, "text/plain", b"not ready\n".to_vec())
+        with_media_type(StatusCode::SERVICE_UNAVAILABLE, "text/plain", b"not ready\n".to_vec())
     }
 }
 
@@ -137,7 +137,7 @@
     }
 }
 
-/// Leaves out a document with tenants, as it may contain their keys.
+/// Omits the document if it defines tenants, because it may contain their keys.
 fn without_keys(shared: &Shared, stored: StoredConfiguration) -> StoredConfiguration {
     let has_tenants = shared.snapshot().configuration().is_some_and(|known| !known.tenants().is_empty());
     let document = if has_tenants { String::new() } else { stored.document };
@@ -236,8 +236,8 @@
 }
 
 async fn read_json<T: serde::de::DeserializeOwned>(body: RequestBody) -> Result<T, WebResponse> {
-    json_http::read_json(body, LARGEST_BODY).await.map_err(|unusable| {
-        let too_large = unusable.status == StatusCode::PAYLOAD_TOO_LARGE;
-        problem(unusable.status, if too_large { "too-large" } else { "bad-request" }, unusable.detail)
+    json_http::read_json(body, LARGEST_BODY).await.map_err(|invalid| {
+        let too_large = invalid.status == StatusCode::PAYLOAD_TOO_LARGE;
+        problem(invalid.status, if too_large { "too-large" } else { "bad-request" }, invalid.detail)
     })
 }
--- a/crates/seamhatchd/src/listeners/body.rs
+++ b/crates/seamhatchd/src/listeners/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers on their way to an HTTP caller. They keep their requests in progress.
+//! Response bodies for HTTP callers. A body keeps its request in progress until it is dropped.
 
 use crate::dispatch::Answer;
 use crate::filters::Rejection;
@@ -11,49 +11,50 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// Has the connection to the caller close early, so that the caller sees that the answer is incomplete.
+/// Error: the body is truncated. Makes the HTTP library close the connection early, so that the caller detects the
+/// incomplete response.
 #[derive(Debug, Error)]
 #[error("{0}")]
-pub struct BrokenBody(String);
+pub struct TruncatedBody(String);
 
-/// Body of an answer to a caller.
-pub type CallerBody = UnsyncBoxBody<Bytes, BrokenBody>;
+/// The body of a response to a caller.
+pub type CallerBody = UnsyncBoxBody<Bytes, TruncatedBody>;
 
-/// Pieces of an answer that may wait for a slow caller while the answer is recorded.
-const RECORDED_AHEAD: usize = 4;
+/// Number of pieces of a recorded answer that are buffered for a slow caller.
+const RECORDED_BUFFER: usize = 4;
 
-/// A body whose bytes are all known.
+/// A body that is already complete.
 pub fn whole(bytes: Bytes) -> CallerBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// The body of an answer; an error when it breaks off. Dropping it cancels the call.
-pub fn streamed(answer: Answer, taken: AcceptedRequest) -> CallerBody {
-    let pieces = stream::unfold(Some((answer, taken)), |state| async {
-        let (mut answer, taken) = state?;
+/// Streams the body of an answer. It yields an error if the answer is truncated; dropping it cancels the call.
+pub fn streamed(answer: Answer, accepted: AcceptedRequest) -> CallerBody {
+    let pieces = stream::unfold(Some((answer, accepted)), |state| async {
+        let (mut answer, accepted) = state?;
         match answer.next().await {
-            Ok(Some(piece)) => Some((Ok(Frame::data(piece)), Some((answer, taken)))),
+            Ok(Some(piece)) => Some((Ok(Frame::data(piece)), Some((answer, accepted)))),
             Ok(None) => None,
-            Err(Rejection { detail, .. }) => Some((Err(BrokenBody(detail)), None)),
+            Err(Rejection { detail, .. }) => Some((Err(TruncatedBody(detail)), None)),
         }
     });
     StreamBody::new(pieces).boxed_unsync()
 }
 
-/// The body of an answer that is read to its end whether or not its caller stays, so that it can be
+/// Streams the body of an answer that is read to its end even if the caller disconnects, so that it can be
 /// recorded for repeats of the same request.
-pub fn recorded(mut answer: Answer, taken: AcceptedRequest) -> CallerBody {
-    let (sender, pieces) = mpsc::channel(RECORDED_AHEAD);
-    let unwritten = taken.clone();
+pub fn recorded(mut answer: Answer, accepted: AcceptedRequest) -> CallerBody {
+    let (sender, pieces) = mpsc::channel(RECORDED_BUFFER);
+    let unwritten = accepted.clone();
     tokio::spawn(async move {
-        let _taken = taken;
+        let _accepted = accepted;
         loop {
             let (piece, last) = match answer.next().await {
                 Ok(Some(piece)) => (Ok(Frame::data(piece)), false),
                 Ok(None) => return,
-                Err(Rejection { detail, .. }) => (Err(BrokenBody(detail)), true),
+                Err(Rejection { detail, .. }) => (Err(TruncatedBody(detail)), true),
             };
-            // Fails when the caller has left; the answer is still read to its end, to be recorded.
+            // Fails if the caller has disconnected; the answer is still read to its end to be recorded.
             let _ = sender.send(piece).await;
             if last {
                 return;
--- a/crates/seamhatchd/src/listeners/callers.rs
+++ b/crates/seamhatchd/src/listeners/callers.rs
@@ -1,14 +1,14 @@
-//! The listeners that take requests of callers and of the back end.
+//! The traffic listeners, for requests of callers and of the back end.
 //!
-//! Served by `hyper` and not by `xitca-web`, which goes on with a handler whose caller has left: here the handler is dropped
-//! within milliseconds, and with it the call, down to the connection to the back end. Bounds are those of the configuration
-//! in force when a connection opens.
+//! They use `hyper` rather than `xitca-web`, which keeps running a handler after its caller has disconnected. With
+//! `hyper`, the handler is dropped within milliseconds, which cancels the call down to the connection to the back
+//! end. A connection is bound by the limits of the configuration in force when it opens.
 
 use crate::listeners::connection::ConnectionRequests;
 use crate::listeners::graceful_close;
 use crate::listeners::head::HEADER_FIELDS;
 use crate::listeners::proxy::RequestHandler;
-use crate::listeners::read_ahead::WatchedStream;
+use crate::listeners::read_ahead::ReadAheadStream;
 use hyper::Request;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -21,26 +21,27 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Smallest buffer for a request head in bytes. It is larger where the configuration allows larger heads, so that the filters
-/// refuse what is too large and not the library.
-const HEAD_BUFFER: usize = 64 * 1024;
-/// Buffer for a head, as a multiple of the bytes that the configuration bounds: the rest is for the request line and the
-/// separators of fields.
-const HEAD_OVERHEAD: usize = 2;
-/// An idle connection is kept this much longer than callers may reuse it.
+/// Minimum size of the buffer for a request head, in bytes. The buffer is larger if the configuration allows
+/// larger heads, so that oversized heads are refused by the filters and not by the library.
+const MIN_HEAD_BUFFER: usize = 64 * 1024;
+/// Size of the head buffer as a multiple of the configured limit, which does not count the request line and the
+/// separators of header fields.
+const HEAD_BUFFER_FACTOR: usize = 2;
+/// Time for which an idle connection is kept beyond the idle time that callers are granted.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
-/// Longest wait of callers' connections for a daemon that starts, which would refuse their requests as not ready or for lack of a server. It takes
-/// 0.1 s where its store and members are within reach.
-const START_PATIENCE: Duration = Duration::from_millis(300);
-/// Wait after a failed accept, so that a lack of file descriptors doesn't spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Longest time from the opening of a connection to its first request, where the listener closes meanwhile: it is read and refused.
-const FIRST_REQUEST_WAIT: Duration = Duration::from_millis(100);
+/// Maximum delay of accepting connections while the daemon starts, because it would refuse their requests as not
+/// ready or for lack of a server. Starting takes 0.1 s if the store and the members are reachable.
+const STARTUP_WAIT: Duration = Duration::from_millis(300);
+/// Backoff after a failed accept, so that the loop does not spin when file descriptors run out.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
+/// Time from the opening of a connection in which its first request is still read, and refused, after the listener
+/// has closed.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Tells listeners and their connections when to end, and knows when they have: each of them holds a receiver until then.
+/// Tells listeners and their connections to close. Each of them holds a receiver until it has closed.
 pub type ClosingSignal = watch::Sender<bool>;
 
-/// Binds an address and serves requests there until `closing`.
+/// Binds an address and serves requests there until `closing` is set.
 ///
 /// # Errors
 /// The address can't be bound.
@@ -55,7 +56,7 @@
 }
 
 async fn accept(listener: TcpListener, handler: Arc<RequestHandler>, mut closing: watch::Receiver<bool>) {
-    handler.until_decidable(START_PATIENCE).await;
+    handler.until_can_route(STARTUP_WAIT).await;
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -67,48 +68,48 @@
             }
             Err(error) => {
                 warn!(error = error.to_string().as_str(); "accepting a connection failed");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
     match graceful_close::close(listener) {
-        Ok(last) => {
-            for stream in last {
+        Ok(remaining) => {
+            for stream in remaining {
                 tokio::spawn(serve(stream, handler.clone(), closing.clone()));
             }
         }
-        Err(error) => warn!(error = error.to_string().as_str(); "a listener can't be closed in order"),
+        Err(error) => warn!(error = error.to_string().as_str(); "a listener can't be closed gracefully"),
     }
 }
 
 async fn until_closing(closing: &mut watch::Receiver<bool>) {
-    // Without a sender the process has ended.
+    // Fails only if the sender is dropped, when the process ends.
     let _ = closing.wait_for(|closing| *closing).await;
 }
 
 async fn serve(stream: TcpStream, handler: Arc<RequestHandler>, mut closing: watch::Receiver<bool>) {
     let opened = Instant::now();
     if let Err(error) = stream.set_nodelay(true) {
-        debug!(error = error.to_string().as_str(); "a connection ended at once");
+        debug!(error = error.to_string().as_str(); "a caller's connection failed before its first request");
         return;
     }
-    let http = http_of(&handler);
+    let http = http_builder(&handler);
     let requests = Arc::new(ConnectionRequests::default());
-    let stream = WatchedStream::new(stream, requests.clone(), handler.clone());
+    let stream = ReadAheadStream::new(stream, requests.clone(), handler.clone());
     let (held, shared) = (requests.clone(), handler.shared.clone());
     let service = service_fn(move |request| {
         let (parts, body) = Request::into_parts(request);
-        // Before the library reads on.
-        let ahead = held.reach(&parts, &body);
-        handler.clone().handle(Request::from_parts(parts, body), ahead, held.clone())
+        // Must be called before the library reads further.
+        let pipelined = held.begin_request(&parts, &body);
+        handler.clone().handle(Request::from_parts(parts, body), pipelined, held.clone())
     });
     let mut connection = Box::pin(http.serve_connection(TokioIo::new(stream), service));
     let ended = tokio::select! {
         biased;
         ended = &mut connection => ended,
-        () = until_it_may_end(&mut closing, &requests, opened) => {
-            if !requests.has_begun() {
-                // At most a part of a head has been read.
+        () = until_should_close(&mut closing, &requests, opened) => {
+            if !requests.has_request() {
+                // At most part of a head has been read.
                 return;
             }
             connection.as_mut().graceful_shutdown();
@@ -121,13 +122,13 @@
     }
 }
 
-/// HTTP with the bounds of the configuration in force.
-fn http_of(handler: &RequestHandler) -> http1::Builder {
+/// Builds an HTTP/1 server with the limits of the configuration in force.
+fn http_builder(handler: &RequestHandler) -> http1::Builder {
     let limits = handler.limits();
-    // The library counts the idle time before a head as part of the time for it.
+    // The library's time limit for a head includes the idle time before it.
     let longest_wait =
         Duration::from_millis(limits.idle_timeout_ms.saturating_add(limits.head_timeout_ms)) + IDLE_MARGIN;
-    let head_buffer = limits.head_bytes.saturating_mul(HEAD_OVERHEAD).max(HEAD_BUFFER);
+    let head_buffer = limits.head_bytes.saturating_mul(HEAD_BUFFER_FACTOR).max(MIN_HEAD_BUFFER);
     let mut http = http1::Builder::new();
     http.timer(TokioTimer::new())
         .header_read_timeout(longest_wait)
@@ -136,16 +137,18 @@
     http
 }
 
-/// Waits until a connection that was opened at `opened` is to end; one that is new then has time for its first request.
-async fn until_it_may_end(
+/// Waits until a connection that opened at `opened` should close. A new connection is given time for its first
+/// request.
+async fn until_should_close(
     closing: &mut watch::Receiver<bool>,
     requests: &ConnectionRequests,
     opened: Instant,
 ) {
     until_closing(closing).await;
-    if !requests.has_begun() {
-        tokio::time::sleep_until(opened + FIRST_REQUEST_WAIT).await;
+    if !requests.has_request() {
+        tokio::time::sleep_until(opened + FIRST_REQUEST_TIMEOUT).await;
     }
-    // The library makes the answer in progress the last one.
-    requests.until_none_ahead().await;
+    // A graceful shutdown makes the library end the connection with the answer in progress, so no other request
+    // may be pending.
+    requests.until_none_pipelined().await;
 }
--- a/crates/seamhatchd/src/listeners/connection.rs
+++ b/crates/seamhatchd/src/listeners/connection.rs
@@ -1,13 +1,15 @@
-//! The requests of one connection of a caller, from their reading until their answers are written.
+//! The requests of one caller's connection, from reading them until their answers are written.
 //!
-//! [`ConnectionRequests`] owns them; [`Pipeline`] decides in which order they are read, started and answered. The connection's stream
-//! (`read_ahead`) asks it what the HTTP library may read and starts requests; the library's service reports each request that the library has read.
-//! All of that happens on the task of the connection. The lock is never contended; it lets the parts of the connection share the state.
+//! [`ConnectionRequests`] owns the requests; [`Pipeline`] decides in which order they are read, started and
+//! answered. The connection's stream (`read_ahead`) asks what the HTTP library may read next and starts pipelined
+//! requests. The library's service reports each request that the library has read. All of this runs on the
+//! connection's task, so the lock is never contended; it only lets the parts of the connection share the state.
 //!
-//! The HTTP library takes an answer long before a slow caller does. It flushes its stream once everything that it holds was written; of each
-//! flush [`ConnectionRequests`] is told, lets go of the requests that nothing works on any more, and releases the next head.
+//! The HTTP library accepts an answer long before a slow caller has received it, and flushes its stream once
+//! everything it holds is written. On each flush, [`ConnectionRequests`] releases the requests that are no longer
+//! processed, and then the next head.
 
-use super::body::{BrokenBody, CallerBody};
+use super::body::{CallerBody, TruncatedBody};
 use super::head;
 use super::pipelined::PipelinedRequest;
 use crate::base::lock::lock;
@@ -23,68 +25,68 @@
 use std::task::{Context, Poll, Waker};
 use tokio::sync::Notify;
 
-/// The requests of one connection whose answers are not written yet.
+/// The requests of one connection whose answers are not fully written.
 #[derive(Default)]
 pub struct ConnectionRequests {
     state: Mutex<ConnectionState>,
-    /// A request has been read.
-    begun: AtomicBool,
-    /// Nothing is started ahead any more, and no head is due.
-    none_ahead: Notify,
+    /// Whether the library has read a request.
+    has_request: AtomicBool,
+    /// Notified when no pipelined request is pending and no head is due.
+    none_pipelined: Notify,
 }
 
 #[derive(Default)]
 struct ConnectionState {
     pipeline: Pipeline,
     unwritten: Vec<AcceptedRequest>,
-    /// Those that were taken ahead and that the library has not reached.
-    ahead: VecDeque<PipelinedRequest>,
-    /// The library works on a request.
+    /// Requests that were accepted early and that the library has not read yet.
+    pipelined: VecDeque<PipelinedRequest>,
+    /// The library is processing a request.
     in_progress: bool,
-    /// The library may be given the next head, of which something was read, and has not asked for it yet.
+    /// The library may be given the next head, part of which has been read, but has not asked for it yet.
     head_due: bool,
     /// The caller has closed the connection, or it was reset.
-    left: bool,
-    /// Polls the connection again when there is something to do for its stream.
+    is_disconnected: bool,
+    /// Wakes the connection's task when the stream can make progress.
     reader: Option<Waker>,
 }
 
 impl ConnectionState {
-    fn has_none_ahead(&self) -> bool {
-        self.ahead.is_empty() && !self.head_due
+    fn has_none_pipelined(&self) -> bool {
+        self.pipelined.is_empty() && !self.head_due
     }
 }
 
 impl ConnectionRequests {
-    /// The library has read a request: returns what was done for it ahead.
-    pub fn reach(&self, parts: &Parts, body: &Incoming) -> Option<PipelinedRequest> {
-        self.begun.store(true, Ordering::Relaxed);
-        let goes_on = head::keeps_connection_open(parts);
-        // Dropped after the lock: the intake has one of its own.
+    /// Records that the library has read a request. Returns the request if it was accepted early.
+    pub fn begin_request(&self, parts: &Parts, body: &Incoming) -> Option<PipelinedRequest> {
+        self.has_request.store(true, Ordering::Relaxed);
+        let keeps_open = head::keeps_connection_open(parts);
+        // Dropped after the lock is released, because dropping a request locks the intake.
         let mut cancelled = VecDeque::new();
         let mut state = self.lock();
         state.in_progress = true;
-        let reached = state.pipeline.begin_request(body_of(parts, body), goes_on);
-        if reached == RequestOrigin::StartedAhead
-            && let Some(ahead) = state.ahead.pop_front()
+        let origin = state.pipeline.begin_request(body_of(parts, body), keeps_open);
+        if origin == RequestOrigin::StartedAhead
+            && let Some(request) = state.pipelined.pop_front()
         {
-            if ahead.line.0 == parts.method && ahead.line.1 == parts.uri {
-                self.note_none_ahead(&state);
-                return Some(ahead);
+            if request.line.0 == parts.method && request.line.1 == parts.uri {
+                self.notify_if_none_pipelined(&state);
+                return Some(request);
             }
-            cancelled.push_back(ahead);
+            cancelled.push_back(request);
         }
-        if !state.ahead.is_empty() {
+        if !state.pipelined.is_empty() {
             state.pipeline.pass_through();
-            cancelled.append(&mut state.ahead);
+            cancelled.append(&mut state.pipelined);
         }
-        self.note_none_ahead(&state);
+        self.notify_if_none_pipelined(&state);
         None
     }
 
-    /// Whether a request has been read.
-    pub fn has_begun(&self) -> bool {
-        self.begun.load(Ordering::Relaxed)
+    /// Whether the library has read a request.
+    pub fn has_request(&self) -> bool {
+        self.has_request.load(Ordering::Relaxed)
     }
 
     /// Keeps a request in progress until its answer is written or the connection ends.
@@ -92,7 +94,8 @@
         self.lock().unwritten.push(request);
     }
 
-    /// Whether others may run beside the request in progress, which the library has read.
+    /// Records whether the request in progress, which the library has read, is repeatable, so that later requests
+    /// may run beside it.
     pub fn note_repeatable(&self, repeatable: bool) {
         let mut state = self.lock();
         state.pipeline.note_repeatable(repeatable);
@@ -103,42 +106,44 @@
         }
     }
 
-    /// Ends the connection with the answer to the request in progress, where nothing was started behind it. Returns whether it does.
+    /// Makes the connection end with the answer in progress, unless later requests have been started. Returns
+    /// whether it does.
     pub fn try_close_after_this(&self) -> bool {
         self.lock().pipeline.try_close_after_this()
     }
 
-    /// Starts nothing more ahead, and waits until the library has reached all that was and all that it may have by now.
-    pub async fn until_none_ahead(&self) {
+    /// Stops starting pipelined requests, and waits until the library has read those already started and any head
+    /// that is due.
+    pub async fn until_none_pipelined(&self) {
         self.lock().pipeline.stop_starting();
         loop {
-            let changed = self.none_ahead.notified();
-            if self.lock().has_none_ahead() {
+            let changed = self.none_pipelined.notified();
+            if self.lock().has_none_pipelined() {
                 return;
             }
             changed.await;
         }
     }
 
-    /// Cancels the requests that were taken ahead on a connection that has ended. Returns how many requests, the one in progress
-    /// included, had no whole answer when their caller left; 0 where the caller did not leave.
+    /// Cancels the pipelined requests of a closed connection. If the caller has disconnected, returns the number
+    /// of requests without a complete answer, including the one in progress; otherwise returns 0.
     pub fn end(&self) -> usize {
         let mut state = self.lock();
-        let ahead = std::mem::take(&mut state.ahead);
-        let unanswered = ahead.len() + usize::from(state.in_progress);
-        let left = if state.left { unanswered } else { 0 };
+        let cancelled = std::mem::take(&mut state.pipelined);
+        let unanswered = cancelled.len() + usize::from(state.in_progress);
+        let abandoned = if state.is_disconnected { unanswered } else { 0 };
         drop(state);
-        left
+        abandoned
     }
 
-    /// What the library, which asks, may be given next.
-    pub(super) fn turn(&self) -> NextInput {
+    /// What the library may be given next. Called when the library reads.
+    pub(super) fn next_input(&self) -> NextInput {
         let mut state = self.lock();
-        let turn = state.pipeline.next_input();
-        if turn == NextInput::NextHead && std::mem::take(&mut state.head_due) {
-            self.note_none_ahead(&state);
+        let input = state.pipeline.next_input();
+        if input == NextInput::NextHead && std::mem::take(&mut state.head_due) {
+            self.notify_if_none_pipelined(&state);
         }
-        turn
+        input
     }
 
     pub(super) fn give_head(&self, body_bytes: u64) {
@@ -149,15 +154,16 @@
         self.lock().pipeline.give_body(bytes);
     }
 
-    /// The library gets all bytes as they come. What was started ahead is cancelled: the library will read it.
-    pub(super) fn give_up(&self) {
+    /// Turns off pipelining: the library gets all bytes as they arrive. Requests that were started early are
+    /// cancelled, because the library will read them itself.
+    pub(super) fn pass_through(&self) {
         let mut state = self.lock();
         state.pipeline.pass_through();
-        let cancelled = std::mem::take(&mut state.ahead);
+        let cancelled = std::mem::take(&mut state.pipelined);
         state.head_due = false;
-        self.note_none_ahead(&state);
+        self.notify_if_none_pipelined(&state);
         drop(state);
-        // Without the lock: the intake has one of its own.
+        // Dropped without the lock, because dropping a request locks the intake.
         drop(cancelled);
     }
 
@@ -168,33 +174,33 @@
     pub(super) fn start(&self, request: PipelinedRequest) {
         let mut state = self.lock();
         state.pipeline.start(request.repeatable);
-        state.ahead.push_back(request);
+        state.pipelined.push_back(request);
     }
 
-    /// Bytes of the head that the library is given next, where its request was taken ahead.
+    /// Length of the head that the library is given next, if its request was accepted early.
     pub(super) fn next_head_bytes(&self) -> Option<usize> {
-        self.lock().ahead.front().map(|request| request.head_bytes)
+        self.lock().pipelined.front().map(|request| request.head_bytes)
     }
 
-    /// Has the stream polled once it may start more, or give the library the next head.
+    /// Registers the task to be woken when the stream may start more requests or give the library the next head.
     pub(super) fn wake_when_released(&self, context: &Context<'_>) {
         self.lock().reader = Some(context.waker().clone());
     }
 
-    /// The caller has closed the connection, or it was reset.
-    pub(super) fn note_left(&self) {
-        self.lock().left = true;
+    /// Records that the caller has closed the connection, or that it was reset.
+    pub(super) fn note_disconnected(&self) {
+        self.lock().is_disconnected = true;
     }
 
-    /// All that was handed to the connection so far is written.
-    pub(super) fn flushed(&self) {
+    /// Records that everything handed to the connection so far has been written.
+    pub(super) fn note_flushed(&self) {
         let mut state = self.lock();
         let released = state.pipeline.flush();
         let reader = if released { state.reader.take() } else { None };
         state.head_due |= reader.is_some();
         let mut unwritten = std::mem::take(&mut state.unwritten);
         drop(state);
-        // Requests are let go without the lock: the intake has one of its own.
+        // Requests are dropped without the lock, because dropping one locks the intake.
         unwritten.retain(|request| !request.is_last_handle());
         if !unwritten.is_empty() {
             self.lock().unwritten.append(&mut unwritten);
@@ -210,9 +216,9 @@
         state.pipeline.end_answer();
     }
 
-    fn note_none_ahead(&self, state: &ConnectionState) {
-        if state.has_none_ahead() {
-            self.none_ahead.notify_waiters();
+    fn notify_if_none_pipelined(&self, state: &ConnectionState) {
+        if state.has_none_pipelined() {
+            self.none_pipelined.notify_waiters();
         }
     }
 
@@ -221,9 +227,9 @@
     }
 }
 
-/// The body of a request as the library understands it.
+/// The length of a request's body as the library determines it.
 fn body_of(parts: &Parts, body: &Incoming) -> RequestBody {
-    // What follows belongs to another protocol.
+    // The bytes that follow belong to another protocol.
     if parts.method == http::Method::CONNECT || parts.headers.contains_key(http::header::UPGRADE) {
         return RequestBody::Unknown;
     }
@@ -233,27 +239,27 @@
     body.size_hint().exact().map_or(RequestBody::Unknown, RequestBody::Bytes)
 }
 
-/// The body of an answer, which tells its connection when the library has the whole answer or gives it up.
-pub struct WatchedBody {
+/// A response body that notifies its connection when the library has the whole answer or drops it.
+pub struct TrackedBody {
     body: CallerBody,
     connection: Arc<ConnectionRequests>,
 }
 
-impl WatchedBody {
-    /// The body of the answer in progress on this connection.
+impl TrackedBody {
+    /// Wraps the body of the answer in progress on `connection`.
     pub fn new(body: CallerBody, connection: Arc<ConnectionRequests>) -> Self {
         Self { body, connection }
     }
 }
 
-impl Body for WatchedBody {
+impl Body for TrackedBody {
     type Data = Bytes;
-    type Error = BrokenBody;
+    type Error = TruncatedBody;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenBody>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
         Pin::new(&mut self.body).poll_frame(context)
     }
 
@@ -266,7 +272,7 @@
     }
 }
 
-impl Drop for WatchedBody {
+impl Drop for TrackedBody {
     fn drop(&mut self) {
         self.connection.end_answer();
     }
--- a/crates/seamhatchd/src/listeners/head.rs
+++ b/crates/seamhatchd/src/listeners/head.rs
@@ -1,6 +1,8 @@
-//! Where the head of a request ends, and whether the request may be started before the library has read it.
+//! Parses request heads: where a head ends, and whether its request may be started before the HTTP library has
+//! read it.
 //!
-//! Uses the library's own parser. What it refuses, or what two readers may understand differently, is left to the library.
+//! Uses the library's own parser. A head that the parser refuses, or that two parsers may interpret differently,
+//! is left to the library, because a difference would allow request smuggling.
 
 use http::header::{CONNECTION, CONTENT_LENGTH, EXPECT, TRANSFER_ENCODING, UPGRADE};
 use http::request::Parts;
@@ -8,41 +10,42 @@
 use httparse::{Header, Status};
 use std::mem::MaybeUninit;
 
-/// Header fields that a request may have. The library's own limit of 100 is within reach of proper heads.
+/// Maximum number of header fields of a request. Legitimate requests may exceed the library's default of 100.
 pub const HEADER_FIELDS: usize = 512;
 
-/// The head at the start of some bytes.
+/// Where the head at the start of a buffer ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeadEnd {
     /// More bytes are needed.
     Incomplete,
-    /// The library refuses it.
+    /// The library refuses the head.
     Malformed,
-    /// It ends after this many bytes.
+    /// The head has this many bytes.
     At(usize),
 }
 
-/// A request at the start of bytes that were read ahead.
+/// The request at the start of bytes that were read ahead.
 #[derive(Debug)]
 pub enum PipelinedHead {
     /// More bytes are needed.
     Incomplete,
-    /// Not one that may be started ahead.
+    /// The request must not be started early.
     Ineligible,
-    /// Well-formed, without a body, and its connection goes on after it.
+    /// The request may be started early.
     Eligible(Box<BodilessRequest>),
 }
 
-/// A well-formed request without a body, after which its connection goes on.
+/// A well-formed request without a body, after which the connection stays open.
 #[derive(Debug)]
 pub struct BodilessRequest {
-    /// What the library makes of its head, too.
+    /// The parsed head, the same as the library parses it.
     pub parts: Parts,
-    /// Bytes of its head.
+    /// Length of the head, in bytes.
     pub length: usize,
 }
 
-/// Whether bytes whose first `seen` held no whole head may hold one: as the library, this looks for an empty line only.
+/// Whether `bytes`, whose first `seen` bytes contained no complete head, may now contain one. Like the library,
+/// this only looks for an empty line.
 #[must_use]
 pub fn may_contain_head_end(bytes: &[u8], seen: usize) -> bool {
     if seen == 0 {
@@ -52,7 +55,7 @@
     new.windows(2).any(|pair| pair == b"\n\n") || new.windows(3).any(|three| three == b"\n\r\n")
 }
 
-/// Finds the end of the head at the start of some bytes.
+/// Finds the end of the head at the start of `bytes`.
 #[must_use]
 pub fn head_end(bytes: &[u8]) -> HeadEnd {
     let mut fields = [const { MaybeUninit::uninit() }; HEADER_FIELDS];
@@ -64,7 +67,8 @@
     }
 }
 
-/// Whether all these bytes belong to one request, whose head is complete: then, how many of them belong to its body.
+/// Returns how many of the bytes belong to the request's body if the head is complete and all bytes belong to one
+/// request. Returns none otherwise.
 #[must_use]
 pub fn single_request_body_bytes(bytes: &[u8]) -> Option<u64> {
     let mut fields = [const { MaybeUninit::uninit() }; HEADER_FIELDS];
@@ -76,7 +80,7 @@
     (rest == 0 || rest <= stated_length(head.headers)?).then_some(rest)
 }
 
-/// The only stated length of a body, in a form that has one meaning.
+/// The stated length of the body, if it is stated once and unambiguously.
 fn stated_length(fields: &[Header<'_>]) -> Option<u64> {
     let named =
         |name: HeaderName| fields.iter().filter(move |field| field.name.eq_ignore_ascii_case(name.as_str()));
@@ -92,7 +96,7 @@
     text.parse().ok()
 }
 
-/// Reads the request at the start of bytes that were read ahead.
+/// Parses the request at the start of bytes that were read ahead.
 #[must_use]
 pub fn parse_pipelined(bytes: &[u8]) -> PipelinedHead {
     let mut fields = [const { MaybeUninit::uninit() }; HEADER_FIELDS];
@@ -102,7 +106,7 @@
         Ok(Status::Partial) => return PipelinedHead::Incomplete,
         Err(_) => return PipelinedHead::Ineligible,
     };
-    let is_strict = ends_lines_by_both(&bytes[..length]);
+    let is_strict = has_strict_line_ends(&bytes[..length]);
     match parts_of(&head) {
         Some(parts) if is_strict && keeps_connection_open(&parts) && !has_body(&parts.headers) => {
             PipelinedHead::Eligible(Box::new(BodilessRequest { parts, length }))
@@ -111,11 +115,11 @@
     }
 }
 
-/// Whether a head begins at once and each line of it ends with a carriage return and a line feed, which the parser does not insist on.
-fn ends_lines_by_both(head: &[u8]) -> bool {
-    let is_feed_alone = |place: usize| place == 0 || head[place - 1] != b'\r';
+/// Whether a head has no leading empty line and ends each line with CRLF, neither of which the parser enforces.
+fn has_strict_line_ends(head: &[u8]) -> bool {
+    let is_bare_line_feed = |index: usize| index == 0 || head[index - 1] != b'\r';
     let mut feeds = head.iter().enumerate().filter(|(_, byte)| **byte == b'\n');
-    head.first().is_some_and(u8::is_ascii_alphabetic) && !feeds.any(|(place, _)| is_feed_alone(place))
+    head.first().is_some_and(u8::is_ascii_alphabetic) && !feeds.any(|(index, _)| is_bare_line_feed(index))
 }
 
 fn parts_of(head: &httparse::Request<'_, '_>) -> Option<Parts> {
@@ -132,18 +136,19 @@
     Some(request.into_parts().0)
 }
 
-/// Whether a connection serves further requests after this one.
+/// Whether the connection stays open for further requests after this one.
 #[must_use]
 pub fn keeps_connection_open(parts: &Parts) -> bool {
-    let named = |text: &str| text.split(',').any(|option| !option.trim().eq_ignore_ascii_case("keep-alive"));
+    let has_other_option =
+        |text: &str| text.split(',').any(|option| !option.trim().eq_ignore_ascii_case("keep-alive"));
     let mut options = parts.headers.get_all(CONNECTION).iter();
     parts.version == Version::HTTP_11
         && parts.method != Method::CONNECT
         && !parts.headers.contains_key(UPGRADE)
-        && !options.any(|options| options.to_str().map_or(true, named))
+        && !options.any(|options| options.to_str().map_or(true, has_other_option))
 }
 
-/// Whether a request has a body, or may have one.
+/// Whether a request has or may have a body.
 fn has_body(headers: &HeaderMap) -> bool {
     let mut lengths = headers.get_all(CONTENT_LENGTH).iter();
     let is_empty = match (lengths.next(), lengths.next()) {
--- a/crates/seamhatchd/src/listeners/mod.rs
+++ b/crates/seamhatchd/src/listeners/mod.rs
@@ -1,8 +1,8 @@
-//! The HTTP listeners, each with a port of its own, so that what one offers can't be reached at another's.
+//! The HTTP listeners. Each has its own port, so that one listener's interface can't be reached through another.
 //!
-//! `callers` accepts the connections of callers and of the back end (`hyper`), whose requests `proxy` answers; `admin` serves
-//! operators and `registry` the back end's heartbeats (`xitca-web`). Started at startup; a planned stop ends the connections of callers
-//! through [`Listeners::close`].
+//! `callers` accepts connections of callers and of the back end (`hyper`), and `proxy` answers their requests.
+//! `admin` serves operators and `registry` the back end's heartbeats (both `xitca-web`). Started at startup; a
+//! planned stop closes callers' connections through [`Listeners::close`].
 
 mod admin;
 mod body;
@@ -37,13 +37,13 @@
 use callers::ClosingSignal;
 use proxy::RequestHandler;
 
-/// How long an idle connection of an operator or back end is kept.
+/// Idle time-out of a connection of an operator or back end.
 const KEEP_ALIVE: Duration = Duration::from_secs(30);
-/// Longest wait for a request head of an operator or back end.
+/// Time limit for a request head of an operator or back end.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Largest head of a request of an operator or back end, in bytes.
+/// Maximum size of a request head of an operator or back end, in bytes.
 const HEAD_BUFFER: usize = 64 * 1024;
-/// Most header fields of such a request.
+/// Maximum number of header fields of such a request.
 const HEADER_FIELDS: usize = 96;
 
 /// A running listener.
@@ -53,7 +53,7 @@
 }
 
 impl Listener {
-    /// Finishes what is in progress and ends the threads, or returns after `longest`.
+    /// Finishes the requests in progress and ends the threads. Returns after `longest` at the latest.
     pub fn stop(self, longest: Duration) {
         (self.stop)();
         let end = Instant::now() + longest;
@@ -63,7 +63,7 @@
     }
 }
 
-/// Serves an application at bound sockets on threads of its own.
+/// Serves an application at bound sockets on dedicated threads.
 ///
 /// # Errors
 /// The threads can't be started.
@@ -91,11 +91,11 @@
     for socket in sockets {
         server = server.listen(socket)?;
     }
-    // The server must be built on the thread that it runs on.
+    // The server must be created on the thread that runs it.
     let (sender, receiver) = mpsc::channel();
     let thread = std::thread::Builder::new().name(name.to_owned()).spawn(move || {
         let mut running = server.run();
-        // An error shows at the receiver as a closed channel.
+        // On an error, the receiver sees a closed channel.
         let _ = running.handle().map(|handle| sender.send(handle));
         if let Err(error) = running.wait() {
             warn!(error = error.to_string().as_str(); "a listener ended with an error");
@@ -105,7 +105,7 @@
     Ok(Listener { stop: Box::new(move || handle.stop(true)), thread })
 }
 
-/// A socket that listens at `address`.
+/// Opens a socket that listens at `address`.
 ///
 /// # Errors
 /// The address can't be bound.
@@ -113,8 +113,8 @@
     TcpListener::bind(SocketAddr::from(address))
 }
 
-/// The port that collectors read is fixed, while the deployment chooses all others, so it may be taken. Requests are served all
-/// the same.
+/// Binds the metrics port. Metrics collectors fix this port while the deployment chooses all others, so it may be
+/// in use; the daemon then serves requests without it.
 fn bind_metrics(address: Address) -> Option<TcpListener> {
     bind(address)
         .inspect_err(|error| {
@@ -126,14 +126,14 @@
 
 /// The listeners of a running daemon.
 pub struct Listeners {
-    /// Ends those of callers, and their connections.
+    /// Closes the traffic listeners and their connections.
     closing: ClosingSignal,
-    /// Those of operators and back ends, which stay open until the process ends.
+    /// The admin and registry listeners, which stay open until the process ends.
     _control: Vec<Listener>,
 }
 
 impl Listeners {
-    /// Binds and starts all listeners that the settings name; requests are served on this runtime.
+    /// Binds and starts all configured listeners. Callers' requests are served on the current runtime.
     ///
     /// # Errors
     /// An address can't be bound.
@@ -165,12 +165,13 @@
         Ok(Self { closing, _control: control })
     }
 
-    /// Refuses callers' new connections from now on, and ends open ones: idle ones at once, others when they have written what is due.
+    /// Stops accepting callers' connections and closes the open ones: idle connections immediately, others when
+    /// their answers are written.
     pub fn close(&self) {
         self.closing.send_replace(true);
     }
 
-    /// Waits until all connections of callers have ended.
+    /// Waits until all connections of callers are closed.
     pub async fn until_closed(&self) {
         self.closing.closed().await;
     }
--- a/crates/seamhatchd/src/listeners/proxy.rs
+++ b/crates/seamhatchd/src/listeners/proxy.rs
@@ -1,8 +1,8 @@
-//! One request at a listener: filters, the tenant's quota, dispatch, and the response.
+//! Processes one request at a traffic listener: filters, the tenant's quota, dispatch, and the response.
 //!
-//! The way of a request from its socket to a back end begins with [`RequestHandler::handle`]: the filter chain decides what it
-//! is and may do, `dispatch` sends it, `responses` builds what its caller gets. Quotas are charged here and not in a filter, as
-//! asking for tokens may wait for another daemon and filters don't wait.
+//! [`RequestHandler::handle`] is the entry point. The filter chain classifies and checks the request, `dispatch`
+//! sends it to a back end, and `responses` builds the response. Quotas are charged here and not in a filter,
+//! because fetching tokens may wait for another daemon and filters don't wait.
 
 use crate::base::clock;
 use crate::conventions::headers;
@@ -10,7 +10,7 @@
 use crate::filters::{self, Entry, FilterChain, Rejection, RequestState};
 use crate::intake::{AcceptedRequest, RequestEntry, RequestStage};
 use crate::listeners::body::{self, CallerBody};
-use crate::listeners::connection::{ConnectionRequests, WatchedBody};
+use crate::listeners::connection::{ConnectionRequests, TrackedBody};
 use crate::listeners::pipelined::PipelinedRequest;
 use crate::shared::Shared;
 use bytes::Bytes;
@@ -26,10 +26,10 @@
 use std::time::Duration;
 use tokio::task::JoinError;
 
-/// Pause between two checks of what a starting daemon knows.
+/// Interval between two checks whether a starting daemon can route requests.
 const START_POLL: Duration = Duration::from_millis(5);
 
-/// Answers the requests of one listener.
+/// Handles the requests of one listener.
 pub struct RequestHandler {
     pub(super) shared: Arc<Shared>,
     entry: Entry,
@@ -37,89 +37,92 @@
 }
 
 impl RequestHandler {
-    /// For requests from outside.
+    /// A handler for requests from outside.
     pub fn ingress(shared: Arc<Shared>) -> Self {
         Self { shared, entry: Entry::Ingress, chain: filters::ingress_chain() }
     }
 
-    /// For calls of the back end beside this daemon.
+    /// A handler for calls of the back end beside this daemon.
     pub fn egress(shared: Arc<Shared>) -> Self {
         Self { shared, entry: Entry::Egress, chain: filters::egress_chain() }
     }
 
-    /// For both, at one listener.
+    /// A handler for both at one listener.
     pub fn shared(shared: Arc<Shared>) -> Self {
         Self { shared, entry: Entry::Shared, chain: filters::shared_chain() }
     }
 
-    /// Bounds on what callers may send and how long they may take, by the configuration in force.
+    /// The limits on the size and duration of callers' requests in the configuration in force.
     pub fn limits(&self) -> LimitSettings {
         let snapshot = self.shared.snapshot();
-        // Without a configuration every request is rejected; the defaults bound its connection.
+        // Without a configuration, every request is rejected; the defaults limit its connection.
         snapshot.configuration().map(|configuration| *configuration.limits()).unwrap_or_default()
     }
 
-    /// Waits until there is a configuration and a server for each of its services, or for `patience`.
-    pub async fn until_decidable(&self, patience: Duration) {
-        let end = tokio::time::Instant::now() + patience;
+    /// Waits until there is a configuration and a server for each of its services, at most for `longest`.
+    pub async fn until_can_route(&self, longest: Duration) {
+        let end = tokio::time::Instant::now() + longest;
         while !self.shared.snapshot().is_decidable() && tokio::time::Instant::now() < end {
             tokio::time::sleep(START_POLL).await;
         }
     }
 
-    /// Answers one request, or refuses it where nothing is taken any more. `ahead` is what was done for it before the library has read it.
-    /// Dropping the future cancels the request, unless its answer is recorded for repeats.
+    /// Answers one request, or refuses it if the intake is closed. `pipelined` is the request if it was accepted
+    /// before the library read it. Dropping the future cancels the request, unless its answer is recorded for
+    /// repeats.
     pub async fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
-        ahead: Option<PipelinedRequest>,
+        pipelined: Option<PipelinedRequest>,
         connection: Arc<ConnectionRequests>,
-    ) -> Result<Response<WatchedBody>, Infallible> {
-        let mut response = match ahead {
-            Some(ahead) => self.clone().answer_ahead(ahead, &connection).await,
+    ) -> Result<Response<TrackedBody>, Infallible> {
+        let mut response = match pipelined {
+            Some(pipelined) => self.clone().answer_pipelined(pipelined, &connection).await,
             None => self.clone().answer_read(request, &connection).await,
         };
-        // Read before the connection is asked: nothing is started ahead while the daemon drains.
+        // The drain state is read first: once the daemon drains, no pipelined request is started any more.
         if self.shared.is_draining() && connection.try_close_after_this() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        Ok(response.map(|body| WatchedBody::new(body, connection)))
+        Ok(response.map(|body| TrackedBody::new(body, connection)))
     }
 
-    /// Answers a request that the library has read.
+    /// Answers a request that was not accepted before the library read it.
     async fn answer_read(
         self: Arc<Self>,
         request: Request<Incoming>,
         connection: &ConnectionRequests,
     ) -> Response<CallerBody> {
-        let taken = self.shared.intake.accept(RequestEntry::Listener);
+        let accepted = self.shared.intake.accept(RequestEntry::Listener);
         let (parts, body) = request.into_parts();
         let mut request = self.request_state(&parts);
-        let Ok(taken) = taken else { return self.reject(&request, &filters::stopping_rejection(&request)) };
-        connection.hold(taken.clone());
-        request.progress = taken.progress().clone();
+        let Ok(accepted) = accepted else {
+            return self.reject(&request, &filters::stopping_rejection(&request));
+        };
+        connection.hold(accepted.clone());
+        request.progress = accepted.progress().clone();
         request.progress.set_name(request.log_name());
         if let Err(rejection) = filters::run_chain(&self.chain, &self.shared, &mut request) {
-            // It runs nowhere, so others may run before its answer is written.
+            // A rejected request has no effect, so later requests may run before its answer is written.
             connection.note_repeatable(true);
             return self.reject(&request, &rejection);
         }
         connection.note_repeatable(request.repeatable && request.claim_text.is_none());
-        self.answer_filtered(Arc::new(request), Some(body), taken).await
+        self.answer_filtered(Arc::new(request), Some(body), accepted).await
     }
 
-    /// Answers a request that has passed the filters; at the end of the process it is given up.
+    /// Answers a request that has passed the filters. If the process is about to end, the request is cut off.
     pub(super) async fn answer_filtered(
         self: Arc<Self>,
         request: Arc<RequestState>,
         body: Option<Incoming>,
-        taken: AcceptedRequest,
+        accepted: AcceptedRequest,
     ) -> Response<CallerBody> {
         let answering = async {
             if request.claim_text.is_some() {
-                self.clone().answer_detached(request.clone(), body, taken).await
+                self.clone().answer_detached(request.clone(), body, accepted).await
             } else {
-                self.answer(&request, body, taken).await
+                self.answer(&request, body, accepted).await
             }
         };
         tokio::select! {
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Reads the head of a request by the conventions.
+    /// Builds the state of a request from its head, according to the HTTP conventions.
     pub(super) fn request_state(&self, parts: &Parts) -> RequestState {
         let conventions = &self.shared.conventions;
         let path = parts.uri.path_and_query().map_or("/", |path| path.as_str()).to_owned();
@@ -143,25 +146,26 @@
         state
     }
 
-    /// Answers a request on a task of its own, so that its answer is recorded for repeats even if its caller leaves.
+    /// Answers a request on a separate task, so that its answer is recorded for repeats even if the caller
+    /// disconnects.
     async fn answer_detached(
         self: Arc<Self>,
         request: Arc<RequestState>,
         body: Option<Incoming>,
-        taken: AcceptedRequest,
+        accepted: AcceptedRequest,
     ) -> Response<CallerBody> {
         let root = request.root;
         let handler = self.clone();
-        let answering = tokio::spawn(async move { handler.answer(&request, body, taken).await });
+        let answering = tokio::spawn(async move { handler.answer(&request, body, accepted).await });
         answering.await.unwrap_or_else(|error| failed_task(root, &error))
     }
 
-    /// Charges a request to its tenant and answers it; gives back the charge of one that was not run.
+    /// Charges a request to its tenant's quota and answers it. The charge is refunded if the request has not run.
     async fn answer(
         &self,
         request: &RequestState,
         body: Option<Incoming>,
-        taken: AcceptedRequest,
+        accepted: AcceptedRequest,
     ) -> Response<CallerBody> {
         let permit = match self.shared.quota_context().admit(request.tenant.as_ref()).await {
             Ok(permit) => permit,
@@ -180,9 +184,9 @@
         match result {
             CallResult::Answered(answer) => {
                 self.learn_answer_time(request, &answer);
-                self.pass(request, *answer, taken)
+                self.forward(request, *answer, accepted)
             }
-            CallResult::Recorded(recorded) => self.repeat(request, recorded),
+            CallResult::Recorded(recorded) => self.replay(request, recorded),
             CallResult::Rejected(rejection) => {
                 if rejection.outcome == Outcome::NotRun {
                     permit.into_iter().for_each(|permit| permit.refund(&self.shared.limits.quota));
@@ -192,7 +196,7 @@
         }
     }
 
-    /// Records the lowest admission floor that a request's chain met.
+    /// Records the lowest admission floor that the request's chain of calls met.
     fn learn_floor(&self, request: &RequestState) {
         let Some(parent) = &request.parent else { return };
         if request.entry != Entry::Egress && parent.depth == 0 {
@@ -200,10 +204,10 @@
         }
     }
 
-    /// Records how long a successful request took.
+    /// Records the duration of a successful request.
     fn learn_answer_time(&self, request: &RequestState, answer: &Answer) {
-        let is_good = StatusCode::from_u16(answer.head.status).is_ok_and(|status| status.is_success());
-        if !is_good {
+        let is_success = StatusCode::from_u16(answer.head.status).is_ok_and(|status| status.is_success());
+        if !is_success {
             return;
         }
         let took = clock::now().since(request.arrived);
@@ -216,7 +220,7 @@
     }
 }
 
-/// The answer to a request whose task has failed.
+/// The response to a request whose task has panicked or was aborted.
 pub(super) fn failed_task(root: RootId, error: &JoinError) -> Response<CallerBody> {
     log::error!(root = root.to_string().as_str(), error = error.to_string().as_str(); "a request's task failed");
     let mut response = Response::new(body::whole(Bytes::new()));
@@ -224,9 +228,9 @@
     response
 }
 
-/// What the caller of a request is told that the end of the process cuts off.
+/// The rejection of a request that is cut off by the end of the process.
 fn cut_off(request: &RequestState) -> Rejection {
-    // One with a key goes on in a task of its own and may still be sent.
+    // A request with a key continues on its own task and may still be sent.
     if request.progress.stage() == RequestStage::Waiting && request.claim_text.is_none() {
         return filters::stopping_rejection(request);
     }
@@ -234,7 +238,8 @@
     Rejection::unknown(Reason::PeerLost, detail)
 }
 
-/// The host that a request is for. One in the target itself goes before the field (RFC 9112, section 3.2.2).
+/// The host of a request. A host in the request target takes precedence over the `Host` field
+/// (RFC 9112, section 3.2.2).
 fn host_of(parts: &Parts) -> Option<String> {
     let field = || parts.headers.get(HOST).and_then(|value| value.to_str().ok());
     parts.uri.host().or_else(field).map(host_name)
--- a/crates/seamhatchd/src/listeners/read_ahead.rs
+++ b/crates/seamhatchd/src/listeners/read_ahead.rs
@@ -1,8 +1,10 @@
-//! The stream of a caller's connection as the HTTP library sees it: the bytes of one request at a time.
+//! Wraps the stream of a caller's connection, and gives the HTTP library the bytes of one request at a time.
 //!
-//! While an answer is in progress and its buffer is empty, the library goes on reading to notice the end of the connection. The stream uses these reads to
-//! read ahead into a buffer of its own, has requests there started, and reports the end at once, upon which the library drops the request in progress. What
-//! may be read when is decided by [`seamhatch_core::pipeline`]. A connection on which nothing is sent ahead has no buffer.
+//! While an answer is in progress and the library's buffer is empty, the library keeps reading to detect the end
+//! of the connection. The stream uses these reads to read ahead into its own buffer and to start the requests
+//! there. It reports the end of the connection immediately, so that the library drops the request in progress.
+//! [`seamhatch_core::pipeline`] decides what may be read when. The buffer is only allocated if the caller
+//! pipelines requests.
 
 use super::connection::ConnectionRequests;
 use super::head::{self, HeadEnd, PipelinedHead};
@@ -20,32 +22,32 @@
 use tokio::net::TcpStream;
 use tokio::time::Sleep;
 
-/// Bytes of a connection that are read ahead, at most.
-const MOST_BYTES: usize = 64 * 1024;
-/// Time between two looks for the end of a connection of which as much as allowed was read ahead, as no read shows it then. Requests are to be
-/// cancelled within 0.5 s of the end.
-const END_LOOK: Duration = Duration::from_millis(100);
+/// Maximum number of bytes that are read ahead on a connection.
+const MAX_READ_AHEAD: usize = 64 * 1024;
+/// Interval between two checks whether the caller has closed the connection, while the read-ahead buffer is full
+/// and no read would show it. Requests must be cancelled within 0.5 s of the close.
+const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A caller's stream that reads ahead and reports its flushes.
-pub struct WatchedStream {
+/// A caller's stream that reads ahead and reports flushes to its [`ConnectionRequests`].
+pub struct ReadAheadStream {
     stream: TcpStream,
     connection: Arc<ConnectionRequests>,
     handler: Arc<RequestHandler>,
-    /// What was read ahead.
+    /// Bytes that were read ahead.
     ahead: BytesMut,
-    /// Bytes at its start that belong to requests that were started.
+    /// Number of bytes at the start of `ahead` that belong to started requests.
     started: usize,
-    /// Bytes behind those that hold no whole head.
-    seen: usize,
-    /// What follows those that were started is not to be started before the library has read it.
-    unsuited: bool,
-    /// Bytes of the head in hand that the library has not been given.
+    /// Number of bytes after those that were searched and contain no complete head.
+    searched: usize,
+    /// The request after those that were started must wait until the library has read it.
+    is_next_ineligible: bool,
+    /// Number of bytes of the current head that the library has not been given.
     head_left: usize,
-    end_look: Option<Pin<Box<Sleep>>>,
+    close_check: Option<Pin<Box<Sleep>>>,
 }
 
-impl WatchedStream {
-    /// The stream of this connection, whose requests `handler` starts ahead.
+impl ReadAheadStream {
+    /// Wraps the stream of `connection`, whose pipelined requests `handler` starts.
     pub fn new(stream: TcpStream, connection: Arc<ConnectionRequests>, handler: Arc<RequestHandler>) -> Self {
         Self {
             stream,
@@ -53,28 +55,28 @@
             handler,
             ahead: BytesMut::new(),
             started: 0,
-            seen: 0,
-            unsuited: false,
+            searched: 0,
+            is_next_ineligible: false,
             head_left: 0,
-            end_look: None,
+            close_check: None,
         }
     }
 
-    /// Gives the library at most `most` of the bytes that were read ahead; returns how many.
+    /// Gives the library at most `most` of the bytes that were read ahead, and returns how many.
     fn give(&mut self, buffer: &mut ReadBuf<'_>, most: usize) -> usize {
         let given = most.min(self.ahead.len()).min(buffer.remaining());
         buffer.put_slice(&self.ahead[..given]);
         self.ahead.advance(given);
         self.started = self.started.saturating_sub(given);
-        (self.seen, self.unsuited) = (0, false);
+        (self.searched, self.is_next_ineligible) = (0, false);
         if self.ahead.is_empty() {
-            // Returns the memory.
+            // Frees the memory.
             self.ahead = BytesMut::new();
         }
         given
     }
 
-    /// Reads at most `most` bytes for the library.
+    /// Reads at most `most` bytes directly into the library's buffer.
     fn poll_direct(
         &mut self,
         context: &mut Context<'_>,
@@ -97,9 +99,13 @@
         Poll::Ready(Ok(count))
     }
 
-    /// Reads ahead, with the library's buffer for the bytes on their way.
-    fn poll_more(&mut self, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<usize>> {
-        let mut part = buffer.take(MOST_BYTES - self.ahead.len());
+    /// Reads ahead, with the spare capacity of the library's buffer as scratch space.
+    fn poll_read_ahead(
+        &mut self,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<usize>> {
+        let mut part = buffer.take(MAX_READ_AHEAD - self.ahead.len());
         let read = ready!(Pin::new(&mut self.stream).poll_read(context, &mut part));
         let bytes = part.filled();
         self.ahead.extend_from_slice(bytes);
@@ -111,11 +117,12 @@
 
     fn note_end(&self, read: &io::Result<()>, count: usize) {
         if count == 0 || read.is_err() {
-            self.connection.note_left();
+            self.connection.note_disconnected();
         }
     }
 
-    /// Gives the library the next head, or all that there is where that is none.
+    /// Gives the library the next head. If the bytes there are no head that can be delimited, turns off pipelining
+    /// and gives the library all of them.
     fn poll_head(&mut self, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         if self.ahead.is_empty() {
             let count = ready!(self.poll_direct(context, buffer, usize::MAX))?;
@@ -134,7 +141,7 @@
         loop {
             let end = match self.connection.next_head_bytes() {
                 Some(length) => HeadEnd::At(length),
-                None if head::may_contain_head_end(&self.ahead, self.seen) => head::head_end(&self.ahead),
+                None if head::may_contain_head_end(&self.ahead, self.searched) => head::head_end(&self.ahead),
                 None => HeadEnd::Incomplete,
             };
             match end {
@@ -143,29 +150,29 @@
                     self.head_left = length - self.give(buffer, length);
                     return Poll::Ready(Ok(()));
                 }
-                HeadEnd::Incomplete if self.ahead.len() < MOST_BYTES => {
-                    self.seen = self.ahead.len();
-                    if ready!(self.poll_more(context, buffer))? > 0 {
+                HeadEnd::Incomplete if self.ahead.len() < MAX_READ_AHEAD => {
+                    self.searched = self.ahead.len();
+                    if ready!(self.poll_read_ahead(context, buffer))? > 0 {
                         continue;
                     }
                 }
                 HeadEnd::Incomplete | HeadEnd::Malformed => {}
             }
-            self.connection.give_up();
+            self.connection.pass_through();
             self.give(buffer, usize::MAX);
             return Poll::Ready(Ok(()));
         }
     }
 
-    /// Reads ahead while the library waits for the end of the answer in progress; ready only at the end of the connection.
-    fn poll_ahead(&mut self, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    /// Reads ahead while an answer is in progress. Ready only when the connection ends.
+    fn poll_wait(&mut self, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         loop {
-            self.start_ahead();
-            if self.ahead.len() >= MOST_BYTES {
-                ready!(self.poll_end(context));
+            self.start_pipelined();
+            if self.ahead.len() >= MAX_READ_AHEAD {
+                ready!(self.poll_closed(context));
                 return Poll::Ready(Ok(()));
             }
-            match self.poll_more(context, buffer) {
+            match self.poll_read_ahead(context, buffer) {
                 Poll::Ready(Ok(0)) => return Poll::Ready(Ok(())),
                 Poll::Ready(Ok(_)) => {}
                 Poll::Ready(Err(error)) => return Poll::Ready(Err(error)),
@@ -178,49 +185,50 @@
         Poll::Pending
     }
 
-    /// Starts what was read ahead and may be.
-    fn start_ahead(&mut self) {
-        while !self.unsuited && self.connection.may_start() {
+    /// Starts the requests that were read ahead, as far as they may be started.
+    fn start_pipelined(&mut self) {
+        while !self.is_next_ineligible && self.connection.may_start() {
             let rest = &self.ahead[self.started..];
-            if !head::may_contain_head_end(rest, self.seen) {
+            if !head::may_contain_head_end(rest, self.searched) {
                 return;
             }
             match head::parse_pipelined(rest) {
                 PipelinedHead::Incomplete => {
-                    self.seen = rest.len();
+                    self.searched = rest.len();
                     return;
                 }
-                PipelinedHead::Ineligible => self.unsuited = true,
+                PipelinedHead::Ineligible => self.is_next_ineligible = true,
                 PipelinedHead::Eligible(request) => {
                     let length = request.length;
-                    let Some(request) = self.handler.start_ahead(*request) else { return };
+                    let Some(request) = self.handler.start_pipelined(*request) else { return };
                     self.connection.start(request);
                     self.started += length;
-                    self.seen = 0;
+                    self.searched = 0;
                 }
             }
         }
     }
 
-    /// Ready when the caller has closed the connection, though not all that it has sent was read.
-    fn poll_end(&mut self, context: &mut Context<'_>) -> Poll<()> {
+    /// Ready when the caller has closed the connection, even if not all bytes that it sent have been read.
+    fn poll_closed(&mut self, context: &mut Context<'_>) -> Poll<()> {
         self.connection.wake_when_released(context);
         loop {
             let interest = Interest::READABLE | Interest::ERROR;
             let ready = self.stream.ready(interest).now_or_never();
             if ready.is_some_and(|ready| ready.is_ok_and(|ready| ready.is_read_closed() || ready.is_error()))
             {
-                self.connection.note_left();
+                self.connection.note_disconnected();
                 return Poll::Ready(());
             }
-            let look = self.end_look.get_or_insert_with(|| Box::pin(tokio::time::sleep(END_LOOK)));
-            ready!(look.as_mut().poll(context));
-            self.end_look = None;
+            let check =
+                self.close_check.get_or_insert_with(|| Box::pin(tokio::time::sleep(CLOSE_CHECK_INTERVAL)));
+            ready!(check.as_mut().poll(context));
+            self.close_check = None;
         }
     }
 }
 
-impl AsyncRead for WatchedStream {
+impl AsyncRead for ReadAheadStream {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -228,14 +236,14 @@
     ) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         loop {
-            match this.connection.turn() {
+            match this.connection.next_input() {
                 NextInput::NextHead => return this.poll_head(context, buffer),
                 NextInput::RestOfHead if this.head_left > 0 => {
                     this.head_left -= this.give(buffer, this.head_left);
                     return Poll::Ready(Ok(()));
                 }
-                // The library wants more where the reader found a whole head.
-                NextInput::RestOfHead => this.connection.give_up(),
+                // The library asks for more bytes although the head is complete, so the two parsers disagree.
+                NextInput::RestOfHead => this.connection.pass_through(),
                 NextInput::Body(left) => {
                     let left = usize::try_from(left).unwrap_or(usize::MAX);
                     let count = if this.ahead.is_empty() {
@@ -246,7 +254,7 @@
                     this.connection.give_body(count as u64);
                     return Poll::Ready(Ok(()));
                 }
-                NextInput::Wait => return this.poll_ahead(context, buffer),
+                NextInput::Wait => return this.poll_wait(context, buffer),
                 NextInput::PassThrough if this.ahead.is_empty() => {
                     return this.poll_direct(context, buffer, usize::MAX).map_ok(|_| ());
                 }
@@ -259,7 +267,7 @@
     }
 }
 
-impl AsyncWrite for WatchedStream {
+impl AsyncWrite for ReadAheadStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -284,7 +292,7 @@
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         ready!(Pin::new(&mut self.stream).poll_flush(context))?;
-        self.connection.flushed();
+        self.connection.note_flushed();
         Poll::Ready(Ok(()))
     }
 
@@ -293,10 +301,10 @@
     }
 }
 
-impl WatchedStream {
+impl ReadAheadStream {
     fn note_write(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if matches!(written, Poll::Ready(Err(_))) {
-            self.connection.note_left();
+            self.connection.note_disconnected();
         }
         written
     }
--- a/crates/seamhatchd/src/listeners/registry.rs
+++ b/crates/seamhatchd/src/listeners/registry.rs
@@ -1,12 +1,12 @@
-//! The listener at which the back end beside the daemon registers: its heartbeats, and its goodbye.
+//! The registry listener, at which the back end beside the daemon sends heartbeats and deregisters.
 //!
-//! Decodes and checks them, and passes them to the control thread, which decides and answers. Paths and JSON keys are part of the back ends'
-//! interface.
+//! Decodes and validates these messages and passes them to the control thread, which handles them. Paths and JSON
+//! keys are part of the back ends' interface.
 
 use crate::base::metrics::BadInput;
 use crate::control::InstanceAnswer;
 use crate::intake::RequestEntry;
-use crate::listeners::json_http::{json, read_json, typed};
+use crate::listeners::json_http::{json, read_json, with_media_type};
 use crate::shared::Shared;
 use http::{Method, StatusCode};
 use log::warn;
@@ -19,18 +19,18 @@
 use xitca_web::body::RequestBody;
 use xitca_web::http::WebResponse;
 
-/// Path below which each instance has its record.
+/// Path prefix of the instances' resources.
 const INSTANCES: &str = "/v1/instances/";
-/// Largest heartbeat, in bytes.
+/// Maximum size of a heartbeat, in bytes.
 const LARGEST_HEARTBEAT: usize = 16 * 1024;
-/// Longest name of an instance, in bytes.
+/// Maximum length of an instance's name, in bytes.
 const LONGEST_NAME: usize = 200;
-/// Longest time for which an instance may report to be cold, in milliseconds.
+/// Maximum warm-up time that an instance may report, in milliseconds.
 const LONGEST_COLD_MS: f64 = 600_000.0;
-/// Most slots that an instance may report.
+/// Maximum number of slots that an instance may report.
 const MOST_SLOTS: u32 = 100_000;
 
-/// A heartbeat as sent. Unknown fields are ignored, so that back ends may report more.
+/// The body of a heartbeat. Unknown fields are ignored, so that back ends may report more.
 #[derive(Debug, Deserialize)]
 struct HeartbeatBody {
     service: String,
@@ -39,13 +39,13 @@
     #[serde(default)]
     cold_for_ms: f64,
     sequence: u64,
-    /// When this instance started, in milliseconds since the Unix epoch.
+    /// Start time of the instance, in milliseconds since the Unix epoch.
     born: Option<u64>,
 }
 
-/// A goodbye as sent; its body may be empty.
+/// The body of a deregistration; it may be empty.
 #[derive(Debug, Default, Deserialize)]
-struct GoodbyeBody {
+struct DeregistrationBody {
     born: Option<u64>,
 }
 
@@ -62,7 +62,7 @@
     detail: &'a str,
 }
 
-/// Answers one message of a back end.
+/// Handles one message of a back end.
 pub async fn handle(mut context: WebContext<'_, Arc<Shared>>) -> Result<WebResponse, Infallible> {
     let shared = context.state().clone();
     let (parts, extension) = context.take_request().into_parts();
@@ -72,16 +72,16 @@
         return Ok(problem(StatusCode::NOT_FOUND, "not-found", "instances are at /v1/instances/NAME"));
     };
     let instance = InstanceId::named(name);
-    let Ok(taken) = shared.intake.accept(RequestEntry::Registry) else {
+    let Ok(accepted) = shared.intake.accept(RequestEntry::Registry) else {
         let detail = "this daemon ends; tell another one";
         return Ok(problem(StatusCode::SERVICE_UNAVAILABLE, "ending", detail));
     };
-    taken.progress().set_name(instance.name.clone());
+    accepted.progress().set_name(instance.name.clone());
     let response = match parts.method {
         Method::PUT => heartbeat(&shared, instance, body).await,
         Method::DELETE => {
-            // A body that can't be read says as little as none: the name is in the path.
-            let GoodbyeBody { born } = read_json(body, LARGEST_HEARTBEAT).await.unwrap_or_default();
+            // An unreadable body is treated as empty, since the path names the instance.
+            let DeregistrationBody { born } = read_json(body, LARGEST_HEARTBEAT).await.unwrap_or_default();
             answer(shared.control.instance_departs(InstanceId { born, ..instance }).await)
         }
         _ => {
@@ -98,10 +98,10 @@
 async fn heartbeat(shared: &Shared, instance: InstanceId, body: RequestBody) -> WebResponse {
     let sent: HeartbeatBody = match read_json(body, LARGEST_HEARTBEAT).await {
         Ok(sent) => sent,
-        Err(unusable) => {
+        Err(invalid) => {
             shared.metrics.bad_input(BadInput::Heartbeat);
-            warn!(instance = instance.name.as_str(), detail = unusable.detail.as_str(); "a heartbeat can't be read and is passed over");
-            return problem(unusable.status, "bad-heartbeat", &unusable.detail);
+            warn!(instance = instance.name.as_str(), detail = invalid.detail.as_str(); "a back end's heartbeat can't be read and is rejected");
+            return problem(invalid.status, "bad-heartbeat", &invalid.detail);
         }
     };
     if sent.service != shared.settings.service {
@@ -128,7 +128,7 @@
 
 fn answer(answer: InstanceAnswer) -> WebResponse {
     match answer {
-        InstanceAnswer::Acknowledged => typed(StatusCode::OK, "application/json", b"{}".to_vec()),
+        InstanceAnswer::Acknowledged => with_media_type(StatusCode::OK, "application/json", b"{}".to_vec()),
         InstanceAnswer::NotRemembered => problem(
             StatusCode::SERVICE_UNAVAILABLE,
             "not-remembered",
--- a/crates/seamhatchd/src/listeners/responses.rs
+++ b/crates/seamhatchd/src/listeners/responses.rs
@@ -1,7 +1,7 @@
-//! The responses to callers: a back end's answer, the recorded answer of an earlier attempt, or a rejection.
+//! Builds responses to callers: a back end's answer, the recorded answer of an earlier attempt, or a rejection.
 //!
-//! Each ended request is counted and logged here, once. Header fields that say what became of the request are the
-//! conventions'.
+//! Answered and rejected requests are counted and logged here, each once. The header fields that state the outcome
+//! are defined by the HTTP conventions.
 
 use super::body::{self, CallerBody};
 use super::proxy::RequestHandler;
@@ -21,12 +21,12 @@
 use seamhatch_wire::{HeaderField, RecordedAnswer};
 
 impl RequestHandler {
-    /// The answer of a back end, whose body is still on its way.
-    pub(super) fn pass(
+    /// Forwards the answer of a back end, whose body is still being received.
+    pub(super) fn forward(
         &self,
         request: &RequestState,
         answer: Answer,
-        taken: AcceptedRequest,
+        accepted: AcceptedRequest,
     ) -> Response<CallerBody> {
         request.progress.set_stage(RequestStage::Answering(answer.server));
         let took = clock::now().since(request.arrived);
@@ -44,15 +44,15 @@
         );
         let (status, fields) = (answer.head.status, answer.head.headers.clone());
         let body = if request.claim_text.is_some() {
-            body::recorded(answer, taken)
+            body::recorded(answer, accepted)
         } else {
-            body::streamed(answer, taken)
+            body::streamed(answer, accepted)
         };
         self.response(request, status, &fields, Outcome::Answered, body)
     }
 
-    /// The recorded answer of an earlier attempt with the same key.
-    pub(super) fn repeat(&self, request: &RequestState, recorded: RecordedAnswer) -> Response<CallerBody> {
+    /// Replays the recorded answer of an earlier attempt with the same key.
+    pub(super) fn replay(&self, request: &RequestState, recorded: RecordedAnswer) -> Response<CallerBody> {
         let body = body::whole(Bytes::from(recorded.body));
         self.response(request, recorded.status, &recorded.headers, Outcome::Duplicate, body)
     }
@@ -77,7 +77,7 @@
         response
     }
 
-    /// The daemon's own answer to a request that no back end answers.
+    /// Builds the daemon's own answer to a request that no back end answers.
     pub(super) fn reject(&self, request: &RequestState, rejection: &Rejection) -> Response<CallerBody> {
         request.progress.set_stage(RequestStage::Refused);
         let took = clock::now().since(request.arrived);
