--- a/crates/seamhatchd/src/intake/mod.rs
+++ b/crates/seamhatchd/src/intake/mod.rs
@@ -1,9 +1,11 @@
-//! The requests that this process has taken and not yet ended, whoever sent them. Nothing is taken past it.
+//! The table of all requests in progress in this process. Every request must be accepted here before it is
+//! processed.
 //!
-//! [`RequestIntake`] owns the table and, under the same lock, the [`IntakeGate`] that decides whether anything more is taken. A request is entered when
-//! its head has been read, by whoever reads it: the listeners, and the sessions of other daemons. It leaves once its answer has been written to its
-//! connection, or nobody waits for one any more. The stop sequence closes the intake when the table is empty; when the time is up before, it names
-//! what it cuts off by it.
+//! [`RequestIntake`] owns the table and, under the same lock, the [`IntakeGate`] that decides whether further
+//! requests are accepted. The listeners and the sessions of other daemons enter a request when they have read its
+//! head. A request leaves the table when its answer has been written to its connection, or when its caller no
+//! longer waits for it. The stop sequence closes the intake when the table is empty. If the grace period runs out
+//! first, the stop sequence uses the table to log the requests that it cuts off.
 
 mod progress;
 
@@ -15,11 +17,11 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::watch;
 
-/// The requests in progress.
+/// Accepts requests and tracks them until they end.
 #[derive(Debug)]
 pub struct RequestIntake {
     table: Mutex<IntakeTable>,
-    /// Set when the time is up for what is in progress.
+    /// Set when the requests in progress are to be cut off.
     cut: watch::Sender<bool>,
 }
 
@@ -27,11 +29,11 @@
 struct IntakeTable {
     gate: IntakeGate,
     next: u64,
-    taken: HashMap<u64, Arc<RequestProgress>>,
+    in_progress: HashMap<u64, Arc<RequestProgress>>,
     refused: u64,
 }
 
-/// A request that was taken. It is in progress until all clones are dropped.
+/// An accepted request, which counts as in progress until all clones are dropped.
 #[derive(Debug, Clone)]
 pub struct AcceptedRequest(Arc<TableEntry>);
 
@@ -45,19 +47,19 @@
 impl Drop for TableEntry {
     fn drop(&mut self) {
         let mut table = self.intake.lock();
-        table.taken.remove(&self.number);
+        table.in_progress.remove(&self.number);
         table.gate.end();
     }
 }
 
 impl AcceptedRequest {
-    /// How far it has come.
+    /// The progress of the request.
     #[must_use]
     pub fn progress(&self) -> &Arc<RequestProgress> {
         &self.0.progress
     }
 
-    /// Whether no other part of the daemon works on it.
+    /// Whether this is the only remaining handle to the request.
     #[must_use]
     pub fn is_last_handle(&self) -> bool {
         Arc::strong_count(&self.0) == 1
@@ -71,10 +73,10 @@
 }
 
 impl RequestIntake {
-    /// Takes a request that came in at `entry`.
+    /// Accepts a request that arrived at `entry`.
     ///
     /// # Errors
-    /// [`IntakeClosed`]: the process ends, and the request has to be refused as not run.
+    /// [`IntakeClosed`] if the process is about to end; the request must be refused as not run.
     pub fn accept(self: &Arc<Self>, entry: RequestEntry) -> Result<AcceptedRequest, IntakeClosed> {
         let progress = Arc::new(RequestProgress::begin(entry));
         let mut table = self.lock();
@@ -84,29 +86,29 @@
         }
         let number = table.next;
         table.next += 1;
-        table.taken.insert(number, progress.clone());
+        table.in_progress.insert(number, progress.clone());
         drop(table);
         Ok(AcceptedRequest(Arc::new(TableEntry { intake: self.clone(), number, progress })))
     }
 
-    /// Which requests are taken.
+    /// Which requests are accepted.
     #[must_use]
     pub fn phase(&self) -> IntakePhase {
         self.lock().gate.phase()
     }
 
-    /// Takes only calls of requests in progress from now on.
+    /// From now on accepts only calls made for requests in progress.
     pub fn close_to_callers(&self) {
         self.lock().gate.close_to_callers();
     }
 
-    /// Takes nothing more if nothing is in progress; false if something is.
+    /// Closes the intake if no request is in progress. Returns whether it is closed.
     #[must_use]
     pub fn close_if_idle(&self) -> bool {
         self.lock().gate.close_if_idle()
     }
 
-    /// Takes nothing more, and has all that is in progress given up. Returns how far each request has come, the oldest first.
+    /// Closes the intake and cuts off all requests in progress. Returns their progress, oldest first.
     pub fn close_and_cut(&self) -> Vec<Arc<RequestProgress>> {
         self.lock().gate.close();
         let unfinished = self.unfinished();
@@ -114,24 +116,24 @@
         unfinished
     }
 
-    /// Waits until what is in progress has to be given up.
+    /// Waits until the requests in progress are cut off.
     pub async fn until_cut(&self) {
-        // Fails only where the intake is gone, which this reference excludes.
+        // Fails only if the sender is dropped, which `&self` rules out.
         let _ = self.cut.subscribe().wait_for(|cut| *cut).await;
     }
 
-    /// Counts a request that is refused because the daemon stops.
+    /// Counts a request that is refused because the daemon is stopping.
     pub fn note_refused(&self) {
         self.lock().refused += 1;
     }
 
-    /// Requests refused because the daemon stops.
+    /// The number of requests refused because the daemon is stopping.
     #[must_use]
     pub fn refused(&self) -> u64 {
         self.lock().refused
     }
 
-    /// Requests in progress, until they are written.
+    /// The number of requests in progress, including those whose answers are not fully written.
     #[must_use]
     pub fn count(&self) -> usize {
         self.lock().gate.in_progress()
@@ -139,9 +141,9 @@
 
     fn unfinished(&self) -> Vec<Arc<RequestProgress>> {
         let table = self.lock();
-        let mut numbers: Vec<u64> = table.taken.keys().copied().collect();
+        let mut numbers: Vec<u64> = table.in_progress.keys().copied().collect();
         numbers.sort_unstable();
-        numbers.iter().map(|number| table.taken[number].clone()).collect()
+        numbers.iter().map(|number| table.in_progress[number].clone()).collect()
     }
 
     fn lock(&self) -> MutexGuard<'_, IntakeTable> {
--- a/crates/seamhatchd/src/intake/progress.rs
+++ b/crates/seamhatchd/src/intake/progress.rs
@@ -1,4 +1,4 @@
-//! How far one request has come.
+//! The progress of one request.
 
 use crate::base::clock;
 use crate::base::lock::lock;
@@ -6,21 +6,21 @@
 use seamhatch_core::identity::Address;
 use std::sync::{Mutex, OnceLock};
 
-/// Where a request came in.
+/// Where a request entered the daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestEntry {
-    /// At a listener, from a caller or the back end beside this daemon.
+    /// A request of a caller or of the back end beside this daemon, at a traffic listener.
     Listener,
-    /// From another daemon, as a call for the back end.
+    /// A call of another daemon for the back end.
     Peer,
-    /// From an operator, as an order.
+    /// A command of an operator.
     Operator,
-    /// From the back end beside this daemon, as a heartbeat or goodbye.
+    /// A heartbeat or deregistration of the back end beside this daemon.
     Registry,
 }
 
 impl RequestEntry {
-    /// Its name in logs.
+    /// The name in logs.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -32,21 +32,21 @@
     }
 }
 
-/// How far a request has come.
+/// The stage that a request has reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestStage {
-    /// No server has been sent it.
+    /// The request has not been sent to a server.
     Waiting,
-    /// It was sent to the server beside the daemon with this peer address.
+    /// The request has been sent to the server beside the daemon with this peer address.
     Sent(Address),
-    /// That server's answer is passed on.
+    /// The answer of that server is being forwarded.
     Answering(Address),
-    /// This daemon answers it itself.
+    /// This daemon answers the request itself.
     Refused,
 }
 
 impl RequestStage {
-    /// Its name in logs.
+    /// The name in logs.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The server's daemon.
+    /// The peer address of the daemon beside the server, once the request has been sent.
     #[must_use]
     pub fn server(self) -> Option<Address> {
         match self {
@@ -67,12 +67,12 @@
     }
 }
 
-/// How far a request has come, and since when it is in progress.
+/// The progress of a request, and when it was accepted.
 #[derive(Debug)]
 pub struct RequestProgress {
-    /// Where it came in.
+    /// Where the request entered the daemon.
     pub entry: RequestEntry,
-    /// When it was taken.
+    /// When the request was accepted.
     pub since: Instant,
     name: OnceLock<String>,
     stage: Mutex<RequestStage>,
@@ -85,31 +85,31 @@
 }
 
 impl RequestProgress {
-    /// A request that was taken just now.
+    /// Starts the record of a request that is accepted now.
     #[must_use]
     pub fn begin(entry: RequestEntry) -> Self {
         Self { entry, since: clock::now(), name: OnceLock::new(), stage: Mutex::new(RequestStage::Waiting) }
     }
 
-    /// How logs name it; empty before it is known.
+    /// The request's name in logs; empty until set.
     #[must_use]
     pub fn name(&self) -> &str {
         self.name.get().map_or("", String::as_str)
     }
 
-    /// Sets how logs name it; the first name stays.
+    /// Sets the request's name in logs, unless it is already set.
     pub fn set_name(&self, name: String) {
-        // A request that is passed on again has its name already.
+        // A request that is forwarded again already has a name.
         let _ = self.name.set(name);
     }
 
-    /// How far it has come.
+    /// The stage that the request has reached.
     #[must_use]
     pub fn stage(&self) -> RequestStage {
         *lock(&self.stage)
     }
 
-    /// It has come this far.
+    /// Records the stage that the request has reached.
     pub fn set_stage(&self, stage: RequestStage) {
         *lock(&self.stage) = stage;
     }
