--- a/crates/seamhatchd/src/stop/mod.rs
+++ b/crates/seamhatchd/src/stop/mod.rs
@@ -1,13 +1,15 @@
-//! A planned stop: drains the daemon when a signal asks for it, and returns when the process may end.
+//! The planned stop: drains the daemon on a signal and returns when the process may end.
 //!
-//! 1. *Serving*: callers and other daemons learn that this daemon leaves, while it serves on, and others take over what it remembers as a witness
-//!    ([`handover`]).
-//! 2. *Calls only*: callers and other daemons' calls are refused; what was taken goes on, with the calls that it makes.
-//! 3. *Closed*, with nothing in progress: all that is read is refused, connections end once they have written, and the process ends. When the
-//!    time is up before, what is in progress is given up, counted and logged ([`report`]).
+//! 1. *Serving*: callers and other daemons learn that this daemon is draining while it still serves requests, and
+//!    other daemons take over its state as a witness ([`handover`]).
+//! 2. *Calls only*: requests of callers and calls of other daemons are refused. Accepted requests continue,
+//!    including the calls made for them.
+//! 3. *Closed*, with no request in progress: every request is refused, connections close once their answers are
+//!    written, and the process ends. If the grace period runs out first, the requests in progress are cut off,
+//!    counted and logged ([`report`]).
 //!
-//! The borders are those of [`crate::intake`]; the control thread announces the states of [`crate::lifecycle::DaemonLifecycle`]. Called by
-//! [`crate::startup`].
+//! The phases are those of [`crate::intake`]; the control thread announces the states of
+//! [`crate::lifecycle::DaemonLifecycle`]. Called by [`crate::startup`].
 
 mod handover;
 mod report;
@@ -25,36 +27,38 @@
 use std::time::Duration;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Longest time for callers and daemons to learn that this one leaves, where the daemon sees no evidence that they have.
-const LONGEST_TO_LEARN: Duration = Duration::from_millis(2300);
-/// Readiness checks in a row after which load balancers commonly take a daemon out of use. Once so many were answered with "not ready", its
-/// callers have learned that it leaves, and other daemons long before, by heartbeat.
-const NOT_READY_ANSWERS_TO_LEARN: usize = 2;
-/// Longest wait for requests in progress where the settings have no grace period.
-const LONGEST_DRAIN: Duration = Duration::from_secs(300);
-/// Pause between two checks of what is in progress.
+/// Time after which callers and other daemons are assumed to know of the drain, if too few readiness checks were
+/// answered with "not ready".
+const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(2300);
+/// Number of consecutive failed readiness checks after which load balancers commonly remove a daemon. After this
+/// many "not ready" answers, callers know of the drain; other daemons learned of it earlier, by heartbeat.
+const NOT_READY_ANSWERS_TO_DISCOVER: usize = 2;
+/// Time limit for the drain if the settings have no grace period.
+const DEFAULT_DRAIN_TIMEOUT: Duration = Duration::from_secs(300);
+/// Interval between two checks for requests in progress.
 const DRAIN_POLL: Duration = Duration::from_millis(10);
-/// The daemon stops serving once nothing was in progress for this long.
-const QUIET_TO_STOP: Duration = Duration::from_millis(100);
-/// Longest wait for the answers of other daemons to the farewell: releases before it, and frozen ones, don't answer.
-const LONGEST_TO_KNOW: Duration = Duration::from_millis(300);
-/// Longest time, once nothing is taken any more, for others to take over the answers to claimed calls.
-const LONGEST_FOR_ANSWERS: Duration = Duration::from_secs(1);
-/// Longest wait, once nothing is taken any more, for connections to end and for the other members to be told.
-const LONGEST_ENDING: Duration = Duration::from_millis(200);
+/// The daemon stops serving once no request has been in progress for this long.
+const IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(100);
+/// Time limit for other daemons to acknowledge the shutdown. Frozen daemons, and releases without this message,
+/// never do.
+const SHUTDOWN_ACK_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time limit, after the intake has closed, for handing the answers to claimed calls to other daemons.
+const ANSWER_HANDOVER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit, after the intake has closed, for closing connections and notifying the other members.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The signals that ask for a stop. They are to be received before anything listens: until then the system ends the process at once, with
-/// whatever it has accepted.
+/// The signals that request a stop. Their handlers must be installed before any listener opens: without them, a
+/// signal terminates the process immediately, together with the requests that it has accepted.
 pub struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl StopSignals {
-    /// Receives them from now on; to be called in a runtime.
+    /// Installs the signal handlers. Must be called within a Tokio runtime.
     ///
     /// # Errors
-    /// Signals can't be received.
+    /// The handlers can't be installed.
     pub fn receive() -> std::io::Result<Self> {
         Ok(Self { terminate: signal(SignalKind::terminate())?, interrupt: signal(SignalKind::interrupt())? })
     }
@@ -74,85 +78,88 @@
     let started = clock::now();
     shared.lifecycle.note_stop_request(started);
     if !shared.control.drain(DrainTarget::Own).await {
-        warn!("the control thread is held up: the drain begins without it");
+        warn!("the control thread does not respond; draining without it");
         shared.lifecycle.start_draining();
     }
     let mut report = StopReport::begin(started);
-    // A platform may repeat SIGTERM, and ends a process that takes too long with SIGKILL. Only an interrupt, as from a
-    // terminal, cuts a stop short.
+    // A platform may repeat SIGTERM, and ends a process that takes too long with SIGKILL. Only SIGINT, as from a
+    // terminal, cuts the drain short.
     tokio::select! {
-        () = drained(shared, started, &mut report) => {}
+        () = drain(shared, started, &mut report) => {}
         _ = signals.interrupt.recv() => {
             warn!("interrupted while stopping: work in progress is cut off");
             cut_off(shared, &mut report);
         }
     }
-    end_connections(shared, &listeners).await;
-    // Without a wait from here on: what is read now is refused, or not read at all.
+    close_connections(shared, &listeners).await;
+    // No await from here on: a request that is read now is refused, and any other is never read.
     report.log(shared);
 }
 
-/// Waits until nothing is in progress and nothing more is taken; what is in progress when the stop has taken too long is given up.
-async fn drained(shared: &Shared, started: Instant, report: &mut StopReport) {
-    let longest = shared.settings.grace.map_or(LONGEST_DRAIN, |grace| grace.saturating_sub(END_MARGIN));
+/// Drains the daemon and closes the intake. Requests that are still in progress when the grace period runs out are
+/// cut off.
+async fn drain(shared: &Shared, started: Instant, report: &mut StopReport) {
+    let longest =
+        shared.settings.grace.map_or(DEFAULT_DRAIN_TIMEOUT, |grace| grace.saturating_sub(END_MARGIN));
     let serving = longest.saturating_sub(ANSWER_MARGIN);
-    tokio::join!(until_quiet(shared, started, serving), until_handed_over(shared, started, serving));
+    tokio::join!(until_idle(shared, started, serving), until_handed_over(shared, started, serving));
     shared.intake.close_to_callers();
     shared.lifecycle.notify_peers();
-    report.note_border(shared.intake.count());
-    until_peers_know(shared, started, longest).await;
+    report.note_calls_only(shared.intake.count());
+    until_peers_acknowledge(shared, started, longest).await;
     while !shared.intake.close_if_idle() {
-        if passed_since(started) >= longest {
+        if elapsed_since(started) >= longest {
             return cut_off(shared, report);
         }
         tokio::time::sleep(DRAIN_POLL).await;
     }
     report.note_closed(shared, &[]);
-    let left = longest.saturating_sub(passed_since(started));
-    hand_over_answers(shared, left.min(LONGEST_FOR_ANSWERS)).await;
+    let left = longest.saturating_sub(elapsed_since(started));
+    hand_over_answers(shared, left.min(ANSWER_HANDOVER_TIMEOUT)).await;
 }
 
-/// Waits until the daemons that send calls here have heard that none are taken any more: what they sent before has come by then. At most until
-/// `longest` has passed since `started`.
-async fn until_peers_know(shared: &Shared, started: Instant, longest: Duration) {
-    let due = longest.min(passed_since(started) + LONGEST_TO_KNOW);
-    while shared.farewells.pending() > 0 && passed_since(started) < due {
+/// Waits until the daemons that send calls here have acknowledged the shutdown, by which time all calls that they
+/// sent before have arrived. Returns at the latest when `longest` has passed since `started`.
+async fn until_peers_acknowledge(shared: &Shared, started: Instant, longest: Duration) {
+    let due = longest.min(elapsed_since(started) + SHUTDOWN_ACK_TIMEOUT);
+    while shared.farewells.pending() > 0 && elapsed_since(started) < due {
         tokio::time::sleep(DRAIN_POLL).await;
     }
 }
 
-/// Waits until callers and daemons have learned that this one leaves and nothing was in progress for [`QUIET_TO_STOP`], for at most
-/// `longest` since `started`.
-async fn until_quiet(shared: &Shared, started: Instant, longest: Duration) {
-    let have_learned = || {
+/// Waits until callers and other daemons know of the drain and no request has been in progress for
+/// [`IDLE_BEFORE_CLOSE`]. Returns at the latest when `longest` has passed since `started`.
+async fn until_idle(shared: &Shared, started: Instant, longest: Duration) {
+    let is_discovered = || {
         let not_ready_answers = shared.lifecycle.not_ready_answers();
-        not_ready_answers >= NOT_READY_ANSWERS_TO_LEARN || passed_since(started) >= LONGEST_TO_LEARN
+        not_ready_answers >= NOT_READY_ANSWERS_TO_DISCOVER || elapsed_since(started) >= DISCOVERY_TIMEOUT
     };
     let mut busy_until = clock::now();
-    while passed_since(started) < longest {
+    while elapsed_since(started) < longest {
         if shared.intake.count() > 0 {
             busy_until = clock::now();
         }
-        if have_learned() && passed_since(busy_until) >= QUIET_TO_STOP {
+        if is_discovered() && elapsed_since(busy_until) >= IDLE_BEFORE_CLOSE {
             return;
         }
         tokio::time::sleep(DRAIN_POLL).await;
     }
 }
 
-/// Takes nothing more, and gives up what is in progress.
+/// Closes the intake and cuts off the requests in progress.
 fn cut_off(shared: &Shared, report: &mut StopReport) {
     let unfinished = shared.intake.close_and_cut();
     report.note_closed(shared, &unfinished);
 }
 
-/// Ends the connections of callers, each once its last answer is written, writes what is due to other daemons, and tells them that this one has left.
-async fn end_connections(shared: &Shared, listeners: &Listeners) {
+/// Closes callers' connections, each after its last answer is written, flushes the messages to other daemons, and
+/// announces to them that this daemon has left.
+async fn close_connections(shared: &Shared, listeners: &Listeners) {
     listeners.close();
-    let ending =
+    let closing =
         async { tokio::join!(listeners.until_closed(), shared.control.leave(), until_written(shared)) };
-    // What is longer in ending is ended with the process.
-    let _ = tokio::time::timeout(LONGEST_ENDING, ending).await;
+    // Connections that are still open after the time limit are closed by the end of the process.
+    let _ = tokio::time::timeout(CLOSE_TIMEOUT, closing).await;
 }
 
 /// Waits until all messages to other daemons are written.
@@ -162,6 +169,6 @@
     }
 }
 
-fn passed_since(instant: Instant) -> Duration {
+fn elapsed_since(instant: Instant) -> Duration {
     Duration::from_micros(clock::now().since(instant))
 }
--- a/crates/seamhatchd/src/stop/report.rs
+++ b/crates/seamhatchd/src/stop/report.rs
@@ -1,6 +1,6 @@
-//! What a stop says of itself: its phases, and each request that it cut off.
+//! Logs the phases of a stop and each request that it cut off.
 
-use super::passed_since;
+use super::elapsed_since;
 use crate::base::clock;
 use crate::intake::RequestProgress;
 use crate::shared::Shared;
@@ -10,35 +10,35 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How a stop went, up to now. Times are from the request to stop.
+/// The course of a stop so far. Durations are measured from the stop request.
 #[derive(Debug)]
 pub(super) struct StopReport {
     started: Instant,
-    /// When callers and other daemons' calls were shut out.
+    /// Time until callers and other daemons' calls were refused.
     served: Duration,
-    /// Requests in progress then.
-    at_border: usize,
-    /// When the intake closed.
+    /// Number of requests in progress at that time.
+    in_progress: usize,
+    /// Time until the intake closed.
     closed: Duration,
-    /// Requests cut off.
+    /// Number of requests cut off.
     cut: usize,
 }
 
 impl StopReport {
-    /// A stop that began at `started`.
+    /// Starts the report of a stop that was requested at `started`.
     pub(super) fn begin(started: Instant) -> Self {
-        Self { started, served: Duration::ZERO, at_border: 0, closed: Duration::ZERO, cut: 0 }
+        Self { started, served: Duration::ZERO, in_progress: 0, closed: Duration::ZERO, cut: 0 }
     }
 
-    /// The daemon takes only calls of requests in progress from now on.
-    pub(super) fn note_border(&mut self, in_progress: usize) {
-        self.served = passed_since(self.started);
-        self.at_border = in_progress;
+    /// Records that the daemon now accepts only calls made for requests in progress.
+    pub(super) fn note_calls_only(&mut self, in_progress: usize) {
+        self.served = elapsed_since(self.started);
+        self.in_progress = in_progress;
     }
 
-    /// The daemon takes nothing more, and gives these requests up.
+    /// Records that the intake is closed and that the `unfinished` requests are cut off.
     pub(super) fn note_closed(&mut self, shared: &Shared, unfinished: &[Arc<RequestProgress>]) {
-        self.closed = passed_since(self.started);
+        self.closed = elapsed_since(self.started);
         self.cut = unfinished.len();
         for request in unfinished {
             shared.metrics.cut_requests.inc();
@@ -46,15 +46,15 @@
         }
     }
 
-    /// Logs the phases, with what has not been written when the process ends.
+    /// Logs the phases, and how many answers are still unwritten as the process ends.
     pub(super) fn log(&self, shared: &Shared) {
         info!(
             served_ms = self.served.as_millis(),
-            in_progress = self.at_border,
+            in_progress = self.in_progress,
             closed_ms = self.closed.as_millis(),
             cut = self.cut,
             refused = shared.intake.refused(),
-            ended_ms = passed_since(self.started).as_millis(),
+            ended_ms = elapsed_since(self.started).as_millis(),
             unwritten = shared.intake.count();
             "the stop's phases"
         );
