--- a/crates/seamhatchd/src/limits/peer_notices.rs
+++ b/crates/seamhatchd/src/limits/peer_notices.rs
@@ -1,4 +1,5 @@
-//! Notices of the back ends of other daemons, as those daemons report them.
+//! Notices of the back ends of other daemons, as those daemons report them: the rate limit that a back
+//! end names in its answers, or that it leaves.
 //!
 //! A notice outlives the connection, so that it can be handed back to a restarted daemon before the
 //! first call to it. Heartbeats and answers write the notices; the handshake reads them.
