--- a/crates/seamhatch-core/src/claims.rs
+++ b/crates/seamhatch-core/src/claims.rs
@@ -1,11 +1,12 @@
-//! At most once: claims on idempotency keys, granted by a majority of witnesses.
+//! At-most-once execution: claims on idempotency keys, granted by a majority of witnesses.
 //!
-//! Decides whether a call that is not repeatable may be dispatched. Its sender first claims the call's key at the witnesses of
-//! the key's shard. The first claim wins and is remembered for [`CLAIM_RETENTION`], which is longer than any request lives.
+//! A call that is not repeatable may be dispatched only after its sender has claimed the call's key at the witnesses
+//! of the key's shard. The first claim wins and is remembered for [`CLAIM_RETENTION`], which is longer than any
+//! request lives.
 //!
-//! It protects the promise that such a call runs at most once. Claims hold no lease: a holder that is paused and wakes up
-//! later still holds its claim, and the expiry of the call stops what it sends too late. Alternatives:
-//! docs/DESIGN.md#at-most-once. The daemon's part is `seamhatchd::claims`; a model check searches it.
+//! Such a call therefore runs at most once. A claim is not a lease: a holder that is paused and wakes up later still
+//! holds its claim, and the expiry of the call stops what it sends too late. Alternatives:
+//! docs/DESIGN.md#at-most-once. The daemon uses this in `seamhatchd::claims`; a model check covers it.
 
 use crate::clock::{Instant, Microseconds, SECOND};
 use crate::identity::{Address, Fingerprint, Incarnation};
@@ -14,26 +15,26 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr};
 
-/// The longest life of a request; longer deadlines are cut to this. Chosen, not measured.
+/// Maximum lifetime of a request; longer deadlines are cut to this.
 pub const MAX_REQUEST_LIFETIME: Microseconds = 120 * SECOND;
 
-/// How long a witness remembers a claim: longer than a request lives, with room for its repeats. The factor is chosen.
+/// How long a witness remembers a claim: longer than a request lives, with room for its repeats.
 pub const CLAIM_RETENTION: Microseconds = 4 * MAX_REQUEST_LIFETIME;
 
 wire_number! {
-    /// A digest of an idempotency key.
+    /// Digest of an idempotency key.
     pub struct ClaimKey(pub u128);
 }
 
 impl ClaimKey {
-    /// The key of a text, within one service.
+    /// The key of a text within one service.
     #[must_use]
     pub fn of(service: &str, text: &str) -> Self {
         let joined = format!("{}:{service}:{text}", service.len());
         Self(xxhash_rust::xxh3::xxh3_128(joined.as_bytes()))
     }
 
-    /// The shard, out of `shards`, whose witnesses decide about this key.
+    /// The shard, out of `shards`, whose witnesses decide claims on this key.
     #[must_use]
     pub fn shard(self, shards: usize) -> usize {
         (self.0 % shards.max(1) as u128) as usize
@@ -41,7 +42,7 @@
 }
 
 wire_number! {
-    /// The roster epoch of one shard; witnesses of different epochs never grant at once.
+    /// Epoch of the witnesses of one shard. Witnesses of different epochs never grant claims at the same time.
     #[derive(Default)]
     pub struct Epoch(pub u64);
 }
@@ -54,19 +55,19 @@
     }
 }
 
-/// One attempt to run a call: the daemon that makes it, its incarnation, and a number there.
+/// One attempt to run a call, identified by the sending daemon, its incarnation and a number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct ClaimHolder {
     /// Peer address of the sending daemon.
     pub daemon: Address,
-    /// Its incarnation.
+    /// Incarnation of the sending daemon.
     pub incarnation: Incarnation,
-    /// Unique within the incarnation.
+    /// Number of the attempt, unique within the incarnation.
     pub attempt: u64,
 }
 
 impl ClaimHolder {
-    /// Stands for several attempts of which one may have won; it is never released.
+    /// Stands for several attempts, one of which may have won. Never released.
     pub const CONTESTED: Self = Self {
         daemon: Address { ip: IpAddr::V4(Ipv4Addr::UNSPECIFIED), port: 0 },
         incarnation: Incarnation(0),
@@ -77,68 +78,68 @@
 /// A granted claim as a witness remembers it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct Claim {
-    /// What is claimed.
+    /// Claimed key.
     pub key: ClaimKey,
-    /// Digest of the claimed request, to tell a repeat from a misuse of the key.
+    /// Digest of the request, which tells a repeat from a reuse of the key for another request.
     pub request: Fingerprint,
-    /// Who won it.
+    /// Attempt that holds the claim.
     pub holder: ClaimHolder,
 }
 
-/// A witness's answer to a claim.
+/// Reply of a witness to a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub enum ClaimReply {
-    /// The claim is the claimant's.
+    /// The claimant holds the claim.
     Granted,
-    /// An earlier claim stands.
+    /// Another attempt holds an earlier claim on the key.
     Held(Claim),
-    /// This process does not witness the shard in the epoch that was asked for.
+    /// The witness does not serve the shard in the epoch of the request.
     NotServing {
-        /// The highest epoch it knows of, zero for none.
+        /// Highest epoch that the witness knows of, zero for none.
         epoch: Epoch,
     },
 }
 
-/// A seal, a claim or an installation came for an epoch that this witness doesn't serve.
+/// A message refers to an epoch that the witness does not serve.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("witness serves epoch {serving:?}, not {asked:?}; read the roster again and ask its witnesses")]
 pub struct WrongEpoch {
-    /// The epoch in the message.
+    /// Epoch in the message.
     pub asked: Epoch,
-    /// The epoch served, if any.
+    /// Epoch of the witness, if any.
     pub serving: Option<Epoch>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Remembered {
+struct StoredClaim {
     claim: Claim,
     since: Instant,
 }
 
-/// A witness of one shard. It lives in memory only: a restarted process starts
-/// with [`Witness::default`], which serves no epoch and so grants nothing.
+/// A witness of one shard. Its state is in memory only: after a restart it is [`Witness::default`], which serves no
+/// epoch and grants nothing.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Witness {
     epoch: Option<Epoch>,
     sealed: bool,
     retired: bool,
-    claims: BTreeMap<ClaimKey, Remembered>,
+    claims: BTreeMap<ClaimKey, StoredClaim>,
 }
 
 impl Witness {
-    /// The epoch that was installed last, if any.
+    /// The epoch that was installed or sealed last, if any.
     #[must_use]
     pub fn epoch(&self) -> Option<Epoch> {
         self.epoch
     }
 
-    /// Whether claims of `epoch` are granted here.
+    /// Whether this witness grants claims in `epoch`.
     #[must_use]
     pub fn serves(&self, epoch: Epoch) -> bool {
         self.epoch == Some(epoch) && !self.sealed && !self.retired
     }
 
-    /// Claims that are remembered.
+    /// Number of remembered claims.
     #[must_use]
     pub fn len(&self) -> usize {
         self.claims.len()
@@ -150,7 +151,7 @@
         self.claims.is_empty()
     }
 
-    /// Decides a claim: the first one for a key wins; asking again is granted again.
+    /// Decides a claim: the first one on a key wins, and a repeat by the same holder is granted again.
     pub fn claim(&mut self, epoch: Epoch, claim: Claim, now: Instant) -> ClaimReply {
         if !self.serves(epoch) {
             return ClaimReply::NotServing { epoch: self.epoch.unwrap_or_default() };
@@ -159,25 +160,24 @@
             Some(earlier) if earlier.claim.holder != claim.holder => ClaimReply::Held(earlier.claim),
             Some(_) => ClaimReply::Granted,
             None => {
-                self.claims.insert(claim.key, Remembered { claim, since: now });
+                self.claims.insert(claim.key, StoredClaim { claim, since: now });
                 ClaimReply::Granted
             }
         }
     }
 
-    /// Drops a claim that its holder released before any dispatch.
+    /// Removes a claim that its holder releases before any dispatch.
     pub fn release(&mut self, epoch: Epoch, key: ClaimKey, holder: ClaimHolder) {
-        let held_by_asker = self.claims.get(&key).is_some_and(|earlier| earlier.claim.holder == holder);
-        if self.serves(epoch) && held_by_asker {
+        let is_holder = self.claims.get(&key).is_some_and(|earlier| earlier.claim.holder == holder);
+        if self.serves(epoch) && is_holder {
             self.claims.remove(&key);
         }
     }
 
-    /// Stops granting in `epoch` and earlier ones for ever. Returns the claims remembered.
+    /// Permanently stops granting in `epoch` and earlier ones. Returns the remembered claims.
     ///
-    /// A witness on which `epoch` was not installed yet is sealed all the same:
-    /// it will refuse the installation. One that has gone on to a later epoch
-    /// grants in `epoch` no more, and remembers what it granted there.
+    /// A witness on which `epoch` is not installed yet is sealed too, and will refuse the installation. One that has
+    /// moved on to a later epoch no longer grants in `epoch`, and remembers what it granted there.
     pub fn seal(&mut self, epoch: Epoch) -> Vec<Claim> {
         if self.epoch.is_none_or(|known| known <= epoch) {
             self.epoch = Some(epoch);
@@ -186,8 +186,8 @@
         self.remembered()
     }
 
-    /// Grants nothing more for ever, in whatever epoch, as its process is about to end. Returns the claims remembered: they are final, so that another daemon
-    /// can hold them in its place.
+    /// Permanently stops granting in any epoch, as the process is about to end. Returns the remembered claims: they
+    /// are final, so another daemon can take them over.
     pub fn retire(&mut self) -> Vec<Claim> {
         self.retired = true;
         self.remembered()
@@ -199,10 +199,10 @@
 
     /// Starts to grant in `epoch`, with the claims of earlier epochs.
     ///
-    /// A second installation of the same epoch adds claims and removes none.
+    /// Installing the same epoch again adds claims and removes none.
     ///
     /// # Errors
-    /// [`WrongEpoch`] when a later epoch, or this one's seal, came first, or the witness has retired.
+    /// [`WrongEpoch`] if a later epoch or the seal of this one came first, or if the witness is retired.
     pub fn install(&mut self, epoch: Epoch, claims: Vec<Claim>, now: Instant) -> Result<(), WrongEpoch> {
         let stale = self.epoch.is_some_and(|installed| installed > epoch);
         let sealed = self.epoch == Some(epoch) && self.sealed;
@@ -212,29 +212,29 @@
         self.epoch = Some(epoch);
         self.sealed = false;
         for claim in claims {
-            self.claims.entry(claim.key).or_insert(Remembered { claim, since: now });
+            self.claims.entry(claim.key).or_insert(StoredClaim { claim, since: now });
         }
         Ok(())
     }
 
-    /// Forgets claims older than [`CLAIM_RETENTION`].
+    /// Evicts claims older than [`CLAIM_RETENTION`].
     pub fn forget_old(&mut self, now: Instant) {
         self.claims.retain(|_, remembered| now.since(remembered.since) <= CLAIM_RETENTION);
     }
 }
 
-/// What a claimant concludes from its witnesses' replies.
+/// What a claimant concludes from the replies of the witnesses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimVerdict {
-    /// A majority granted it: the call may be dispatched.
+    /// A majority granted the claim: the call may be dispatched.
     Won,
-    /// A majority holds an earlier claim of one holder.
+    /// A majority reported an earlier claim of the same holder.
     Held(Claim),
-    /// No majority either way. Nothing was dispatched; release what was granted.
+    /// No majority either way. Nothing was dispatched; granted claims must be released.
     NoMajority,
 }
 
-/// One round of a claim at the witnesses of a shard.
+/// One round of a claim: the replies of a shard's witnesses.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimRound {
     witnesses: usize,
@@ -244,13 +244,13 @@
 }
 
 impl ClaimRound {
-    /// A round that asks this many witnesses.
+    /// Starts a round with this many witnesses.
     #[must_use]
     pub fn new(witnesses: usize) -> Self {
         Self { witnesses, granted: 0, refused: 0, held: Vec::new() }
     }
 
-    /// Records one witness's reply; `None` for an answer that will not come.
+    /// Records the reply of one witness; `None` if it will not reply.
     pub fn reply(&mut self, reply: Option<ClaimReply>) {
         match reply {
             Some(ClaimReply::Granted) => self.granted += 1,
@@ -259,7 +259,7 @@
         }
     }
 
-    /// The verdict, once the replies so far decide it.
+    /// The verdict, once the replies decide it.
     #[must_use]
     pub fn verdict(&self) -> Option<ClaimVerdict> {
         let majority = self.witnesses / 2 + 1;
--- a/crates/seamhatch-core/src/membership/dissemination.rs
+++ b/crates/seamhatch-core/src/membership/dissemination.rs
@@ -1,15 +1,16 @@
-//! What is sent at once: greetings of a starting daemon, announcements, and reports of suspects.
+//! Messages that are sent without waiting for the next probe or sync: sync requests of a starting daemon,
+//! announcements, and reports of suspects.
 
 use super::{GossipBody, MemberRecord, Membership, Outgoing, SUSPECTS_PER_MESSAGE};
 use crate::crashes::SuspectReport;
 use crate::identity::Address;
 
-/// In deployments with fewer members every suspect is reported to all. Chosen: some 50 suspects are eight datagrams to each
-/// member, and more at once would not fit into the buffer of a socket.
-const MEMBERS_TOLD_ALL: usize = 32;
+/// Deployments with fewer members than this report every suspect to all of them. 50 suspects are eight datagrams for
+/// each member; sent to more members at once, they would not fit into the buffer of a socket.
+const FULL_REPORT_LIMIT: usize = 32;
 
 impl Membership {
-    /// Offers this daemon's record and list to `targets` at once, as a starting daemon does.
+    /// Returns sync requests with this daemon's record for `targets`, which a starting daemon sends right away.
     #[must_use]
     pub fn sync_with(&self, targets: &[Address]) -> Vec<Outgoing> {
         let request = GossipBody::SyncRequest { digest: self.digest() };
@@ -17,7 +18,8 @@
         others.map(|target| (*target, self.message_with(request.clone(), vec![self.me.clone()]))).collect()
     }
 
-    /// Messages with this daemon's record for all live members, for a change that should not wait (a drain).
+    /// Returns messages with this daemon's record for all live members, for a change that must not wait to be
+    /// piggybacked, such as a drain.
     pub fn announce(&mut self) -> Vec<Outgoing> {
         let targets: Vec<Address> = self.live_addresses();
         targets
@@ -26,7 +28,7 @@
             .collect()
     }
 
-    /// Messages that report suspects to `targets`.
+    /// Returns messages that report suspects to `targets`.
     #[must_use]
     pub fn report_suspects_to(&self, targets: &[Address], reports: &[SuspectReport]) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
@@ -37,18 +39,18 @@
         outgoing
     }
 
-    /// Messages that report suspects to the members that need them.
+    /// Returns messages that report suspects to the members that need them.
     ///
-    /// A crash leaves dozens of suspects, nearly all by accident. The daemons beside the servers of the service have to know of
-    /// these, as the next crash may happen there; the other members get them too where the members are few. A suspect of two crashes is rare
-    /// and reported to all.
+    /// A crash produces dozens of suspects, nearly all of them innocent. The daemons of the same service get every
+    /// suspect, since the next crash may hit their back end; all other members get them only in small deployments. A
+    /// suspect of more than one crash is rare and is reported to every member.
     #[must_use]
     pub fn spread_suspects(&self, reports: &[SuspectReport]) -> Vec<Outgoing> {
         let all = self.live_addresses();
         let (repeated, single): (Vec<_>, Vec<_>) =
             reports.iter().cloned().partition(|report| report.record.crashes() > 1);
         let mut outgoing = self.report_suspects_to(&all, &repeated);
-        let targets = if all.len() < MEMBERS_TOLD_ALL { all } else { self.live_of_own_service() };
+        let targets = if all.len() < FULL_REPORT_LIMIT { all } else { self.live_of_own_service() };
         outgoing.extend(self.report_suspects_to(&targets, &single));
         outgoing
     }
--- a/crates/seamhatch-core/src/membership/merging.rs
+++ b/crates/seamhatch-core/src/membership/merging.rs
@@ -1,4 +1,4 @@
-//! Merging records that others send, and aging of members.
+//! Merges received records into the member list, and expires suspicions and tombstones.
 
 use super::{Liveness, Member, MemberRecord, Membership};
 use crate::clock::Instant;
@@ -8,26 +8,27 @@
     pub(super) fn heard_from(&mut self, address: Address) {
         let Some(member) = self.members.get_mut(&address) else { return };
         if member.record.liveness == Liveness::Dead {
-            // It runs although it is thought dead: let it hear that, and refute it.
+            // The member runs although its record says that it is dead. The record is sent once more, so that the
+            // member can refute it.
             member.transmissions_left = member.transmissions_left.max(1);
         }
     }
 
     pub(super) fn merge(&mut self, record: MemberRecord, now: Instant) {
         if record.info.gossip == self.me.info.gossip {
-            return self.merge_about_me(&record);
+            return self.merge_own(&record);
         }
         let transmissions = self.transmissions();
         let Some(known) = self.members.get_mut(&record.info.gossip) else {
-            return self.meet(record, now);
+            return self.add_member(record, now);
         };
-        let same_life = record.incarnation == known.record.incarnation;
-        let leaving = record.leaving || (same_life && known.record.leaving);
+        let same_incarnation = record.incarnation == known.record.incarnation;
+        let leaving = record.leaving || (same_incarnation && known.record.leaving);
         if record.supersedes(&known.record) {
             known.suspect_since = (record.liveness == Liveness::Suspect).then_some(now);
             known.gone_since = (!record.is_live()).then_some(now);
             known.record = MemberRecord { leaving, ..record };
-        } else if same_life && leaving != known.record.leaving {
+        } else if same_incarnation && leaving != known.record.leaving {
             known.record.leaving = leaving;
         } else {
             return;
@@ -36,9 +37,9 @@
         self.changes += 1;
     }
 
-    /// Adds a member that was not known. One that is gone is left out: members that forgot it would learn it again from those
-    /// that still know it, and none would ever forget it.
-    fn meet(&mut self, record: MemberRecord, now: Instant) {
+    /// Adds an unknown member. A record of a dead or left member is ignored: members that have evicted it would learn
+    /// it again from those that still hold it, and none would ever forget it.
+    fn add_member(&mut self, record: MemberRecord, now: Instant) {
         if !record.is_live() {
             return;
         }
@@ -52,30 +53,31 @@
         self.changes += 1;
     }
 
-    pub(super) fn merge_about_me(&mut self, record: &MemberRecord) {
+    pub(super) fn merge_own(&mut self, record: &MemberRecord) {
         if record.incarnation > self.me.incarnation {
-            // An earlier incarnation at this address had a clock ahead of ours.
+            // An earlier incarnation at this address had a clock ahead of the present one.
             self.me.incarnation = Incarnation(record.incarnation.0 + 1);
-            return self.speak_up();
+            return self.republish();
         }
         if record.incarnation < self.me.incarnation {
             return;
         }
-        let doubted = record.liveness != Liveness::Alive && record.revision >= self.me.revision;
+        let suspected = record.liveness != Liveness::Alive && record.revision >= self.me.revision;
         let told_to_leave = record.leaving && !self.me.leaving;
         self.me.leaving |= record.leaving;
-        if doubted || told_to_leave {
+        if suspected || told_to_leave {
             self.me.revision = self.me.revision.max(record.revision);
-            self.speak_up();
+            self.republish();
         }
     }
 
-    pub(super) fn age_members(&mut self, now: Instant) {
+    pub(super) fn expire_members(&mut self, now: Instant) {
         let transmissions = self.transmissions();
         let policy = self.policy;
         for member in self.members.values_mut() {
-            let doubted_long = member.suspect_since.is_some_and(|since| now.since(since) >= policy.suspicion);
-            if doubted_long {
+            let suspicion_expired =
+                member.suspect_since.is_some_and(|since| now.since(since) >= policy.suspicion_timeout);
+            if suspicion_expired {
                 member.suspect_since = None;
                 member.gone_since = Some(now);
                 member.record.liveness = Liveness::Dead;
@@ -83,7 +85,8 @@
                 self.changes += 1;
             }
         }
-        self.members
-            .retain(|_, member| member.gone_since.is_none_or(|since| now.since(since) < policy.tombstone));
+        self.members.retain(|_, member| {
+            member.gone_since.is_none_or(|since| now.since(since) < policy.tombstone_retention)
+        });
     }
 }
--- a/crates/seamhatch-core/src/membership/message.rs
+++ b/crates/seamhatch-core/src/membership/message.rs
@@ -6,7 +6,7 @@
 use crate::membership::MemberRecord;
 use speedy::{Readable, Writable};
 
-/// A message between two daemons' membership parts.
+/// A message of the membership protocol.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
 pub struct GossipMessage {
     /// Gossip address of the sender.
@@ -15,48 +15,49 @@
     pub generation: Generation,
     /// Version of the sender's witness roster.
     pub roster_version: u64,
-    /// What it is for.
+    /// Payload of the message.
     pub body: GossipBody,
-    /// News that travels along, at most [`NEWS_PER_MESSAGE`].
+    /// Piggybacked member records, at most [`NEWS_PER_MESSAGE`].
     pub news: Vec<MemberRecord>,
 }
 
-/// Kinds of gossip messages.
+/// Payload of a gossip message.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
 pub enum GossipBody {
-    /// Asks for an [`GossipBody::Ack`] of the same number.
+    /// A probe, answered with a [`GossipBody::Ack`] of the same sequence number.
     Ping {
-        /// Number chosen by the sender.
+        /// Sequence number chosen by the sender.
         sequence: u64,
     },
     /// Answers a ping.
     Ack {
-        /// The ping's number.
+        /// Sequence number of the ping.
         sequence: u64,
     },
-    /// Asks the receiver to ping `target` and forward the answer.
+    /// Indirect probe: asks the receiver to ping `target` and to forward the answer.
     PingRequest {
-        /// Number chosen by the sender.
+        /// Sequence number chosen by the sender.
         sequence: u64,
-        /// Whom to ping.
+        /// Gossip address of the member to ping.
         target: Address,
     },
-    /// Offers a digest of the member list; a receiver whose own differs sends it in pages.
+    /// Offers a digest of the sender's member list. A receiver whose digest differs replies with its own list, in
+    /// pages.
     SyncRequest {
-        /// Digest of the sender's list.
+        /// Digest of the sender's member list.
         digest: u64,
     },
-    /// One page of the member list (in `news`).
+    /// One page of the sender's member list, in `news`.
     SyncPage,
-    /// News only.
+    /// No payload; the message carries only `news`.
     News,
-    /// Evidence against requests that ran when servers crashed, at most [`SUSPECTS_PER_MESSAGE`] records.
+    /// Evidence against requests that ran when servers crashed, at most [`SUSPECTS_PER_MESSAGE`] reports.
     Suspects(Vec<SuspectReport>),
 }
 
-/// Records that travel in one message. Chosen, so that a datagram stays well below 1,400 bytes.
+/// Member records per message. Keeps a datagram well below 1,400 bytes.
 pub const NEWS_PER_MESSAGE: usize = 8;
 
-/// Records of suspects that travel in one message. Chosen, so that a datagram stays below 1,400 bytes: a record with one to
-/// three crashes takes 40 to 60 bytes, one with the most crashes 170.
+/// Suspect reports per message. Keeps a datagram below 1,400 bytes: a report with one to three crashes takes 40 to 60
+/// bytes, one with the maximum number of crashes 170 bytes.
 pub const SUSPECTS_PER_MESSAGE: usize = 7;
--- a/crates/seamhatch-core/src/membership/mod.rs
+++ b/crates/seamhatch-core/src/membership/mod.rs
@@ -1,9 +1,10 @@
-//! Membership: which daemons there are, and what each reports of itself.
+//! Group membership: the daemons of a deployment, their liveness, and what each reports about itself.
 //!
-//! Decides which members are live, by probes, suspicion and gossip after SWIM (A. Das, I. Gupta, A. Motivala, "SWIM: Scalable
-//! Weakly-consistent Infection-style Process Group Membership Protocol", 2002), with incarnations. Owns the list of members of
-//! one daemon; messages and time are passed in, and what is to be sent is returned. Alternatives: docs/DESIGN.md#membership.
-//! Who calls it: the daemon's control thread.
+//! Implements SWIM (A. Das, I. Gupta, A. Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
+//! Membership Protocol", 2002): random probes, a suspicion period, and updates piggybacked on messages. Incarnations
+//! tell the runs of a daemon apart, and periodic syncs exchange whole member lists. [`Membership`] holds the member
+//! list of one daemon and does no I/O: the daemon's control thread passes in received messages and the time, and
+//! sends the messages that are returned. Alternatives: docs/DESIGN.md#membership.
 
 mod dissemination;
 mod merging;
@@ -22,17 +23,18 @@
 use crate::identity::{Address, Incarnation};
 use std::collections::BTreeMap;
 
-/// For how long after its start a member exchanges lists more often.
-const SETTLING_TIME: Microseconds = 20 * SECOND;
-/// Time between two exchanges in that time.
+/// How long after its start a member syncs every [`EARLY_SYNC_INTERVAL`].
+const EARLY_SYNC_PERIOD: Microseconds = 20 * SECOND;
+/// Interval between syncs during [`EARLY_SYNC_PERIOD`].
 const EARLY_SYNC_INTERVAL: Microseconds = SECOND;
-/// Time between two exchanges until a member has sent its list: some of those that are asked may be away.
-const FIRST_SYNC_INTERVAL: Microseconds = 200 * MILLISECOND;
-/// Members that are asked at once until one has sent its list.
-const FIRST_ASKED: usize = 3;
-/// How long the answer to a probe for another member is waited for.
-const RELAY_LIFETIME: Microseconds = SECOND;
-/// Times that a news record is sent on, for each doubling of the number of members.
+/// Interval between syncs until the first member list arrives. Short, since some of the members that are asked may be
+/// down.
+const JOIN_SYNC_INTERVAL: Microseconds = 200 * MILLISECOND;
+/// Live members, and seeds that are not live members, that each sync asks until the first member list arrives.
+const JOIN_SYNC_TARGETS: usize = 3;
+/// How long an indirect probe waits for the answer of its target.
+const RELAY_TIMEOUT: Microseconds = SECOND;
+/// How often a record is piggybacked, for each doubling of the number of members.
 const TRANSMISSIONS_PER_DOUBLING: u32 = 4;
 
 #[derive(Debug, Clone)]
@@ -48,20 +50,20 @@
     target: Address,
     sequence: u64,
     sent: Instant,
-    asked_others: bool,
+    indirect_sent: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Relay {
-    asker: Address,
-    asker_sequence: u64,
+    requester: Address,
+    requester_sequence: u64,
     sent: Instant,
 }
 
-/// A message to send, and where.
+/// A message and the gossip address to send it to.
 pub type Outgoing = (Address, GossipMessage);
 
-/// The membership part of one daemon.
+/// Member list of one daemon, and its state of the membership protocol.
 #[derive(Debug)]
 pub struct Membership {
     policy: MembershipPolicy,
@@ -77,13 +79,13 @@
     next_probe: Instant,
     next_sync: Instant,
     started: Option<Instant>,
-    /// A member has sent its list.
-    heard_list: bool,
+    /// A member list has arrived from another member.
+    received_list: bool,
     changes: u64,
 }
 
 impl Membership {
-    /// A member that knows only itself and where to ask first.
+    /// Creates a member that knows only itself and its seeds.
     #[must_use]
     pub fn new(
         policy: MembershipPolicy,
@@ -113,7 +115,7 @@
             next_probe: Instant::default(),
             next_sync: Instant::default(),
             started: None,
-            heard_list: false,
+            received_list: false,
             changes: 0,
         }
     }
@@ -124,24 +126,24 @@
         &self.me
     }
 
-    /// All records but this daemon's own, dead and left ones included.
+    /// Records of all other members, including dead and left ones.
     pub fn others(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.values().map(|member| &member.record)
     }
 
-    /// Whether another member has sent its list: until then this one may know nobody.
+    /// Whether a member list has arrived from another member. Until then, this daemon may know no other member.
     #[must_use]
     pub fn has_received_list(&self) -> bool {
-        self.heard_list
+        self.received_list
     }
 
-    /// Grows whenever a record changes.
+    /// Counter that grows with every change of a record.
     #[must_use]
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Live members, this one included.
+    /// Number of live members, including this one.
     #[must_use]
     pub fn live_count(&self) -> usize {
         1 + self.others().filter(|record| record.is_live()).count()
@@ -157,13 +159,14 @@
         self.roster_version = version;
     }
 
-    /// The record of the member with this gossip address.
+    /// The record of the member with this gossip address, if it is known.
     #[must_use]
     pub fn member(&self, address: Address) -> Option<&MemberRecord> {
         self.members.get(&address).map(|member| &member.record)
     }
 
-    /// Adds addresses to ask when no member is known (from the machine list).
+    /// Adds seeds (from the platform's list of machines): addresses that are asked at each sync while they are not
+    /// live members.
     pub fn add_seeds(&mut self, seeds: impl IntoIterator<Item = Address>) {
         for seed in seeds {
             if !self.seeds.contains(&seed) {
@@ -172,39 +175,39 @@
         }
     }
 
-    /// Changes the lifecycle that this daemon reports.
+    /// Sets the lifecycle state that this daemon reports.
     pub fn set_lifecycle(&mut self, lifecycle: Lifecycle) {
         if self.me.lifecycle == lifecycle {
             return;
         }
         self.me.lifecycle = lifecycle;
-        self.speak_up();
+        self.republish();
     }
 
-    /// Changes the slots that this daemon reports of its back end.
+    /// Sets the number of slots that this daemon reports for its back end.
     pub fn set_slots(&mut self, slots: u32) {
         if self.me.info.slots == slots {
             return;
         }
         self.me.info.slots = slots;
-        self.speak_up();
+        self.republish();
     }
 
-    /// Changes the shards of the tenants' limits that this daemon reports to hold.
+    /// Sets the quota shards that this daemon reports to hold, one bit for each.
     pub fn set_quota_shards(&mut self, shards: u64) {
         if self.me.info.quota_shards == shards {
             return;
         }
         self.me.info.quota_shards = shards;
-        self.speak_up();
+        self.republish();
     }
 
-    /// Records that the member at `address` leaves, by the platform's list of machines or by an operator.
+    /// Marks the member at `address` as leaving, by the platform's list of machines or by an operator.
     pub fn mark_leaving(&mut self, address: Address) {
         let transmissions = self.transmissions();
         if address == self.me.info.gossip {
             self.me.leaving = true;
-            return self.speak_up();
+            return self.republish();
         }
         let Some(member) = self.members.get_mut(&address) else { return };
         if !member.record.leaving {
@@ -214,12 +217,13 @@
         }
     }
 
-    /// Advances to `now`; to be called several times in a probe timeout. Returns what to send.
+    /// Advances the protocol to `now`, and returns the messages to send. Must be called several times per probe
+    /// timeout.
     pub fn tick(&mut self, now: Instant, mut random: impl FnMut(usize) -> usize) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
-        self.age_members(now);
-        self.relays.retain(|_, relay| now.since(relay.sent) < RELAY_LIFETIME);
-        self.follow_probe(now, &mut random, &mut outgoing);
+        self.expire_members(now);
+        self.relays.retain(|_, relay| now.since(relay.sent) < RELAY_TIMEOUT);
+        self.check_probe(now, &mut random, &mut outgoing);
         if now >= self.next_probe {
             self.next_probe = now.plus(self.policy.probe_interval);
             self.start_probe(now, &mut random, &mut outgoing);
@@ -230,7 +234,7 @@
         outgoing
     }
 
-    /// Handles a message. Returns what to send.
+    /// Handles a message, and returns the messages to send.
     pub fn receive(&mut self, message: GossipMessage, now: Instant) -> Vec<Outgoing> {
         for record in message.news {
             self.merge(record, now);
@@ -240,25 +244,25 @@
             GossipBody::Ping { sequence } => {
                 vec![(message.from, self.message(GossipBody::Ack { sequence }))]
             }
-            GossipBody::Ack { sequence } => self.acked(sequence),
+            GossipBody::Ack { sequence } => self.handle_ack(sequence),
             GossipBody::PingRequest { sequence, target } => {
                 self.sequence += 1;
-                let relay = Relay { asker: message.from, asker_sequence: sequence, sent: now };
+                let relay = Relay { requester: message.from, requester_sequence: sequence, sent: now };
                 self.relays.insert(self.sequence, relay);
                 let ping = GossipBody::Ping { sequence: self.sequence };
                 vec![(target, self.message(ping))]
             }
             GossipBody::SyncRequest { digest } => self.sync_pages(message.from, digest),
             GossipBody::SyncPage => {
-                self.heard_list = true;
+                self.received_list = true;
                 Vec::new()
             }
             GossipBody::News | GossipBody::Suspects(_) => Vec::new(),
         }
     }
 
-    /// A digest of the live members' records, equal for equal lists. The gone are left out, as each
-    /// member forgets them at a time of its own.
+    /// Digest of the records of all live members, independent of their order. Dead and left members don't count,
+    /// since each member evicts them at a time of its own.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let live = self.others().filter(|record| record.is_live());
@@ -278,7 +282,7 @@
         hashes.fold(0, |sum, hash| sum ^ hash)
     }
 
-    fn speak_up(&mut self) {
+    fn republish(&mut self) {
         self.me.revision += 1;
         self.my_transmissions_left = self.transmissions();
         self.changes += 1;
--- a/crates/seamhatch-core/src/membership/policy.rs
+++ b/crates/seamhatch-core/src/membership/policy.rs
@@ -1,34 +1,34 @@
-//! Time and size settings of the protocol.
+//! Timing and fan-out of the membership protocol.
 
 use crate::clock::{MILLISECOND, Microseconds, SECOND};
 
-/// Time and size settings of the protocol.
+/// Timing and fan-out of the membership protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MembershipPolicy {
-    /// One probe in this time.
+    /// Interval between probes.
     pub probe_interval: Microseconds,
-    /// Wait for a direct answer before others are asked to probe.
+    /// How long the answer to a direct probe is awaited before other members are asked to probe.
     pub probe_timeout: Microseconds,
-    /// Others that are asked to probe.
+    /// Number of members that are asked to probe.
     pub indirect_probes: usize,
-    /// How long a suspect may refute the suspicion.
-    pub suspicion: Microseconds,
-    /// One exchange of whole lists in this time, when digests differ.
+    /// How long a suspect has to refute the suspicion before it counts as dead.
+    pub suspicion_timeout: Microseconds,
+    /// Interval between syncs of whole member lists, except shortly after the start. Lists are sent only where
+    /// digests differ.
     pub sync_interval: Microseconds,
-    /// How long a dead or left member is remembered.
-    pub tombstone: Microseconds,
+    /// How long the record of a dead or left member is kept.
+    pub tombstone_retention: Microseconds,
 }
 
 impl Default for MembershipPolicy {
     fn default() -> Self {
-        // All chosen, not measured.
         Self {
             probe_interval: SECOND,
             probe_timeout: 300 * MILLISECOND,
             indirect_probes: 3,
-            suspicion: 3 * SECOND,
+            suspicion_timeout: 3 * SECOND,
             sync_interval: 10 * SECOND,
-            tombstone: 7_200 * SECOND,
+            tombstone_retention: 7_200 * SECOND,
         }
     }
 }
--- a/crates/seamhatch-core/src/membership/probing.rs
+++ b/crates/seamhatch-core/src/membership/probing.rs
@@ -1,4 +1,4 @@
-//! Probes of members, directly and through others.
+//! Direct and indirect probes of members.
 
 use super::{GossipBody, Lifecycle, Liveness, Membership, Outgoing, Probe};
 use crate::clock::Instant;
@@ -14,23 +14,24 @@
         let live = self.live_addresses();
         if let Some(&target) = live.get(random(live.len().max(1))) {
             self.sequence += 1;
-            self.probe = Some(Probe { target, sequence: self.sequence, sent: now, asked_others: false });
+            self.probe = Some(Probe { target, sequence: self.sequence, sent: now, indirect_sent: false });
             let ping = GossipBody::Ping { sequence: self.sequence };
             outgoing.push((target, self.message(ping)));
         }
-        // A member that is thought dead is probed now and then, so that the end of a network partition is noticed.
+        // One dead member is pinged too, so that the two sides of a healed network partition find each other. The
+        // ping carries the record that says it is dead, which the member refutes.
         let dead: Vec<Address> = self
             .others()
             .filter(|record| record.liveness == Liveness::Dead && record.lifecycle != Lifecycle::Left)
             .map(|record| record.info.gossip)
             .collect();
         if let Some(&target) = dead.get(random(dead.len().max(1))) {
-            let verdict = self.members[&target].record.clone();
-            outgoing.push((target, self.message_with(GossipBody::Ping { sequence: 0 }, vec![verdict])));
+            let dead_record = self.members[&target].record.clone();
+            outgoing.push((target, self.message_with(GossipBody::Ping { sequence: 0 }, vec![dead_record])));
         }
     }
 
-    pub(super) fn follow_probe(
+    pub(super) fn check_probe(
         &mut self,
         now: Instant,
         random: &mut impl FnMut(usize) -> usize,
@@ -41,8 +42,8 @@
         if age >= self.policy.probe_interval * 9 / 10 {
             self.probe = None;
             self.suspect(probe.target, now);
-        } else if age >= self.policy.probe_timeout && !probe.asked_others {
-            probe.asked_others = true;
+        } else if age >= self.policy.probe_timeout && !probe.indirect_sent {
+            probe.indirect_sent = true;
             self.probe = Some(probe);
             let mut helpers = self.live_addresses();
             helpers.retain(|helper| *helper != probe.target);
@@ -65,12 +66,12 @@
         }
     }
 
-    pub(super) fn acked(&mut self, sequence: u64) -> Vec<Outgoing> {
+    pub(super) fn handle_ack(&mut self, sequence: u64) -> Vec<Outgoing> {
         if self.probe.is_some_and(|probe| probe.sequence == sequence) {
             self.probe = None;
         }
         let Some(relay) = self.relays.remove(&sequence) else { return Vec::new() };
-        let ack = GossipBody::Ack { sequence: relay.asker_sequence };
-        vec![(relay.asker, self.message(ack))]
+        let ack = GossipBody::Ack { sequence: relay.requester_sequence };
+        vec![(relay.requester, self.message(ack))]
     }
 }
--- a/crates/seamhatch-core/src/membership/record.rs
+++ b/crates/seamhatch-core/src/membership/record.rs
@@ -1,43 +1,43 @@
-//! What is known of a member.
+//! Records of members.
 
 use crate::identity::{Address, Incarnation};
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
 
-/// What a daemon does at present, as it reports itself.
+/// Lifecycle state that a daemon reports about itself.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Lifecycle {
-    /// Started, without a configuration yet.
+    /// Started, and without a configuration yet.
     Joining,
     /// Accepts calls.
     Ready,
-    /// Finishes what it has, and accepts new calls only where no other server can take them.
+    /// Finishes calls in progress, and accepts new ones only if no other server can take them.
     Draining,
-    /// Stopped in an orderly way.
+    /// Shut down gracefully.
     Left,
 }
 
-/// What others observe of a daemon.
+/// Liveness of a daemon as other members observe it.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Liveness {
-    /// It answers probes.
+    /// Answers probes.
     Alive,
-    /// It missed a probe and has not refuted that yet.
+    /// Missed a probe, and has not refuted the suspicion yet.
     Suspect,
-    /// It missed a probe and did not refute that in time.
+    /// Missed a probe, and did not refute the suspicion in time.
     Dead,
 }
 
-/// What a daemon reports of itself. All but the slots and the shards is fixed during one incarnation.
+/// What a daemon reports about itself. All fields but `slots` and `quota_shards` are fixed for an incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 pub struct MemberInfo {
-    /// UDP address of gossip; identifies the member.
+    /// UDP address of the membership protocol; identifies the member.
     pub gossip: Address,
     /// TCP address for calls and control messages.
     pub peer: Address,
@@ -47,46 +47,47 @@
     pub region: String,
     /// Zone name.
     pub zone: String,
-    /// Service that the back end beside it belongs to.
+    /// Service of the back end beside the daemon.
     pub service: String,
-    /// Slots that the back end reports.
+    /// Number of slots that the back end reports.
     pub slots: u32,
-    /// Shards that it holds of the tenants' limits, a bit each.
+    /// Bit set of the shards of the tenants' limits that the daemon holds.
     pub quota_shards: u64,
 }
 
-/// A member as known somewhere.
+/// What one daemon knows about a member.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// What it reports of itself.
+    /// What the member reports about itself.
     pub info: MemberInfo,
-    /// Its incarnation.
+    /// Incarnation of the member.
     pub incarnation: Incarnation,
-    /// Grows with each change that it reports within one incarnation.
+    /// Grows with each change that the member reports within an incarnation, and with each suspicion that it refutes.
     pub revision: u32,
-    /// What it does, by its own report.
+    /// Lifecycle state that the member reports.
     pub lifecycle: Lifecycle,
-    /// What others observe of this revision.
+    /// Liveness at this revision, as other members observe it.
     pub liveness: Liveness,
-    /// The platform's list of machines or an operator says that it leaves; holds for the rest of the incarnation.
+    /// The platform's list of machines or an operator says that the member leaves. Holds for the rest of the
+    /// incarnation.
     pub leaving: bool,
 }
 
 impl MemberRecord {
-    /// Whether it may get new calls.
+    /// Whether the member may get new calls.
     #[must_use]
     pub fn takes_work(&self) -> bool {
         self.lifecycle == Lifecycle::Ready && self.liveness != Liveness::Dead && !self.leaving
     }
 
-    /// Whether it accepts calls at least where no other member can take them.
+    /// Whether the member accepts calls, at least those that no other member can take.
     #[must_use]
     pub fn takes_fallback_work(&self) -> bool {
         let drains = self.lifecycle == Lifecycle::Draining && self.is_live() && !self.leaving;
         self.takes_work() || drains
     }
 
-    /// Whether it takes part in the protocol.
+    /// Whether the member takes part in the protocol, that is, is neither dead nor left.
     #[must_use]
     pub fn is_live(&self) -> bool {
         self.liveness != Liveness::Dead && self.lifecycle != Lifecycle::Left
--- a/crates/seamhatch-core/src/membership/sync.rs
+++ b/crates/seamhatch-core/src/membership/sync.rs
@@ -1,15 +1,15 @@
-//! What goes out: exchanges of whole lists, and news that travels with every message.
+//! Syncs of whole member lists, and records that are piggybacked on other messages.
 
 use super::{
-    EARLY_SYNC_INTERVAL, FIRST_ASKED, FIRST_SYNC_INTERVAL, GossipBody, GossipMessage, Member, MemberRecord,
-    Membership, NEWS_PER_MESSAGE, Outgoing, SETTLING_TIME,
+    EARLY_SYNC_INTERVAL, EARLY_SYNC_PERIOD, GossipBody, GossipMessage, JOIN_SYNC_INTERVAL, JOIN_SYNC_TARGETS,
+    Member, MemberRecord, Membership, NEWS_PER_MESSAGE, Outgoing,
 };
 use crate::clock::{Instant, Microseconds};
 use crate::identity::Address;
 
 impl Membership {
-    /// Exchanges whole lists with one live member, and asks one seed that is not
-    /// a live member: groups that formed apart find each other through seeds. Until a list has come, several are asked.
+    /// Sends a sync request to one live member and to one seed that is not a live member: groups that formed around
+    /// different seeds find each other through them. Until a member list has arrived, several of each are asked.
     pub(super) fn start_sync(
         &mut self,
         now: Instant,
@@ -18,12 +18,12 @@
     ) {
         let started = *self.started.get_or_insert(now);
         self.next_sync = now.plus(self.sync_interval(now.since(started)));
-        let asked = if self.heard_list { 1 } else { FIRST_ASKED };
+        let asked = if self.received_list { 1 } else { JOIN_SYNC_TARGETS };
         let live = self.live_addresses();
         let own = self.me.info.gossip;
-        let strangers: Vec<Address> =
+        let unknown_seeds: Vec<Address> =
             self.seeds.iter().copied().filter(|seed| *seed != own && !live.contains(seed)).collect();
-        for mut pool in [live, strangers] {
+        for mut pool in [live, unknown_seeds] {
             for _ in 0..asked.min(pool.len()) {
                 let target = pool.swap_remove(random(pool.len()));
                 let request = GossipBody::SyncRequest { digest: self.digest() };
@@ -32,14 +32,14 @@
         }
     }
 
-    /// Time until the next exchange of a member that has run for this long.
+    /// Time until the next sync of a member that has been running for `running`.
     fn sync_interval(&self, running: Microseconds) -> Microseconds {
-        if running > SETTLING_TIME {
+        if running > EARLY_SYNC_PERIOD {
             self.policy.sync_interval
-        } else if self.heard_list {
+        } else if self.received_list {
             EARLY_SYNC_INTERVAL
         } else {
-            FIRST_SYNC_INTERVAL
+            JOIN_SYNC_INTERVAL
         }
     }
 
@@ -68,17 +68,17 @@
         }
     }
 
-    /// The records that were sent on least often so far.
+    /// Takes the records to piggyback on the next message: those that were sent least often so far.
     pub(super) fn take_news(&mut self) -> Vec<MemberRecord> {
         let mut news = Vec::new();
         if self.my_transmissions_left > 0 {
             self.my_transmissions_left -= 1;
             news.push(self.me.clone());
         }
-        let mut fresh: Vec<&mut Member> =
+        let mut updates: Vec<&mut Member> =
             self.members.values_mut().filter(|member| member.transmissions_left > 0).collect();
-        fresh.sort_by_key(|member| std::cmp::Reverse(member.transmissions_left));
-        for member in fresh.into_iter().take(NEWS_PER_MESSAGE - news.len()) {
+        updates.sort_by_key(|member| std::cmp::Reverse(member.transmissions_left));
+        for member in updates.into_iter().take(NEWS_PER_MESSAGE - news.len()) {
             member.transmissions_left -= 1;
             news.push(member.record.clone());
         }
--- a/crates/seamhatch-core/src/roster.rs
+++ b/crates/seamhatch-core/src/roster.rs
@@ -1,15 +1,14 @@
-//! Which daemons witness which shard of the claims, and how that changes.
+//! Witness roster: which daemons witness which shard of the claims, and how assignments change.
 //!
-//! Decides the witnesses of each shard from the live members, and when a change may go on. It protects claims from being
-//! granted by two sets of witnesses at once. Alternatives: docs/DESIGN.md#at-most-once. Who calls it: the controllers of the
-//! daemon.
+//! Chooses the witnesses of each shard from the live members, and decides when a change may proceed, so that two sets
+//! of witnesses never grant claims of a shard at the same time. Alternatives: docs/DESIGN.md#at-most-once. The
+//! controllers of the daemon call it.
 //!
-//! The roster lies in the platform's key-value service and is changed by
-//! compare-and-swap. A shard's change from epoch `e` to `e + 1` is: write the
-//! new assignment; seal `e` at as many of its witnesses as share one with each
-//! majority; take the union of their claims; install it at a majority of the
-//! new witnesses. Anyone may carry out or repeat these steps. Epochs whose
-//! installation was not confirmed stay listed in `previous` and are sealed too.
+//! The roster is stored in the platform's key-value service and changed by compare-and-swap. Moving a shard from
+//! epoch `e` to `e + 1` takes these steps: write the new assignment; seal `e` at enough of its witnesses to intersect
+//! every majority; take the union of their claims; install it at a majority of the new witnesses. Any daemon may
+//! carry out or repeat these steps. Epochs whose installation is not confirmed stay listed in `previous` and are
+//! sealed too.
 
 use crate::claims::{Claim, ClaimHolder, ClaimKey, Epoch};
 use crate::clock::{Instant, Microseconds};
@@ -20,16 +19,17 @@
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Shards of the claims.
+/// Number of claim shards.
 pub const SHARDS: usize = 16;
 
-/// The shard whose witnesses also hold the newest accepted configuration.
+/// Shard whose witnesses also hold the newest accepted configuration.
 pub const CONFIGURATION_SHARD: usize = 0;
 
-/// Witnesses of a shard: one may be lost without stopping it.
+/// Witnesses per shard. A shard keeps working without one of them.
 pub const WITNESSES: usize = 3;
 
-/// How long a shard waits before it starts empty: no request that held a claim in it lives any more.
+/// How long a shard whose claims may be lost waits before it starts empty: no request that held a claim in it is
+/// alive by then.
 pub const SHARD_RESTART_WAIT: Microseconds = crate::claims::MAX_REQUEST_LIFETIME;
 
 /// One incarnation of a daemon as a witness.
@@ -37,9 +37,9 @@
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
 pub struct WitnessId {
-    /// Peer address.
+    /// Peer address of the daemon.
     pub daemon: Address,
-    /// A restarted daemon is another witness.
+    /// Incarnation of the daemon. A restarted daemon is a different witness.
     pub incarnation: Incarnation,
 }
 
@@ -48,32 +48,33 @@
 pub struct Assignment {
     /// Epoch of this assignment.
     pub epoch: Epoch,
-    /// [`WITNESSES`] daemons, or fewer in a small deployment and while most daemons are away.
+    /// [`WITNESSES`] daemons, or fewer in a small deployment and while most daemons are down.
     pub witnesses: Vec<WitnessId>,
 }
 
 impl Assignment {
-    /// Fewest sealed witnesses after which no majority can grant a claim any more, and which remember together all that one has granted.
+    /// Smallest number of sealed witnesses that leaves no majority to grant a claim, and that together remember every
+    /// claim granted by a majority.
     fn seal_quorum(&self) -> usize {
         let majority = self.witnesses.len() / 2 + 1;
         self.witnesses.len() + 1 - majority
     }
 }
 
-/// One shard's place in the roster.
+/// Assignments of one shard.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize)]
 pub struct ShardRoster {
-    /// Who witnesses now, or will once installed.
+    /// The assignment in force, or the one that will be once it is installed.
     pub current: Assignment,
-    /// Assignments to seal first: the last confirmed one and the unconfirmed ones after it.
+    /// Assignments that must be sealed first: the last confirmed one and the unconfirmed ones after it.
     pub previous: Vec<Assignment>,
 }
 
 impl ShardRoster {
-    /// Whether others have taken over what `witness` remembers, so that it may end: it is listed no more, and this roster is not
-    /// older than `installed`, the last epoch that was installed at it.
+    /// Whether other daemons have taken over the claims of `witness`, so that its process may end: the witness is no
+    /// longer listed, and this roster is not older than `installed`, the last epoch that was installed at it.
     ///
-    /// Being sealed is not enough: the coordinator that has its claims may end before it has installed them.
+    /// A seal is not enough: the coordinator that has collected the claims may end before it has installed them.
     #[must_use]
     pub fn has_released(&self, witness: &WitnessId, installed: Option<Epoch>) -> bool {
         let mut assignments = self.previous.iter().chain([&self.current]);
@@ -82,29 +83,29 @@
     }
 }
 
-/// What keeps a daemon that stops in order from ending: the shards that it witnesses.
+/// Shards that a daemon still witnesses, which delay the end of its graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WitnessDuty {
-    /// Others have taken over all of them.
+    /// Other daemons have taken over all shards.
     Released,
-    /// Others have yet to take over this many.
+    /// Other daemons have yet to take over some shards.
     Held {
-        /// Shards.
+        /// Number of these shards.
         shards: usize,
     },
-    /// As above, and there is no other daemon that could.
+    /// As [`Self::Held`], and no other daemon could take them over.
     NoSuccessor {
-        /// Shards.
+        /// Number of these shards.
         shards: usize,
     },
 }
 
-/// All shards. `version` grows with each change.
+/// Assignments of all shards.
 #[derive(
     Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Readable, Writable, Serialize, Deserialize,
 )]
 pub struct Roster {
-    /// Number of changes since the first roster.
+    /// Grows with each change; the first roster has version 1.
     pub version: u64,
     /// [`SHARDS`] entries.
     pub shards: Vec<ShardRoster>,
@@ -113,34 +114,35 @@
 /// A daemon that could be a witness.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WitnessCandidate {
-    /// Identity.
+    /// Identity of the daemon.
     pub id: WitnessId,
-    /// Zone, so that the witnesses of a shard lie in different ones.
+    /// Zone of the daemon. The witnesses of a shard are spread over zones.
     pub zone: String,
-    /// It takes work. One that is only starting is chosen where there are too few others.
+    /// The daemon takes work. One that is still starting is chosen only if there are too few others.
     pub ready: bool,
 }
 
-/// What is known of a witness of the present roster.
+/// What is known about a witness of the current roster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WitnessHealth {
-    /// Live.
+    /// A live member.
     Live,
-    /// Stops in order, and waits until others have taken over.
+    /// Shutting down gracefully, and waiting for others to take over.
     Leaving,
-    /// Not answering or thought dead: to be replaced, may still be running.
+    /// Not answering or presumed dead. To be replaced, though it may still be running.
     Unreachable,
-    /// Its memory is gone: a later incarnation was seen at its address.
+    /// A later incarnation was seen at its address, so its memory is gone.
     Ended,
-    /// Nothing is known of it, as this daemon has just started.
+    /// Nothing is known about it, as this daemon has just started.
     Unknown,
 }
 
-/// The assignment that should follow `shard`, or none while it is as it should be.
+/// The assignments that should follow `shard`, or `None` if nothing is to change.
 ///
-/// Live witnesses stay. A leaving one is replaced, and dropped where nobody can take its place, so that it may end. Who doesn't know all of
-/// them changes nothing: a daemon that has just started would have itself take the place of all others. `confirmed` says that
-/// the present epoch is known to be installed at a majority, so that earlier ones need no sealing any more.
+/// Live witnesses stay. A leaving one is replaced, or dropped if no daemon can take its place, so that it may end.
+/// Nothing changes while one of them is [`WitnessHealth::Unknown`]: a daemon that has just started would put itself
+/// in the place of all others. `confirmed` says that the current epoch is known to be installed at a majority, so
+/// that earlier ones need no sealing any more.
 #[must_use]
 pub fn plan_change(
     index: usize,
@@ -160,7 +162,7 @@
     if live.len() >= wanted && !leaves {
         return None;
     }
-    let witnesses = fill_up(index, &live, candidates);
+    let witnesses = select_witnesses(index, &live, candidates);
     if witnesses == current.witnesses || witnesses.is_empty() {
         return None;
     }
@@ -170,19 +172,19 @@
     Some(ShardRoster { current: next, previous })
 }
 
-/// How far the sealing of one assignment has come.
+/// Progress of sealing one assignment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SealProgress {
-    /// Claims may still be granted in it.
+    /// Its witnesses may still grant claims.
     Incomplete,
-    /// It is over and all its claims are known.
+    /// It grants no more claims, and all its claims are known.
     Complete,
-    /// It is over, but claims may have been lost with ended witnesses: what
-    /// follows must wait for [`SHARD_RESTART_WAIT`].
+    /// It grants no more claims, but some may be lost with witnesses that ended. Its successor must wait for
+    /// [`SHARD_RESTART_WAIT`].
     CompleteWithLoss,
 }
 
-/// Judges the sealing of `assignment` from its witnesses that were sealed and that ended.
+/// Progress of sealing `assignment`, from which of its witnesses are sealed and which have ended.
 #[must_use]
 pub fn seal_progress(
     assignment: &Assignment,
@@ -191,27 +193,27 @@
 ) -> SealProgress {
     let quorum = assignment.seal_quorum();
     let sealed_count = assignment.witnesses.iter().filter(|id| sealed(id)).count();
-    let over_count = assignment.witnesses.iter().filter(|id| sealed(id) || ended(id)).count();
+    let stopped_count = assignment.witnesses.iter().filter(|id| sealed(id) || ended(id)).count();
     if sealed_count >= quorum {
         SealProgress::Complete
-    } else if over_count >= quorum {
+    } else if stopped_count >= quorum {
         SealProgress::CompleteWithLoss
     } else {
         SealProgress::Incomplete
     }
 }
 
-/// Assignments that ended with a loss, and since when that has been known.
+/// Assignments that ended with a loss of claims, and since when that is known.
 ///
-/// A wait belongs to the assignment whose claims may be lost, not to the one that is to follow: that one
-/// changes again while its witnesses come and go, and the wait would never end.
+/// A wait belongs to the assignment whose claims may be lost and not to its successor: the successor changes again
+/// whenever witnesses come and go, and its wait would never end.
 #[derive(Debug, Default)]
 pub struct ClaimLossWaits {
     known_since: BTreeMap<(usize, Epoch), Instant>,
 }
 
 impl ClaimLossWaits {
-    /// Records that the assignment of `shard` in `epoch` is over with a loss; true when that was not known.
+    /// Records that the assignment of `shard` in `epoch` ended with a loss. Returns whether that is new.
     pub fn note(&mut self, shard: usize, epoch: Epoch, now: Instant) -> bool {
         match self.known_since.entry((shard, epoch)) {
             Entry::Occupied(_) => false,
@@ -222,7 +224,7 @@
         }
     }
 
-    /// Epochs of `shard` whose wait is over: no request that held a claim in them lives any more.
+    /// Epochs of `shard` whose wait has elapsed: no request that held a claim in them is alive.
     #[must_use]
     pub fn elapsed(&self, shard: usize, now: Instant) -> BTreeSet<Epoch> {
         let own = self.known_since.range((shard, Epoch(0))..=(shard, Epoch(u64::MAX)));
@@ -231,7 +233,7 @@
             .collect()
     }
 
-    /// Forgets the waits of `shard` for epochs that are not listed any more.
+    /// Removes the waits of `shard` for epochs that are no longer listed.
     pub fn retain(&mut self, shard: usize, previous: &[Assignment]) {
         self.known_since.retain(|(other, epoch), _| {
             *other != shard || previous.iter().any(|assignment| assignment.epoch == *epoch)
@@ -239,11 +241,10 @@
     }
 }
 
-/// The claims of an ended epoch, from its sealed witnesses.
+/// Merges the claims of an ended epoch, as reported by its sealed witnesses.
 ///
-/// Where they disagree about the holder of a key, either may have won at a
-/// majority together with a witness that was not heard: the key is kept as
-/// [`ClaimHolder::CONTESTED`], which nobody can release.
+/// If the witnesses disagree about the holder of a key, either may have won a majority together with a witness that
+/// did not report. The key is then kept as [`ClaimHolder::CONTESTED`], which nobody can release.
 pub fn union_of_claims(sealed: impl IntoIterator<Item = Claim>) -> Vec<Claim> {
     let mut union: BTreeMap<ClaimKey, Claim> = BTreeMap::new();
     for claim in sealed {
@@ -255,8 +256,9 @@
     union.into_values().collect()
 }
 
-/// Adds witnesses to the `kept` ones: such as take work before others, from zones with few witnesses of this shard, by rendezvous.
-fn fill_up(shard: usize, kept: &[WitnessId], candidates: &[WitnessCandidate]) -> Vec<WitnessId> {
+/// Adds witnesses to `kept`: daemons that take work before others, then those in zones with few witnesses of this
+/// shard, then by rendezvous hashing.
+fn select_witnesses(shard: usize, kept: &[WitnessId], candidates: &[WitnessCandidate]) -> Vec<WitnessId> {
     let key = |candidate: &WitnessCandidate| candidate.id.daemon.to_string().into_bytes();
     let order = rendezvous::choose(shard as u64, candidates.iter(), key, candidates.len());
     let mut witnesses = kept.to_vec();
@@ -277,7 +279,7 @@
 #[must_use]
 pub fn first_roster(candidates: &[WitnessCandidate]) -> Roster {
     let shard = |index| ShardRoster {
-        current: Assignment { epoch: Epoch(1), witnesses: fill_up(index, &[], candidates) },
+        current: Assignment { epoch: Epoch(1), witnesses: select_witnesses(index, &[], candidates) },
         previous: Vec::new(),
     };
     Roster { version: 1, shards: (0..SHARDS).map(shard).collect() }
--- a/crates/seamhatch-core/tests/membership.rs
+++ b/crates/seamhatch-core/tests/membership.rs
@@ -173,7 +173,8 @@
         GoneCase { name: "lost", leaves: false, returns: false },
         GoneCase { name: "lost, and back", leaves: false, returns: true },
     ];
-    let policy = MembershipPolicy { tombstone: REMEMBERED_S * SECOND, ..MembershipPolicy::default() };
+    let policy =
+        MembershipPolicy { tombstone_retention: REMEMBERED_S * SECOND, ..MembershipPolicy::default() };
     for case in cases {
         let members = (0..6).map(|number| member_with(policy, number, 1, &[0])).collect();
         let mut network = Network::new(members);
