--- a/crates/seamhatch-core/src/clock.rs
+++ b/crates/seamhatch-core/src/clock.rs
@@ -1,11 +1,11 @@
-//! Times of one machine's boot clock, and translation between two such clocks.
+//! Instants of a machine's boot clock, and their translation between the clocks of two machines.
 //!
-//! A deadline crosses machines as an instant of the receiver's clock that errs early: a relative time-out would start again
-//! when a frozen daemon wakes. Alternatives: docs/DESIGN.md#deadlines.
+//! A deadline is sent to another machine as an instant of the receiver's clock that errs early: a relative time-out
+//! would start over when a frozen daemon wakes up. Alternatives: docs/DESIGN.md#deadlines.
 
 use crate::wire_number::wire_number;
 
-/// A span of time in microseconds.
+/// A duration in microseconds.
 pub type Microseconds = u64;
 
 /// Microseconds in a second.
@@ -17,13 +17,13 @@
 wire_number! {
     /// A point in time: microseconds of the local machine's boot clock.
     ///
-    /// Two machines' instants can't be compared; see [`PeerClock`].
+    /// Instants of two machines can't be compared; see [`PeerClock`].
     #[derive(Default)]
     pub struct Instant(pub Microseconds);
 }
 
 impl Instant {
-    /// Later than any instant that is reached.
+    /// Later than any instant that is ever reached.
     pub const NEVER: Self = Self(Microseconds::MAX);
 
     /// The instant `span` microseconds later, saturating.
@@ -45,15 +45,14 @@
     }
 }
 
-/// How long an offset sample stays in use, so that a drifting clock is followed. Chosen, not measured.
+/// How long an offset sample stays in use, so that the offset follows clock drift.
 const OFFSET_WINDOW: Microseconds = 60 * SECOND;
 
 /// A lower bound on how far a peer's boot clock is ahead of the local one.
 ///
-/// A message stamped by the peer at `sent` and received here at `received`
-/// shows an offset of `sent - received`, which is the true offset less the
-/// one-way delay. The largest sample is therefore the tightest, and each is a
-/// lower bound: an expiry translated with it errs early, never late.
+/// A message that the peer stamps `sent` and that arrives here at `received` shows an offset of `sent - received`:
+/// the true offset less the one-way delay. Each sample is thus a lower bound, and the largest one is the tightest. An
+/// expiry translated with it errs early, never late.
 #[derive(Debug, Clone, Default)]
 pub struct PeerClock {
     current: Option<OffsetSample>,
@@ -92,8 +91,8 @@
         }
     }
 
-    /// Two half-overlapping windows: the older one answers, the younger one
-    /// replaces it once the older has been in use for [`OFFSET_WINDOW`].
+    /// Rotates two half-overlapping windows: the older one is used for translation, and the younger one replaces it
+    /// once the older has been in use for [`OFFSET_WINDOW`].
     fn rotate(&mut self, now: Instant) {
         let expired = self.current.is_some_and(|sample| now.since(sample.window_start) > OFFSET_WINDOW);
         if !expired {
--- a/crates/seamhatch-core/src/departure.rs
+++ b/crates/seamhatch-core/src/departure.rs
@@ -1,42 +1,41 @@
-//! Departures: when a starting daemon may trust its back end's heartbeats.
+//! Departures: when a starting daemon may trust the heartbeats of its back end.
 //!
-//! Decides, from the time since the start and from who has answered, whether enough is known of the instances that departed
-//! before. A daemon may restart and then get a late heartbeat of an instance that is gone. So a departure is recorded in the
-//! store or at other daemons before it is acknowledged, and a starting daemon asks both: either may have recorded one that
-//! the other has not. It protects the rule that an instance which has left gets no calls. Alternatives:
-//! docs/DESIGN.md#departures. Who calls it: the controllers of the daemon, and the model check of departures.
+//! An instance that has left must get no calls, but a restarted daemon may receive a late heartbeat of it. A
+//! departure is therefore recorded in the store or at other daemons before it is acknowledged, and a starting daemon
+//! asks both: either may hold a record that the other lacks. [`DepartureInquiry`] decides, from the time since the
+//! start and from the sources that have answered, whether enough is known. Alternatives: docs/DESIGN.md#departures.
+//! The controllers of the daemon and the model check of departures call it.
 
 use crate::clock::{MILLISECOND, Microseconds, SECOND};
 use crate::instance::{InstanceId, REMEMBERED_DEPARTURES};
 use serde::{Deserialize, Serialize};
 
-/// How long a starting daemon that has the store's answer waits for that of the holders. Chosen, not measured.
+/// How long a starting daemon that has the store's answer waits for the answer of the holders.
 pub const HOLDERS_ANSWER_TIMEOUT: Microseconds = 500 * MILLISECOND;
-/// How long a starting daemon waits for the store before it relies on the holders alone. Chosen, not measured.
+/// How long a starting daemon waits for the store before it relies on the holders alone.
 pub const STORE_ANSWER_TIMEOUT: Microseconds = 800 * MILLISECOND;
-/// How long a starting daemon that reaches neither the store nor a holder waits before it trusts its back end. Chosen, not
-/// measured.
+/// How long a starting daemon that reaches neither the store nor a holder waits before it trusts its back end.
 pub const INQUIRY_TIMEOUT: Microseconds = 4 * SECOND;
 
-/// Where a starting daemon learns which instances departed before.
+/// Where a starting daemon learns of earlier departures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DepartureSource {
     /// The store.
     Store,
-    /// Daemons that were asked to remember them.
+    /// Daemons that were asked to remember the departures.
     Holders,
 }
 
-/// Departed instances of one daemon's back end, as they lie in the store.
+/// Departed instances of one daemon's back end, as stored.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DepartureRecord {
-    /// The instances, the latest last.
+    /// The instances, oldest first.
     #[serde(rename = "departed")]
     pub instances: Vec<InstanceId>,
 }
 
 impl DepartureRecord {
-    /// Adds an instance as the latest; the oldest are forgotten.
+    /// Adds an instance as the latest, and drops the oldest beyond [`REMEMBERED_DEPARTURES`].
     pub fn add(&mut self, instance: &InstanceId) {
         self.instances.retain(|known| known != instance);
         let forgotten = (self.instances.len() + 1).saturating_sub(REMEMBERED_DEPARTURES);
@@ -50,13 +49,13 @@
 pub enum InquiryVerdict {
     /// Not yet.
     Wait,
-    /// What departed before is known as far as it can be.
+    /// Earlier departures are known as far as they can be.
     Settled,
-    /// Nobody answers; what departed before is not known.
+    /// No source answers; earlier departures are unknown.
     GivenUp,
 }
 
-/// Which sources have answered a starting daemon about departures during its earlier incarnations.
+/// Sources that have answered a starting daemon about departures during its earlier incarnations.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct DepartureInquiry {
     store_answered: bool,
@@ -78,7 +77,8 @@
         self.holders_answered
     }
 
-    /// Whether heartbeats count, `waited` after the start; `asking` while holders are being asked.
+    /// Whether heartbeats may be trusted when `waited` has passed since the start. `asking` says that holders are
+    /// still being asked.
     #[must_use]
     pub fn verdict(&self, waited: Microseconds, asking: bool) -> InquiryVerdict {
         match (self.store_answered, self.holders_answered) {
--- a/crates/seamhatch-core/src/generation.rs
+++ b/crates/seamhatch-core/src/generation.rs
@@ -1,9 +1,10 @@
-//! Configuration: which version is in force, and whether a submission has been accepted.
+//! Configuration generations: which version is in force, and whether a submission has been accepted.
 //!
-//! Decides three things. A daemon adopts an offered version only where it is newer ([`judge_offer`]). It asks a peer for a newer one
-//! once in the time that an answer may take ([`AskedPeers`]). A submission goes on until the store holds it or can't hold it any
-//! more ([`submission_step`]); inputs are what the store holds and the newest generation that is known, read for this step. It protects the promise that an accepted configuration is in force everywhere
-//! within seconds and never reverts to an older one. Alternatives: docs/DESIGN.md#configuration.
+//! A daemon adopts an offered version only if it is newer ([`judge_offer`]). It asks a peer for a newer one at most
+//! once in the time that an answer may take ([`AskedPeers`]). A submission goes on until the store holds it or can no
+//! longer accept it ([`submission_step`]); each step is decided from what the store holds and from the newest known
+//! generation, both read for this step. An accepted configuration is thus in force everywhere within seconds, and
+//! never reverts to an older one. Alternatives: docs/DESIGN.md#configuration.
 
 use crate::clock::{Instant, Microseconds, SECOND};
 use crate::identity::{Address, Fingerprint};
@@ -13,7 +14,7 @@
 use std::collections::HashMap;
 
 wire_number! {
-    /// A version of the configuration. Zero is no configuration.
+    /// A version of the configuration. Zero stands for no configuration.
     #[derive(Default)]
     pub struct Generation(pub u64);
 }
@@ -27,11 +28,11 @@
 }
 
 wire_number! {
-    /// Identifies one submission of one submitter, so that a lost answer can be resolved by reading.
+    /// Identifies one submission of one submitter, so that reading the store tells its outcome if the answer is lost.
     pub struct SubmissionId(pub u64);
 }
 
-/// A generation with the digest of its content.
+/// A generation and the digest of its content.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
@@ -42,16 +43,16 @@
     pub content: Fingerprint,
 }
 
-/// What to do with a version that was offered.
+/// What to do with an offered version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Offer {
-    /// It is newer: adopt it.
+    /// Newer: adopt it.
     Adopt,
-    /// It is the one in force.
+    /// Equal to the one in force.
     Same,
-    /// It is older: keep the one in force, and send it to the daemon that made the offer.
+    /// Older: keep the one in force, and send it to the daemon that made the offer.
     Stale,
-    /// Same generation, other content: the store went back in time. Keep the one in force.
+    /// Same generation with different content: the store went back in time. Keep the one in force.
     Conflict,
 }
 
@@ -68,39 +69,39 @@
     if offered.content == current.content { Offer::Same } else { Offer::Conflict }
 }
 
-/// What a submission has to do next, from what the store holds.
+/// Next step of a submission, given what the store holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubmissionStep {
-    /// The store holds less than is known to be accepted: write that back first.
+    /// The store lacks a generation that is known to be accepted. Write that back first.
     Restore,
-    /// The submission is in: it made this generation.
+    /// The submission was accepted as this generation.
     Accepted(Generation),
-    /// Another write took its place; it is not in and can't get in any more.
+    /// Another write took its place. The submission is not in the store and can't get there any more.
     Conflict(Generation),
-    /// Write the successor of what the store holds, on condition of its revision.
-    /// A lost write that still arrives carries the same condition, so that at
-    /// most one of them lands.
+    /// Write the successor of what the store holds, conditional on its revision. A delayed write that still arrives
+    /// carries the same condition, so at most one of them succeeds.
     Write,
 }
 
-/// A peer that was asked for a newer configuration is asked again after this time, in microseconds: its answer is lost by then.
-pub const ASK_AGAIN: Microseconds = SECOND;
+/// Time after which a peer is asked for a newer configuration again, in microseconds. Its answer counts as lost by
+/// then.
+pub const ASK_AGAIN_INTERVAL: Microseconds = SECOND;
 
-/// The peers that were asked for a newer configuration, and when.
+/// Peers that were asked for a newer configuration, and when.
 #[derive(Debug, Clone, Default)]
 pub struct AskedPeers(HashMap<Address, Instant>);
 
 impl AskedPeers {
-    /// Begins to ask a peer; false while its answer to an earlier question may still come.
+    /// Starts to ask a peer. Returns false while the answer to an earlier question may still arrive.
     pub fn begin(&mut self, peer: Address, now: Instant) -> bool {
-        let waits = self.0.get(&peer).is_some_and(|asked| now.since(*asked) < ASK_AGAIN);
-        if !waits {
+        let is_pending = self.0.get(&peer).is_some_and(|asked| now.since(*asked) < ASK_AGAIN_INTERVAL);
+        if !is_pending {
             self.0.insert(peer, now);
         }
-        !waits
+        !is_pending
     }
 
-    /// A configuration has arrived: what is still missing is asked for again.
+    /// Forgets all questions, once a configuration has arrived. What is still missing is asked for again.
     pub fn clear(&mut self) {
         self.0.clear();
     }
@@ -109,15 +110,15 @@
 /// What a submission knows when it looks at the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SubmissionView<'a> {
-    /// The submission.
+    /// Identity of the submission.
     pub id: SubmissionId,
-    /// The generation that it is to follow.
+    /// Generation that the submission is to follow.
     pub based_on: Generation,
-    /// The newest generation that this daemon or the peers it asked know.
+    /// Newest generation known to this daemon or to the peers that it asked.
     pub known: Generation,
-    /// The store's generation, zero for an empty store.
+    /// Generation in the store, zero if the store is empty.
     pub stored: Generation,
-    /// Submissions that the stored document remembers.
+    /// Submissions recorded in the stored document, with their generations.
     pub recent: &'a [(SubmissionId, Generation)],
 }
 
--- a/crates/seamhatch-core/src/identity.rs
+++ b/crates/seamhatch-core/src/identity.rs
@@ -1,4 +1,4 @@
-//! Names of requests, calls and processes.
+//! Identifiers of requests, calls and processes.
 
 use crate::wire_number::wire_number;
 use serde::{Deserialize, Serialize};
@@ -9,7 +9,7 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 wire_number! {
-    /// Identifies one request from outside, over its whole chain of calls.
+    /// Identifies one external request, across its whole chain of calls.
     pub struct RootId(pub u128);
 }
 
@@ -25,7 +25,7 @@
 }
 
 wire_number! {
-    /// One run of a daemon process; a restart gives a larger one.
+    /// Identifies one run of a daemon process; a restart gives a larger number.
     #[derive(Default)]
     pub struct Incarnation(pub u64);
 }
@@ -42,7 +42,7 @@
 }
 
 impl Fingerprint {
-    /// Digests the parts in order; the length of each part is part of the digest.
+    /// Digests the parts in order, each with its length.
     #[must_use]
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut buffer = Vec::with_capacity(parts.iter().map(|part| part.len() + 8).sum());
@@ -55,12 +55,13 @@
 }
 
 wire_number! {
-    /// Names what is asked, the same at every daemon: equal for two requests with the same caller, target and body.
+    /// Digest of what is requested, the same at every daemon: equal for two requests with the same caller, target and
+    /// body.
     pub struct RequestDigest(pub u64);
 }
 
 impl RequestDigest {
-    /// Digests the parts in order, each with its length. Allocates nothing.
+    /// Digests the parts in order, each with its length, without allocating.
     #[must_use]
     pub fn of(parts: &[&[u8]]) -> Self {
         let digest = parts.iter().fold(0, |digest: u64, part| {
--- a/crates/seamhatch-core/src/instance/heartbeat.rs
+++ b/crates/seamhatch-core/src/instance/heartbeat.rs
@@ -1,42 +1,42 @@
-//! What an instance reports of itself.
+//! Heartbeats of a back end's instances.
 
 use super::InstanceId;
 use crate::clock::Microseconds;
 
-/// What an instance reports of itself.
+/// State that an instance reports in its heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum InstanceState {
-    /// It takes calls.
+    /// Takes calls.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// Finishes calls in progress, and takes no new ones.
     Draining,
 }
 
-/// One heartbeat of the back end.
+/// One heartbeat of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Heartbeat {
-    /// Whose it is.
+    /// Instance that sent the heartbeat.
     pub instance: InstanceId,
-    /// Grows with each heartbeat of one instance.
+    /// Sequence number; grows with each heartbeat of an instance.
     pub sequence: u64,
-    /// What it reports of itself.
+    /// State of the instance.
     pub state: InstanceState,
-    /// Calls that it runs at once.
+    /// Number of calls that the instance runs at once.
     pub slots: u32,
-    /// For how long it stays slow after its start, in microseconds.
+    /// How long the instance stays slow after its start, in microseconds.
     pub cold_for: Microseconds,
 }
 
-/// What became of a heartbeat.
+/// Effect of a heartbeat on which instance takes calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatVerdict {
-    /// It brought nothing new.
+    /// No effect.
     Unchanged,
     /// The instance takes calls from now on.
     Opened,
     /// The instance takes no new calls from now on.
     Closed,
-    /// It is older than what is known, of an instance that has departed, or not enough to bring back one that was
-    /// superseded.
+    /// Ignored: the heartbeat is older than what is known, comes from a departed instance, or is not enough to
+    /// restore a superseded one.
     Stale,
 }
--- a/crates/seamhatch-core/src/instance/id.rs
+++ b/crates/seamhatch-core/src/instance/id.rs
@@ -1,20 +1,20 @@
-//! Names of instances.
+//! Identity of an instance.
 
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
 
-/// Names one instance of a back end; chosen by the back end.
+/// Identifies one instance of a back end; chosen by the back end.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize)]
 #[serde(from = "WrittenId", into = "WrittenId")]
 pub struct InstanceId {
-    /// Its name. A later instance may have the same.
+    /// Name of the instance. A later instance may have the same name.
     pub name: String,
-    /// When it started, in milliseconds since the Unix epoch by its own clock; none where it doesn't report that, so that
-    /// each instance has a name of its own.
+    /// Start time in milliseconds since the Unix epoch, by the back end's clock. `None` if the back end does not
+    /// report it; each of its instances then has a name of its own.
     pub born: Option<u64>,
 }
 
-/// An [`InstanceId`] as it lies in the store: the name alone where nothing else is known.
+/// Stored form of an [`InstanceId`]: the name alone if the start time is unknown.
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
 enum WrittenId {
@@ -47,9 +47,9 @@
         Self { name: name.into(), born: None }
     }
 
-    /// Whether `other` is this instance or an earlier one under the same name, as far as is known.
+    /// Whether `other` is this instance or an earlier one of the same name, as far as is known.
     #[must_use]
-    pub fn covers(&self, other: &Self) -> bool {
+    pub fn is_same_or_later_than(&self, other: &Self) -> bool {
         let not_later = match (self.born, other.born) {
             (Some(own), Some(others)) => others <= own,
             _ => true,
@@ -57,8 +57,8 @@
         self.name == other.name && not_later
     }
 
-    /// Whether `other` is an earlier instance under the same name.
-    pub(super) fn follows(&self, other: &Self) -> bool {
+    /// Whether `other` is an earlier instance of the same name.
+    pub(super) fn is_later_than(&self, other: &Self) -> bool {
         self.name == other.name && self.born.zip(other.born).is_some_and(|(own, others)| others < own)
     }
 }
--- a/crates/seamhatch-core/src/instance/registered.rs
+++ b/crates/seamhatch-core/src/instance/registered.rs
@@ -1,33 +1,35 @@
-//! The instance that is registered.
+//! The registered instance.
 
 use super::{Heartbeat, HeartbeatVerdict, InstanceId, InstanceState};
 use crate::clock::Instant;
 
-/// Sequence up to which a heartbeat can be the first of a new instance, whether it counts from 0 or from 1.
-const FIRST_SEQUENCE: u64 = 1;
+/// Largest sequence number of a first heartbeat: instances count from 0 or from 1.
+const MAX_FIRST_SEQUENCE: u64 = 1;
 
-/// The instance that is registered.
+/// The registered instance.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Registered {
-    /// Its name.
+pub struct RegisteredInstance {
+    /// Identity of the instance.
     pub id: InstanceId,
-    /// What it reported last.
+    /// Reported state. [`InstanceState::Draining`] is final.
     pub state: InstanceState,
-    /// Calls that it runs at once.
+    /// Number of calls that the instance runs at once.
     pub slots: u32,
-    /// When it is as fast as it gets, in the local clock.
+    /// When the instance reaches its full speed, in the local clock.
     pub warm_at: Instant,
     /// When its last heartbeat arrived.
     pub last_heartbeat: Instant,
     sequence: u64,
-    /// It gets no calls until its next heartbeat.
+    /// Gets no calls until its next heartbeat.
     pub(super) suspended: bool,
-    /// More than one late heartbeat shows that it is there: it began here, or was heard again.
+    /// Known to run by more than one heartbeat, which may be late: its first heartbeat arrived here, it started after
+    /// the registered instance of its name, or it was heard again.
     pub(super) confirmed: bool,
 }
 
-impl Registered {
-    /// The instance by its first heartbeat; `follows_known` says that it is a later one of the registered name.
+impl RegisteredInstance {
+    /// Creates the instance from its first heartbeat here. `follows_known` says that it is a later instance of the
+    /// registered name.
     pub(super) fn new(heartbeat: Heartbeat, follows_known: bool, now: Instant) -> Self {
         Self {
             id: heartbeat.instance,
@@ -37,7 +39,7 @@
             last_heartbeat: now,
             sequence: heartbeat.sequence,
             suspended: false,
-            confirmed: follows_known || heartbeat.sequence <= FIRST_SEQUENCE,
+            confirmed: follows_known || heartbeat.sequence <= MAX_FIRST_SEQUENCE,
         }
     }
 
--- a/crates/seamhatch-core/src/intake.rs
+++ b/crates/seamhatch-core/src/intake.rs
@@ -1,13 +1,15 @@
-//! The intake of a daemon: whether a request that has been read is taken, and when nothing that was taken is left.
+//! Request intake of a daemon: whether a request that has been read is accepted, and when no accepted request is
+//! left.
 //!
-//! Decides both together, in one step each: a request is counted before the intake closes, or refused after it. The last border of a stop is
-//! crossed with nothing in progress ([`IntakeGate::close_if_idle`]), or by force when the time is up ([`IntakeGate::close`]); what is in progress
-//! then is cut off and known. It protects requests from being passed on and ended with the process. What may be taken for how
-//! long is decided by [`crate::drain`]; the daemon locks the gate in `seamhatchd::intake`, and a model check searches it.
+//! [`IntakeGate`] decides both in one step: a request is either counted before the intake closes, or refused after
+//! it. The intake closes for good with nothing in progress ([`IntakeGate::close_if_idle`]), or by force when the time
+//! is up ([`IntakeGate::close`]); requests that are in progress then are cut off, and their number is known. No
+//! request is passed on and then lost with the process. [`crate::drain`] decides what is accepted for how long. The
+//! daemon locks the gate in `seamhatchd::intake`; a model check covers it.
 
 use thiserror::Error;
 
-/// Which requests a daemon still takes.
+/// Which requests a daemon still accepts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub enum IntakePhase {
     /// All that [`crate::drain`] allows.
@@ -19,12 +21,12 @@
     Closed,
 }
 
-/// Nothing is taken any more: the process is about to end.
+/// No requests are accepted any more: the process is about to end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("this daemon ends and takes nothing more; use another one")]
 pub struct IntakeClosed;
 
-/// The phase of an intake, and how many of the requests that it took are in progress.
+/// Phase of an intake, and number of accepted requests that are in progress.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct IntakeGate {
     phase: IntakePhase,
@@ -32,22 +34,22 @@
 }
 
 impl IntakeGate {
-    /// Which requests are taken.
+    /// Which requests are accepted.
     #[must_use]
     pub fn phase(&self) -> IntakePhase {
         self.phase
     }
 
-    /// Requests in progress.
+    /// Number of requests in progress.
     #[must_use]
     pub fn in_progress(&self) -> usize {
         self.in_progress
     }
 
-    /// Counts a request that was read. Whether it may go on is decided afterwards, by what it is.
+    /// Counts a request that was read. Whether it may go on is decided afterwards, by its kind.
     ///
     /// # Errors
-    /// [`IntakeClosed`]: it is not counted, and has to be refused as not run.
+    /// [`IntakeClosed`]: the request is not counted, and has to be refused as not run.
     pub fn take(&mut self) -> Result<(), IntakeClosed> {
         if self.phase == IntakePhase::Closed {
             return Err(IntakeClosed);
@@ -56,17 +58,17 @@
         Ok(())
     }
 
-    /// A request that was taken has ended: its answer is written, or nobody waits for one.
+    /// Ends an accepted request: its answer is written, or nobody waits for one.
     pub fn end(&mut self) {
         self.in_progress = self.in_progress.saturating_sub(1);
     }
 
-    /// Takes only calls of requests in progress from now on.
+    /// Accepts only calls of requests in progress from now on.
     pub fn close_to_callers(&mut self) {
         self.phase = self.phase.max(IntakePhase::CallsOnly);
     }
 
-    /// Closes the intake if nothing is in progress; false if something is.
+    /// Closes the intake if nothing is in progress. Returns whether it did.
     pub fn close_if_idle(&mut self) -> bool {
         if self.in_progress > 0 {
             return false;
@@ -75,7 +77,7 @@
         true
     }
 
-    /// Closes the intake, whatever is in progress.
+    /// Closes the intake, even if requests are in progress.
     pub fn close(&mut self) {
         self.phase = IntakePhase::Closed;
     }
--- a/crates/seamhatch-core/src/pipeline.rs
+++ b/crates/seamhatch-core/src/pipeline.rs
@@ -1,24 +1,27 @@
-//! The order of the requests of one connection, some of which were sent before the answers to earlier ones.
+//! Request pipelining: the order of the requests of one connection when some arrive before earlier ones are answered.
 //!
-//! A server library answers one request at a time and takes all bytes that it is given. So it is given the bytes of one request, and the next head
-//! once the answer before it was written ([`Pipeline::next_input`]). What is sent meanwhile is read ahead, and a request there is started
-//! where it and all unanswered ones before it are repeatable ([`Pipeline::may_start`]). An answer ends the connection only where nothing
-//! that was started is unanswered behind it ([`Pipeline::try_close_after_this`]): a request that reached a server would be cut off.
+//! The HTTP server library answers one request at a time and consumes all bytes that it is given. It is therefore
+//! given the bytes of one request, and the next head only once the answer before it is written
+//! ([`Pipeline::next_input`]). Bytes that arrive in the meantime are read ahead, and a request in them is started
+//! ahead of its turn if it and all unanswered requests before it are repeatable ([`Pipeline::may_start`]). An answer
+//! closes the connection only if no request started ahead is unanswered behind it
+//! ([`Pipeline::try_close_after_this`]): a request that has reached a server would be cut off.
 //!
-//! Where the library finds another end of a request than the reader, the connection is served without any of this from then on
-//! ([`NextInput::PassThrough`]).
+//! If the library and the reader disagree on where a request ends, the connection is served without any of this from
+//! then on ([`NextInput::PassThrough`]).
 
-/// Most requests of one connection that may be started ahead and not answered. Bounds the slots and memory that one connection takes.
+/// Maximum number of unanswered requests of one connection that are started ahead. Bounds the slots and memory that a
+/// connection takes.
 pub const MAX_STARTED_AHEAD: usize = 16;
 
-/// The body of a request, as the library understands its head.
+/// Body of a request, as the library understands its head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestBody {
-    /// None.
+    /// No body.
     None,
-    /// This many bytes.
+    /// A body of this many bytes.
     Bytes(u64),
-    /// Its end is known only to the library.
+    /// A body whose end only the library knows.
     Unknown,
 }
 
@@ -27,23 +30,23 @@
 pub enum NextInput {
     /// The next head.
     NextHead,
-    /// The rest of a head that it has been given in part. Where it has been given in whole and the library asks for more, the two
-    /// disagree on where it ends.
+    /// The rest of a head that it was given in part. If it was given the whole head and asks for more, library and
+    /// reader disagree on where the head ends.
     RestOfHead,
     /// At most this many bytes of the body of the request in progress.
     Body(u64),
     /// Nothing until the answer in progress is written.
     Wait,
-    /// All bytes as they come.
+    /// All bytes as they arrive.
     PassThrough,
 }
 
-/// What a request is that the library has read.
+/// Whether a request that the library has read was started ahead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOrigin {
-    /// The first of those that were started ahead.
+    /// It is the first of the requests that were started ahead.
     StartedAhead,
-    /// One that nothing was done for yet. What was started ahead is to be cancelled.
+    /// It has not been started. Requests that were started ahead must be cancelled.
     New,
 }
 
@@ -51,25 +54,25 @@
 enum Stage {
     /// The library waits for a head.
     Idle,
-    /// It was given a head, and this much of what follows.
+    /// The library was given a head, and this many bytes after it.
     HeadGiven { body_bytes: u64 },
-    /// It has read a request.
+    /// The library has read a request.
     InProgress { body_left: u64, answer_ended: bool, written: bool },
-    /// It is given all bytes as they come.
-    Transparent,
+    /// The library is given all bytes as they arrive.
+    PassThrough,
 }
 
-/// The requests of a connection.
+/// State of the requests of a connection.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Pipeline {
     stage: Stage,
-    /// Requests started ahead that the library has not reached.
+    /// Requests started ahead that the library has not read yet.
     ahead: usize,
-    /// All unanswered requests are repeatable, as far as they are known.
+    /// All unanswered requests are repeatable, as far as is known.
     all_repeatable: bool,
-    /// The request in progress lets others follow.
+    /// Other requests may follow the one in progress.
     others_may_follow: bool,
-    /// Nothing more is started.
+    /// No more requests are started.
     closing: bool,
 }
 
@@ -88,26 +91,26 @@
             Stage::HeadGiven { .. } => NextInput::RestOfHead,
             Stage::InProgress { body_left: 0, .. } => NextInput::Wait,
             Stage::InProgress { body_left, .. } => NextInput::Body(body_left),
-            Stage::Transparent => NextInput::PassThrough,
+            Stage::PassThrough => NextInput::PassThrough,
         }
     }
 
-    /// The library is given a whole head, perhaps in pieces, and this many bytes after it.
+    /// Records that the library is given a whole head, perhaps in pieces, and this many bytes after it.
     pub fn give_head(&mut self, body_bytes: u64) {
         if self.stage == Stage::Idle {
             self.stage = Stage::HeadGiven { body_bytes };
         }
     }
 
-    /// The library was given this much of the body of the request in progress.
+    /// Records that the library was given this many bytes of the body of the request in progress.
     pub fn give_body(&mut self, bytes: u64) {
         if let Stage::InProgress { body_left, .. } = &mut self.stage {
             *body_left = body_left.saturating_sub(bytes);
         }
-        self.release();
+        self.finish_if_done();
     }
 
-    /// The library has read a request. `others_may_follow` is false where the connection ends with it.
+    /// Records that the library has read a request. `others_may_follow` is false if the connection ends with it.
     #[must_use]
     pub fn begin_request(&mut self, body: RequestBody, others_may_follow: bool) -> RequestOrigin {
         let left = match (self.stage, body) {
@@ -117,7 +120,7 @@
         };
         let was_ahead = std::mem::take(&mut self.ahead);
         let Some(body_left) = left else {
-            self.stage = Stage::Transparent;
+            self.stage = Stage::PassThrough;
             return RequestOrigin::New;
         };
         self.stage = Stage::InProgress { body_left, answer_ended: false, written: false };
@@ -126,12 +129,12 @@
             self.ahead = was_ahead - 1;
             return RequestOrigin::StartedAhead;
         }
-        // Not known before the filters have run; see [`Self::note_repeatable`].
+        // Unknown until the filters have run; see [`Self::note_repeatable`].
         self.all_repeatable = false;
         RequestOrigin::New
     }
 
-    /// Whether the request in progress, which was not started ahead, is repeatable.
+    /// Records whether the request in progress, which was not started ahead, is repeatable.
     pub fn note_repeatable(&mut self, repeatable: bool) {
         self.all_repeatable = repeatable;
     }
@@ -147,34 +150,35 @@
             && self.ahead < MAX_STARTED_AHEAD
     }
 
-    /// The next request was taken ahead: it has been started where it is repeatable, and waits for its turn where it is not.
+    /// Records that the next request was taken ahead: it has been started if it is repeatable, and waits for its turn
+    /// otherwise.
     pub fn start(&mut self, repeatable: bool) {
         self.ahead += 1;
         self.all_repeatable &= repeatable;
     }
 
-    /// Requests taken ahead that the library has not reached.
+    /// Number of requests taken ahead that the library has not read yet.
     #[must_use]
     pub fn ahead(&self) -> usize {
         self.ahead
     }
 
-    /// The library has the whole answer to the request in progress.
+    /// Records that the library has the whole answer to the request in progress.
     pub fn end_answer(&mut self) {
         if let Stage::InProgress { answer_ended, .. } = &mut self.stage {
             *answer_ended = true;
         }
     }
 
-    /// The library has written all that it holds. True where it may be given the next head now.
+    /// Records that the library has written everything it holds. Returns whether it may be given the next head now.
     pub fn flush(&mut self) -> bool {
         if let Stage::InProgress { answer_ended: true, written, .. } = &mut self.stage {
             *written = true;
         }
-        self.release()
+        self.finish_if_done()
     }
 
-    fn release(&mut self) -> bool {
+    fn finish_if_done(&mut self) -> bool {
         let is_done = self.stage == Stage::InProgress { body_left: 0, answer_ended: true, written: true };
         if is_done {
             self.stage = Stage::Idle;
@@ -182,22 +186,22 @@
         is_done
     }
 
-    /// Starts nothing more.
+    /// Starts no more requests.
     pub fn stop_starting(&mut self) {
         self.closing = true;
     }
 
-    /// Ends the connection with the answer to the request in progress, where nothing was started behind it; starts nothing more then.
-    /// Returns whether it does.
+    /// Closes the connection after the answer to the request in progress if no request was started behind it; no more
+    /// requests are started then. Returns whether it closes.
     #[must_use]
     pub fn try_close_after_this(&mut self) -> bool {
         self.closing |= self.ahead == 0;
         self.ahead == 0
     }
 
-    /// The library is given all bytes as they come from now on. Nothing that was started ahead counts any more.
+    /// Gives the library all bytes as they arrive from now on. Requests that were started ahead no longer count.
     pub fn pass_through(&mut self) {
-        self.stage = Stage::Transparent;
+        self.stage = Stage::PassThrough;
         self.ahead = 0;
     }
 }
--- a/crates/seamhatch-core/src/rendezvous.rs
+++ b/crates/seamhatch-core/src/rendezvous.rs
@@ -1,14 +1,15 @@
-//! Rendezvous (highest random weight) hashing: the same choice at every daemon from the same candidates, without agreement.
+//! Rendezvous (highest random weight) hashing: every daemon makes the same choice from the same candidates, without
+//! coordination.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The weight of `candidate` for `seed`; the largest weights are chosen.
+/// The weight of `candidate` for `seed`. The candidates with the largest weights are chosen.
 #[must_use]
 pub fn weight(seed: u64, candidate: &[u8]) -> u64 {
     xxh3_64_with_seed(candidate, seed)
 }
 
-/// The `count` candidates of largest weight for `seed`, in order of weight.
+/// The `count` candidates with the largest weights for `seed`, largest first.
 pub fn choose<'a, T>(
     seed: u64,
     candidates: impl Iterator<Item = &'a T>,
--- a/crates/seamhatch-core/src/wire_number.rs
+++ b/crates/seamhatch-core/src/wire_number.rs
@@ -1,6 +1,6 @@
-//! Numbers that name or date something in messages and documents.
+//! Newtypes of numbers that identify or timestamp something in messages and documents.
 
-/// Defines such a number: ordered, hashable, and the plain number on the wire and in JSON.
+/// Defines such a newtype: ordered, hashable, and serialized as the plain number on the wire and in JSON.
 macro_rules! wire_number {
     ($(#[$attribute:meta])* pub struct $name:ident(pub $number:ident);) => {
         $(#[$attribute])*
--- a/crates/seamhatch-core/tests/asked_peers.rs
+++ b/crates/seamhatch-core/tests/asked_peers.rs
@@ -1,7 +1,7 @@
 //! Which peers may be asked for a newer configuration.
 
 use seamhatch_core::clock::{Instant, MILLISECOND};
-use seamhatch_core::generation::{ASK_AGAIN, AskedPeers};
+use seamhatch_core::generation::{ASK_AGAIN_INTERVAL, AskedPeers};
 use seamhatch_core::identity::Address;
 
 /// A question at a time in milliseconds, and whether it may be asked.
@@ -17,7 +17,7 @@
 /// A peer whose answer was lost was not asked again until a configuration came in another way.
 #[test]
 fn a_peer_that_has_not_answered_is_asked_again() {
-    let again_ms = ASK_AGAIN / MILLISECOND;
+    let again_ms = ASK_AGAIN_INTERVAL / MILLISECOND;
     let case = |name, peer, at_ms, arrives, may_ask| AskCase { name, peer, at_ms, arrives, may_ask };
     let cases = [
         case("the first question", 1, 0, false, true),
