--- a/crates/seamhatch-core/tests/drain.rs
+++ b/crates/seamhatch-core/tests/drain.rs
@@ -8,7 +8,7 @@
 
 const NOW: Instant = Instant(100 * SECOND);
 
-/// Serves, with ten seconds of grace.
+/// Not draining, with a grace period of ten seconds.
 const SERVING: StopState =
     StopState { phase: IntakePhase::Open, draining_for: None, grace: Some(Duration::from_secs(10)) };
 
@@ -18,12 +18,12 @@
     StopState { draining_for: Some(span), ..SERVING }
 }
 
-/// Drains for a second, with its intake in this phase.
+/// Draining for a second, with the intake in this phase.
 fn in_phase(phase: IntakePhase) -> StopState {
     StopState { phase, ..draining(SECOND) }
 }
 
-/// A state, and which calls its server gets.
+/// A state, and which calls the server gets in it.
 struct IntakeCase {
     name: &'static str,
     ready: bool,
@@ -41,10 +41,14 @@
         case("begins to drain", draining(0), left(9500 * MILLISECOND)),
         case("drains", draining(4 * SECOND), left(5500 * MILLISECOND)),
         case("has no time left", draining(9500 * MILLISECOND), CallIntake::Closed),
-        case("is over time", draining(60 * SECOND), CallIntake::Closed),
+        case("has exceeded its grace period", draining(60 * SECOND), CallIntake::Closed),
         case("is closed to callers", in_phase(IntakePhase::CallsOnly), CallIntake::Closed),
         case("is closed", in_phase(IntakePhase::Closed), CallIntake::Closed),
-        case("nothing bounds its stop", StopState { grace: None, ..draining(SECOND) }, CallIntake::Closed),
+        case(
+            "has an unbounded grace period",
+            StopState { grace: None, ..draining(SECOND) },
+            CallIntake::Closed,
+        ),
         IntakeCase { ready: false, ..case("not ready", SERVING, CallIntake::Closed) },
         IntakeCase {
             back_end: BackEndState { open: false, ..OPEN },
@@ -64,7 +68,7 @@
     }
 }
 
-/// A state, and what it accepts: callers, a call that is useless in a second, one that is in a minute.
+/// A state, and what is accepted in it: callers, a call with a deadline in a second, one with a deadline in a minute.
 struct FinishCase {
     name: &'static str,
     state: StopState,
@@ -73,9 +77,9 @@
     long_call: bool,
 }
 
-/// What is accepted late must be able to end before the process does.
+/// Work that is accepted late must be able to end before the process does.
 #[test]
-fn late_calls_and_callers_are_accepted_only_while_they_can_end() {
+fn late_calls_and_callers_are_accepted_only_if_they_can_end_in_time() {
     let cases = [
         FinishCase { name: "serves", state: SERVING, callers: true, short_call: true, long_call: true },
         FinishCase {
@@ -114,7 +118,7 @@
             long_call: false,
         },
         FinishCase {
-            name: "is closed to callers, the calls have been taken",
+            name: "is closed to callers, the calls have been accepted",
             state: in_phase(IntakePhase::CallsOnly),
             callers: false,
             short_call: true,
@@ -128,7 +132,7 @@
             long_call: false,
         },
         FinishCase {
-            name: "nothing bounds its stop",
+            name: "has an unbounded grace period",
             state: StopState { grace: None, ..draining(60 * SECOND) },
             callers: true,
             short_call: true,
@@ -143,37 +147,39 @@
     }
 }
 
-/// Time left, in milliseconds, the usual time of a kind of calls, and whether a call of another daemon and one of a request that runs here are taken.
+/// Time left and usual duration of a kind of calls, in milliseconds; whether a call from another daemon and one made
+/// by a request that runs here are accepted.
 struct LateCase {
     left_ms: u64,
     usual_ms: Option<u64>,
-    of_peer: bool,
-    of_own: bool,
+    from_peer: bool,
+    from_here: bool,
 }
 
-/// A call that was taken in the last moments, whatever it takes, was cut off by the end of the process.
+/// Calls that were accepted in the last moments, whatever their duration, were cut off by the end of the process.
 #[test]
-fn late_calls_are_taken_where_their_kind_usually_ends_in_time() {
+fn late_calls_are_accepted_if_their_kind_usually_ends_in_time() {
     let cases = [
-        LateCase { left_ms: 1_000, usual_ms: None, of_peer: false, of_own: true },
-        LateCase { left_ms: 1_000, usual_ms: Some(500), of_peer: true, of_own: true },
-        LateCase { left_ms: 1_000, usual_ms: Some(501), of_peer: false, of_own: true },
-        LateCase { left_ms: 400, usual_ms: Some(399), of_peer: false, of_own: true },
-        LateCase { left_ms: 400, usual_ms: Some(400), of_peer: false, of_own: false },
-        LateCase { left_ms: 0, usual_ms: None, of_peer: false, of_own: false },
+        LateCase { left_ms: 1_000, usual_ms: None, from_peer: false, from_here: true },
+        LateCase { left_ms: 1_000, usual_ms: Some(500), from_peer: true, from_here: true },
+        LateCase { left_ms: 1_000, usual_ms: Some(501), from_peer: false, from_here: true },
+        LateCase { left_ms: 400, usual_ms: Some(399), from_peer: false, from_here: true },
+        LateCase { left_ms: 400, usual_ms: Some(400), from_peer: false, from_here: false },
+        LateCase { left_ms: 0, usual_ms: None, from_peer: false, from_here: false },
     ];
-    for LateCase { left_ms, usual_ms, of_peer, of_own } in cases {
+    for LateCase { left_ms, usual_ms, from_peer, from_here } in cases {
         let state = draining(9_500 * MILLISECOND - left_ms * MILLISECOND);
         let usual = usual_ms.map(|span| span * MILLISECOND);
         let far = NOW.plus(60 * SECOND);
         let taken = (state.can_finish(far, usual, NOW), state.admits_call(usual));
-        assert_eq!(taken, (of_peer, of_own), "{left_ms} ms left, usually {usual_ms:?}");
+        assert_eq!(taken, (from_peer, from_here), "{left_ms} ms left, usually {usual_ms:?}");
     }
 }
 
-/// What is sent on ends before the process does, with an answer of its server; without a stop, or a bound of it, its deadline stays.
+/// Forwarded work ends before the process does, with an answer from its server. Without a drain, or with an unbounded
+/// one, its deadline stays.
 #[test]
-fn what_is_sent_on_during_a_drain_is_due_before_the_process_ends() {
+fn work_forwarded_during_a_drain_is_due_before_the_process_ends() {
     let far = NOW.plus(60 * SECOND);
     let unbounded = StopState { grace: None, ..draining(SECOND) };
     let cases = [
@@ -188,9 +194,9 @@
     }
 }
 
-/// A request that is neither counted before the border nor refused after it would be passed on and cut off.
+/// A request that is neither counted before the intake closes nor refused after it would be passed on and cut off.
 #[test]
-fn the_intake_closes_only_where_nothing_is_in_progress_or_by_force() {
+fn the_intake_closes_when_idle_or_by_force() {
     let mut gate = IntakeGate::default();
     assert_eq!(gate.take(), Ok(()));
     gate.close_to_callers();
@@ -202,7 +208,7 @@
     assert!(gate.close_if_idle());
     assert_eq!((gate.take(), gate.in_progress()), (Err(IntakeClosed), 0));
     gate.close_to_callers();
-    assert_eq!(gate.phase(), IntakePhase::Closed, "a border is not crossed back");
+    assert_eq!(gate.phase(), IntakePhase::Closed, "a closed intake does not reopen");
 
     let mut gate = IntakeGate::default();
     assert_eq!(gate.take(), Ok(()));
--- a/crates/seamhatch-core/tests/freshness.rs
+++ b/crates/seamhatch-core/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! Proof that a configuration is the newest: what counts, from when on, and what never does.
+//! Which proofs of freshness count, from when on, and for how long.
 
 use seamhatch_core::Instant;
 use seamhatch_core::freshness::{FreshnessProof, FreshnessTracker};
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, Copy)]
 enum Step {
     InForce(u64),
-    /// A proof of a generation at an instant.
+    /// A proof for a generation at an instant.
     Proof(u64, u64),
 }
 
@@ -18,7 +18,7 @@
 }
 
 const CASES: [ProofCase; 8] = [
-    ProofCase { name: "nothing told", steps: &[Step::InForce(1)], proved: None },
+    ProofCase { name: "no proof", steps: &[Step::InForce(1)], proved: None },
     ProofCase {
         name: "the generation in force",
         steps: &[Step::InForce(1), Step::Proof(1, 10)],
@@ -30,7 +30,7 @@
         proved: Some((3, 10)),
     },
     ProofCase {
-        name: "a newer one does not count",
+        name: "a newer generation does not count",
         steps: &[Step::InForce(1), Step::Proof(2, 10)],
         proved: None,
     },
@@ -45,12 +45,12 @@
         proved: Some((1, 10)),
     },
     ProofCase {
-        name: "a later generation keeps the proof",
+        name: "a newer generation keeps the proof",
         steps: &[Step::InForce(1), Step::Proof(1, 10), Step::InForce(2)],
         proved: Some((2, 10)),
     },
     ProofCase {
-        name: "the youngest awaited one counts",
+        name: "the most recent pending proof counts",
         steps: &[
             Step::InForce(1),
             Step::Proof(3, 20),
@@ -80,7 +80,7 @@
     }
 }
 
-/// A proof's age against the operator's bound, less the margin of the clocks.
+/// A proof counts up to the operator's bound, less the clock margin.
 #[test]
 fn a_proof_counts_until_shortly_before_the_bound() {
     let bound = 5_000_000;
--- a/crates/seamhatch-core/tests/instance.rs
+++ b/crates/seamhatch-core/tests/instance.rs
@@ -1,4 +1,4 @@
-//! Which instance of the back end takes work, whatever order its messages arrive in.
+//! Which instance of the back end takes calls, for heartbeats and departures that arrive in any order.
 
 use seamhatch_core::Instant;
 use seamhatch_core::clock::SECOND;
@@ -50,9 +50,9 @@
     assert!(registry.open().is_some());
 }
 
-/// A daemon that restarted learns from others what departed before the late heartbeat arrives.
+/// A restarted daemon learns of a departure from other daemons before the late heartbeat arrives.
 #[test]
-fn a_departure_that_others_remember_counts_before_any_heartbeat() {
+fn a_departure_learned_from_others_counts_before_any_heartbeat() {
     let mut registry = InstanceRegistry::default();
     assert!(!registry.depart(&InstanceId::named("a")));
     assert_eq!(registry.heartbeat(ready("a", 9), NOW), HeartbeatVerdict::Stale);
@@ -67,20 +67,20 @@
     assert_eq!(registry.open().map(|open| open.id.name.as_str()), Some("b"));
 }
 
-/// What the back ends at one address, or who talks to them, tell the daemon.
+/// An event about the back ends at one address.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Ready(&'static str, u64),
     Draining(&'static str, u64),
-    Goodbye(&'static str),
+    Departed(&'static str),
     /// The back end answered a call for the instance as another one.
     Misdirected(&'static str),
     Unreachable(&'static str),
-    /// Nothing is heard for this many seconds.
+    /// No event for this many seconds.
     Silence(u64),
 }
 
-/// Steps, each with the instance that takes work afterwards.
+/// Events, each with the instance that takes calls afterwards.
 struct SupersessionCase {
     name: &'static str,
     steps: &'static [(Step, Option<&'static str>)],
@@ -136,7 +136,7 @@
         ],
     },
     SupersessionCase {
-        name: "a repeated heartbeat is no sign of life",
+        name: "a repeated heartbeat does not refute a supersession",
         steps: &[
             (Step::Ready("b", 3), Some("b")),
             (Step::Ready("a", 7), Some("a")),
@@ -183,11 +183,11 @@
         ],
     },
     SupersessionCase {
-        name: "an instance that said goodbye after it was superseded never comes back",
+        name: "an instance that departed after it was superseded never comes back",
         steps: &[
             (Step::Ready("a", 7), Some("a")),
             (Step::Ready("b", 1), Some("b")),
-            (Step::Goodbye("a"), Some("b")),
+            (Step::Departed("a"), Some("b")),
             (Step::Ready("a", 8), Some("b")),
             (Step::Ready("a", 9), Some("b")),
             (Step::Misdirected("b"), None),
@@ -214,7 +214,7 @@
         steps: &[
             (Step::Ready("a", 7), Some("a")),
             (Step::Ready("b", 1), Some("b")),
-            (Step::Goodbye("b"), None),
+            (Step::Departed("b"), None),
             (Step::Draining("a", 8), None),
             (Step::Ready("a", 9), None),
             (Step::Ready("a", 10), None),
@@ -233,7 +233,7 @@
         ],
     },
     SupersessionCase {
-        name: "a late word of draining closes nobody else",
+        name: "a late draining heartbeat closes no other instance",
         steps: &[
             (Step::Ready("b", 1), Some("b")),
             (Step::Draining("a", 9), Some("b")),
@@ -244,7 +244,7 @@
 ];
 
 #[test]
-fn a_supersession_is_a_guess_that_later_word_refutes() {
+fn a_wrong_supersession_is_refuted_by_later_events() {
     for case in SUPERSESSIONS {
         let mut registry = InstanceRegistry::default();
         let mut now = NOW;
@@ -256,7 +256,7 @@
                 Step::Draining(instance, sequence) => {
                     registry.heartbeat(draining(instance, sequence), now);
                 }
-                Step::Goodbye(instance) => {
+                Step::Departed(instance) => {
                     registry.depart(&InstanceId::named(instance));
                 }
                 Step::Misdirected(instance) => {
@@ -297,25 +297,26 @@
     assert!(registry.open().is_some());
 }
 
-fn life(name: &str, born: u64) -> InstanceId {
+fn started_at(name: &str, born: u64) -> InstanceId {
     InstanceId { name: name.into(), born: Some(born) }
 }
 
-/// Heartbeats of lives under one name, each as (born, sequence, state), and whose turn it is afterwards.
-struct LivesCase {
+/// Heartbeats of instances of one name, each as (start time, sequence, state), and the instance that takes calls
+/// afterwards.
+struct RestartCase {
     name: &'static str,
     steps: &'static [(Option<u64>, u64, InstanceState)],
     open: Option<Option<u64>>,
 }
 
-const LIVES: [LivesCase; 7] = [
-    LivesCase {
-        name: "a later life counts from its first heartbeat",
+const RESTARTS: [RestartCase; 7] = [
+    RestartCase {
+        name: "a later instance counts from its first heartbeat",
         steps: &[(Some(5), 40, InstanceState::Ready), (Some(9), 1, InstanceState::Ready)],
         open: Some(Some(9)),
     },
-    LivesCase {
-        name: "a late heartbeat of the earlier life does nothing",
+    RestartCase {
+        name: "a late heartbeat of an earlier instance has no effect",
         steps: &[
             (Some(5), 40, InstanceState::Ready),
             (Some(9), 1, InstanceState::Ready),
@@ -324,8 +325,8 @@
         ],
         open: Some(Some(9)),
     },
-    LivesCase {
-        name: "nor does its late word that it leaves",
+    RestartCase {
+        name: "nor has its late draining heartbeat",
         steps: &[
             (Some(5), 40, InstanceState::Ready),
             (Some(9), 1, InstanceState::Ready),
@@ -333,31 +334,31 @@
         ],
         open: Some(Some(9)),
     },
-    LivesCase {
-        name: "an earlier life that drained does not close the later one",
+    RestartCase {
+        name: "an earlier instance that drained does not close the later one",
         steps: &[(Some(5), 40, InstanceState::Draining), (Some(9), 1, InstanceState::Ready)],
         open: Some(Some(9)),
     },
-    LivesCase {
-        name: "a late heartbeat of an earlier life never opens it",
+    RestartCase {
+        name: "a late heartbeat of an earlier instance never opens it",
         steps: &[(Some(9), 3, InstanceState::Draining), (Some(5), 41, InstanceState::Ready)],
         open: None,
     },
-    LivesCase {
-        name: "without the moment of a start, the sequence decides",
+    RestartCase {
+        name: "without a start time, the sequence decides",
         steps: &[(None, 40, InstanceState::Ready), (None, 1, InstanceState::Draining)],
         open: Some(None),
     },
-    LivesCase {
-        name: "a heartbeat without it is of the life that is there",
+    RestartCase {
+        name: "a heartbeat without a start time is of the registered instance",
         steps: &[(Some(5), 4, InstanceState::Ready), (None, 5, InstanceState::Draining)],
         open: None,
     },
 ];
 
 #[test]
-fn lives_under_one_name_are_told_apart_by_their_start() {
-    for case in LIVES {
+fn instances_of_one_name_are_told_apart_by_their_start_time() {
+    for case in RESTARTS {
         let mut registry = InstanceRegistry::default();
         for (born, sequence, state) in case.steps {
             let instance = InstanceId { name: "a".into(), born: *born };
@@ -369,14 +370,14 @@
 }
 
 #[test]
-fn a_departure_binds_lives_up_to_the_one_that_said_it() {
+fn a_departure_covers_instances_of_its_name_up_to_its_start_time() {
     let mut registry = InstanceRegistry::default();
-    registry.depart(&life("a", 5));
-    let beat = |born, sequence| Heartbeat { instance: life("a", born), ..ready("a", sequence) };
+    registry.depart(&started_at("a", 5));
+    let beat = |born, sequence| Heartbeat { instance: started_at("a", born), ..ready("a", sequence) };
     assert_eq!(registry.heartbeat(beat(4, 9), NOW), HeartbeatVerdict::Stale);
     assert_eq!(registry.heartbeat(beat(5, 9), NOW), HeartbeatVerdict::Stale);
     assert_eq!(registry.heartbeat(beat(6, 1), NOW), HeartbeatVerdict::Opened);
-    assert!(!registry.depart(&life("a", 5)), "said again, late");
+    assert!(!registry.depart(&started_at("a", 5)), "repeated late");
     assert!(registry.open().is_some());
-    assert!(registry.depart(&life("a", 6)));
+    assert!(registry.depart(&started_at("a", 6)));
 }
--- a/crates/seamhatch-core/tests/membership.rs
+++ b/crates/seamhatch-core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership over a simulated network.
+//! The membership protocol over a simulated network.
 
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, SECOND};
@@ -22,7 +22,7 @@
     Membership::new(policy, info(number, "s"), Incarnation(incarnation), seeds)
 }
 
-/// A member of a service, with the first one as its seed.
+/// A member of `service` whose seed is the first member.
 fn member_of(number: usize, service: &str) -> Membership {
     Membership::new(MembershipPolicy::default(), info(number, service), Incarnation(1), vec![address(0)])
 }
@@ -40,7 +40,7 @@
     }
 }
 
-/// A network without delay whose members can be cut off.
+/// A network without delay, from which members can be cut off.
 struct Network {
     members: Vec<Membership>,
     cut_off: BTreeSet<usize>,
@@ -101,9 +101,9 @@
     assert!((0..12).all(|number| network.live(number) == 12));
 }
 
-/// Seen in the demonstration: two groups formed around different seeds and never met.
+/// Two groups that formed around different seeds used to stay apart for good.
 #[test]
-fn groups_that_formed_apart_meet_through_seeds() {
+fn groups_around_different_seeds_merge() {
     let mut members: Vec<Membership> = (0..2).map(|number| member(number, 1, &[0, 1])).collect();
     members.extend((2..6).map(|number| member(number, 1, &[2, 3])));
     let mut network = Network::new(members);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_silent_member_is_dead_within_seconds_and_comes_back() {
+fn an_unreachable_member_is_declared_dead_and_rejoins() {
     let mut network = Network::new((0..8).map(|number| member(number, 1, &[0])).collect());
     network.run(5);
     network.cut_off.insert(7);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn leaving_sticks_until_the_next_incarnation() {
+fn leaving_holds_until_the_next_incarnation() {
     let mut network = Network::new((0..4).map(|number| member(number, 1, &[0])).collect());
     network.members.iter_mut().for_each(|member| member.set_lifecycle(Lifecycle::Ready));
     network.run(5);
@@ -156,43 +156,43 @@
     assert!([0, 1, 3].into_iter().all(|observer| takes_work(&network, observer)));
 }
 
-/// How a member went, and whether it comes back at the end.
-struct GoneCase {
+/// How a member goes away, and whether it comes back at the end.
+struct EvictionCase {
     name: &'static str,
     leaves: bool,
     returns: bool,
 }
 
-/// Lists may not grow with the machines that were ever there. Members forget the same one at different
-/// times, and each that still knew it gave it back to those that had forgotten.
+/// Member lists must not grow with every machine that ever existed. Members evict a record at different times; those
+/// that still held it used to send it back to those that had evicted it.
 #[test]
-fn a_member_that_is_gone_for_long_is_forgotten_by_all() {
-    const REMEMBERED_S: u64 = 40;
+fn dead_and_left_members_are_evicted_by_all() {
+    const TOMBSTONE_S: u64 = 40;
     let cases = [
-        GoneCase { name: "left", leaves: true, returns: false },
-        GoneCase { name: "lost", leaves: false, returns: false },
-        GoneCase { name: "lost, and back", leaves: false, returns: true },
+        EvictionCase { name: "left", leaves: true, returns: false },
+        EvictionCase { name: "lost", leaves: false, returns: false },
+        EvictionCase { name: "lost, then back", leaves: false, returns: true },
     ];
     let policy =
-        MembershipPolicy { tombstone_retention: REMEMBERED_S * SECOND, ..MembershipPolicy::default() };
+        MembershipPolicy { tombstone_retention: TOMBSTONE_S * SECOND, ..MembershipPolicy::default() };
     for case in cases {
         let members = (0..6).map(|number| member_with(policy, number, 1, &[0])).collect();
         let mut network = Network::new(members);
         network.run(5);
         if case.leaves {
             network.members[5].set_lifecycle(Lifecycle::Left);
-            let farewell = network.members[5].announce();
-            network.deliver(5, farewell);
+            let announcement = network.members[5].announce();
+            network.deliver(5, announcement);
         }
         network.cut_off.insert(5);
         network.run(20);
         assert!((0..5).all(|number| network.live(number) == 5), "{}", case.name);
-        // One hears of it late: its memory ends later than the others'.
+        // One member restarts: if it learns of the gone member late, it evicts the record later than the others.
         network.members[4] = member_with(policy, 4, 2, &[0]);
-        network.run(2 * REMEMBERED_S);
+        network.run(2 * TOMBSTONE_S);
         let known =
             |network: &Network| (0..5).filter(|number| network.liveness(*number, 5).is_some()).count();
-        assert_eq!(known(&network), 0, "{}: still known", case.name);
+        assert_eq!(known(&network), 0, "{}: not evicted", case.name);
         if case.returns {
             network.cut_off.clear();
             network.run(15);
@@ -201,9 +201,10 @@
     }
 }
 
-/// Two that know the same live members have nothing to exchange, whatever one of them remembers of the gone.
+/// Members that know the same live members have nothing to sync, whatever one of them remembers of dead and left
+/// ones.
 #[test]
-fn digests_differ_by_live_members_only() {
+fn digests_depend_on_live_members_only() {
     let mut network = Network::new((0..4).map(|number| member(number, 1, &[0])).collect());
     network.run(5);
     network.cut_off.insert(3);
@@ -215,40 +216,45 @@
     assert_ne!(digest(0), digest(3));
 }
 
-/// Who is told of a suspect.
+/// Number of members that a suspect is reported to.
 struct SuspectCase {
     name: &'static str,
     members: usize,
     crashes: u64,
-    told: usize,
+    reported_to: usize,
 }
 
 #[test]
-fn suspects_of_one_crash_are_told_to_the_service_alone_where_members_are_many() {
+fn suspects_of_one_crash_are_reported_only_to_the_service_in_large_deployments() {
     let cases = [
-        SuspectCase { name: "one crash, few members", members: 16, crashes: 1, told: 15 },
-        SuspectCase { name: "one crash, many members", members: 60, crashes: 1, told: 9 },
-        SuspectCase { name: "two crashes, many members", members: 60, crashes: 2, told: 59 },
+        SuspectCase { name: "one crash, few members", members: 16, crashes: 1, reported_to: 15 },
+        SuspectCase { name: "one crash, many members", members: 60, crashes: 1, reported_to: 9 },
+        SuspectCase { name: "two crashes, many members", members: 60, crashes: 2, reported_to: 59 },
     ];
     for case in cases {
-        // Every sixth member is of the same service as the first one.
+        // Every sixth member belongs to the service of the first one.
         let service = |number: usize| if number.is_multiple_of(6) { "s" } else { "other" };
         let mut network =
             Network::new((0..case.members).map(|number| member_of(number, service(number))).collect());
         network.run(30);
         let mut record = SuspectRecord::new(RequestDigest(1));
-        (0..case.crashes).for_each(|life| {
-            record.add(InstanceDigest(life), false);
+        (0..case.crashes).for_each(|crash| {
+            record.add(InstanceDigest(crash), false);
         });
         let outgoing = network.members[0].spread_suspects(&[SuspectReport { record, age: 0 }]);
-        let told: BTreeSet<Address> = outgoing.iter().map(|(target, _)| *target).collect();
-        assert_eq!((told.len(), outgoing.len()), (case.told, case.told), "{}", case.name);
+        let reported_to: BTreeSet<Address> = outgoing.iter().map(|(target, _)| *target).collect();
+        assert_eq!(
+            (reported_to.len(), outgoing.len()),
+            (case.reported_to, case.reported_to),
+            "{}",
+            case.name
+        );
     }
 }
 
-/// A member whose only seed that was asked was away knew nobody for a second.
+/// A starting member whose only asked seed was down used to know no other member for a second.
 #[test]
-fn a_member_that_starts_asks_again_soon_until_it_has_a_list() {
+fn a_starting_member_repeats_its_sync_until_a_list_arrives() {
     let seeds = [1, 2, 3, 4, 5];
     for alive in seeds {
         let mut members: Vec<Membership> = (0..6).map(|number| member(number, 1, &[alive])).collect();
@@ -259,7 +265,7 @@
         while !network.members[0].has_received_list() {
             network.run_ticks(1);
             ticks += 1;
-            assert!(ticks <= 20, "nothing of seed {alive} in {ticks} ticks");
+            assert!(ticks <= 20, "no list from seed {alive} within {ticks} ticks");
         }
         assert!(network.members[0].member(address(alive)).is_some());
     }
--- a/crates/seamhatch-core/tests/roster.rs
+++ b/crates/seamhatch-core/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Changes of witnesses while daemons stop and start in order.
+//! Changes of witnesses while daemons stop gracefully and start.
 
 use seamhatch_core::claims::Epoch;
 use seamhatch_core::identity::{Address, Incarnation};
@@ -15,63 +15,63 @@
     Assignment { epoch: Epoch(epoch), witnesses: witnesses.iter().copied().map(witness).collect() }
 }
 
-/// Witnesses 1, 2 and 3; what becomes of them, and who could take their place.
+/// State of the witnesses 1, 2 and 3, and the candidates to replace them.
 struct PlanCase {
     name: &'static str,
     leaving: &'static [u8],
-    gone: &'static [u8],
+    unreachable: &'static [u8],
     unknown: &'static [u8],
     ready: &'static [u8],
     starting: &'static [u8],
-    /// Those that follow, in any order; none where nothing is to change.
+    /// Witnesses after the change, in any order; `None` if nothing changes.
     next: Option<&'static [u8]>,
 }
 
-/// A daemon that stops in order left its shards without a majority where nobody else took work at that moment. One that had just started
-/// took the witnesses that it did not know yet for gone.
+/// A daemon that shut down gracefully used to leave its shards without a majority if no other daemon took work at
+/// that moment. A daemon that had just started used to treat witnesses that it did not know yet as dead.
 #[test]
-fn a_witness_that_stops_is_replaced_or_dropped() {
+fn a_leaving_witness_is_replaced_or_dropped() {
     let cases = [
         PlanCase {
             name: "all stay",
             leaving: &[],
-            gone: &[],
+            unreachable: &[],
             unknown: &[],
             ready: &[1, 2, 3, 4],
             starting: &[],
             next: None,
         },
         PlanCase {
-            name: "another takes its place",
+            name: "a ready daemon replaces it",
             leaving: &[1],
-            gone: &[],
+            unreachable: &[],
             unknown: &[],
             ready: &[2, 3, 4],
             starting: &[],
             next: Some(&[2, 3, 4]),
         },
         PlanCase {
-            name: "one that takes work goes before one that starts",
+            name: "a ready daemon is preferred to a starting one",
             leaving: &[1],
-            gone: &[],
+            unreachable: &[],
             unknown: &[],
             ready: &[2, 3, 4],
             starting: &[5, 6, 7],
             next: Some(&[2, 3, 4]),
         },
         PlanCase {
-            name: "only one that starts is left",
+            name: "only a starting daemon is left",
             leaving: &[1],
-            gone: &[],
+            unreachable: &[],
             unknown: &[],
             ready: &[2, 3],
             starting: &[5],
             next: Some(&[2, 3, 5]),
         },
         PlanCase {
-            name: "nobody can take its place",
+            name: "no daemon can replace it",
             leaving: &[1],
-            gone: &[],
+            unreachable: &[],
             unknown: &[],
             ready: &[2, 3],
             starting: &[],
@@ -80,16 +80,16 @@
         PlanCase {
             name: "two stop and one is left",
             leaving: &[1, 2],
-            gone: &[],
+            unreachable: &[],
             unknown: &[],
             ready: &[3],
             starting: &[],
             next: Some(&[3]),
         },
         PlanCase {
-            name: "a witness is gone and nobody can take its place",
+            name: "a witness is unreachable and no daemon can replace it",
             leaving: &[],
-            gone: &[1],
+            unreachable: &[1],
             unknown: &[],
             ready: &[2, 3],
             starting: &[],
@@ -98,7 +98,7 @@
         PlanCase {
             name: "all stop",
             leaving: &[1, 2, 3],
-            gone: &[],
+            unreachable: &[],
             unknown: &[],
             ready: &[],
             starting: &[],
@@ -109,7 +109,7 @@
         let shard = ShardRoster { current: assignment(1, &[1, 2, 3]), previous: Vec::new() };
         let health = |id: &WitnessId| match id {
             id if case.leaving.iter().any(|number| witness(*number) == *id) => WitnessHealth::Leaving,
-            id if case.gone.iter().any(|number| witness(*number) == *id) => WitnessHealth::Unreachable,
+            id if case.unreachable.iter().any(|number| witness(*number) == *id) => WitnessHealth::Unreachable,
             id if case.unknown.iter().any(|number| witness(*number) == *id) => WitnessHealth::Unknown,
             _ => WitnessHealth::Live,
         };
@@ -131,19 +131,19 @@
     }
 }
 
-/// Whether witness 1 may end.
+/// Whether the process of witness 1 may end.
 struct ReleaseCase {
     name: &'static str,
     current: Assignment,
     previous: Vec<Assignment>,
-    /// The last epoch that was installed at it.
+    /// The last epoch that was installed at witness 1.
     installed: Option<u64>,
     released: bool,
 }
 
-/// A stopped witness whose claims lay only with a coordinator was gone with them when that ended too.
+/// Claims that only a coordinator holds after their witness has stopped are lost if the coordinator ends too.
 #[test]
-fn a_witness_is_released_when_the_roster_lists_it_no_more() {
+fn a_witness_is_released_once_the_roster_no_longer_lists_it() {
     let cases = [
         ReleaseCase {
             name: "never a witness",
@@ -181,7 +181,7 @@
             released: true,
         },
         ReleaseCase {
-            name: "by a roster that is older than what it serves",
+            name: "by a roster that is older than the epoch installed at it",
             current: assignment(4, &[2, 3, 4]),
             previous: vec![],
             installed: Some(5),
