--- a/crates/seamhatch-core/src/admission/floor.rs
+++ b/crates/seamhatch-core/src/admission/floor.rs
@@ -155,7 +155,7 @@
         let target = self.sustainable_level().max(excess_level).max(self.lowest_level());
         self.level = self.level.min(target);
         // These calls were refused under the previous level. Left in the count, they would hold the floor down for
-        // another second, at the lowest level that any tick of that second allowed.
+        // another second and take it to the level that fits the fewest calls served in any tick of that second.
         self.refused = 0.0;
         self.step = FIRST_STEP;
     }
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Whether the refused calls are more than chance explains.
+    /// Whether there are more refused calls than chance explains.
     fn exceeds_tolerance(&self, refused: f32) -> bool {
         refused > TOLERATED_REFUSALS.max(self.served * TOLERATED_REFUSED_SHARE)
     }
--- a/crates/seamhatch-core/src/admission/kept.rs
+++ b/crates/seamhatch-core/src/admission/kept.rs
@@ -13,10 +13,10 @@
 /// delay.
 const KEPT_GROWTH: f64 = 1.1;
 
-/// Smallest factor to which they shrink per tick.
+/// Smallest shrink factor of the kept buckets per tick.
 const KEPT_SHRINKAGE: f64 = 0.5;
 
-/// Factor to which they shrink in a tick in which more of their calls wait than the class has places. The queue limits
+/// Shrink factor for a tick in which more of their calls wait than the class has places. The queue limits
 /// a waiting class to its share, so its slot use can't show that too many buckets are admitted. Undoes two ticks of
 /// [`KEPT_GROWTH`].
 const OVER_SHARE_SHRINKAGE: f64 = 0.8;
--- a/crates/seamhatch-core/src/admission/knee/mod.rs
+++ b/crates/seamhatch-core/src/admission/knee/mod.rs
@@ -92,8 +92,8 @@
         self.best_limit
     }
 
-    /// Records that a call starts, which makes `running` calls. Returns a mark to pass to [`Self::observe`] at its end
-    /// if the call is part of a probe.
+    /// Records that a call starts; `running` is the number of running calls, including this one. Returns a mark to pass
+    /// to [`Self::observe`] with the service time if the call is part of a probe.
     pub fn call_started(&mut self, running: u32, kind: CallKind, now: Instant) -> Option<ProbeMark> {
         if running < self.limit() {
             return None;
--- a/crates/seamhatch-core/src/admission/knee/probe.rs
+++ b/crates/seamhatch-core/src/admission/knee/probe.rs
@@ -33,6 +33,7 @@
 /// Throughput gain from which on a lower limit is preferred (natural logarithm).
 const MIN_GAIN: f64 = 0.02;
 
+/// One of the two limits of a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Arm {
     Lower,
--- a/crates/seamhatch-core/src/admission/queue/mod.rs
+++ b/crates/seamhatch-core/src/admission/queue/mod.rs
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Service time at the back end relative to its usual one; `None` if the back end reports no figure.
+    /// Pace of the back end, to be reported to other daemons; `None` if the back end reports no percentage.
     #[must_use]
     pub fn pace(&self, now: Instant) -> Option<ServerPace> {
         self.pace.report(now)
--- a/crates/seamhatch-core/src/admission/waiting.rs
+++ b/crates/seamhatch-core/src/admission/waiting.rs
@@ -8,7 +8,7 @@
 use crate::priority::PriorityClass;
 use std::collections::{BTreeMap, HashMap};
 
-/// Order within a class: whether the call is the first of its request, its bucket, when its root was admitted, its
+/// Order within a class: whether the call is the first of its chain, its bucket, when its root was admitted, its
 /// ticket.
 type OrderKey = (bool, u8, Instant, Ticket);
 
--- a/crates/seamhatch-core/src/balance/outlier.rs
+++ b/crates/seamhatch-core/src/balance/outlier.rs
@@ -1,8 +1,8 @@
 //! Outlier ejection: detection of servers whose answers get lost.
 //!
 //! Two measures use the same events. [`Ejection`] excludes a server after consecutive losses, for a time that grows
-//! with each further ejection. [`SuccessRate`] raises the cost of a server that loses only some of its answers, not
-//! consecutive ones.
+//! with each further ejection. [`SuccessRate`] raises the cost of a server that loses only some of its answers, so that
+//! its losses are not consecutive.
 
 use crate::clock::{Instant, MILLISECOND, Microseconds, SECOND};
 
--- a/crates/seamhatch-core/tests/pipeline.rs
+++ b/crates/seamhatch-core/tests/pipeline.rs
@@ -103,8 +103,8 @@
     assert_eq!(pipeline.next_input(), NextInput::NextHead);
 }
 
-/// If the library parses a request differently than the reader assumed, the library is right and the reader stops
-/// assuming.
+/// If the library finds another end of a request than the reader assumed, the started requests are dropped, and all
+/// further bytes are passed through to the library.
 #[test]
 fn the_library_overrides_the_reader() {
     let mut unread = in_progress();
