--- a/crates/seamhatch-core/src/answer_times.rs
+++ b/crates/seamhatch-core/src/answer_times.rs
@@ -10,7 +10,7 @@
 use std::collections::HashMap;
 
 /// Maximum number of kinds of requests that are remembered; all are forgotten when there are more.
-const MOST_KINDS: usize = 4_096;
+const MAX_KINDS: usize = 4_096;
 
 /// Answer times by kind of request.
 #[derive(Debug, Default)]
@@ -19,7 +19,7 @@
 impl AnswerTimes {
     /// Records how long a request of this kind took.
     pub fn learn(&mut self, kind: &str, took: Microseconds) {
-        if self.0.len() >= MOST_KINDS && !self.0.contains_key(kind) {
+        if self.0.len() >= MAX_KINDS && !self.0.contains_key(kind) {
             self.0.clear();
         }
         match self.0.get_mut(kind) {
--- a/crates/seamhatch-core/src/chain_cost.rs
+++ b/crates/seamhatch-core/src/chain_cost.rs
@@ -23,10 +23,10 @@
 const COST_LIFETIME: Microseconds = 60 * SECOND;
 
 /// Maximum number of kinds of requests that are remembered; all are forgotten when there are more.
-const MOST_KINDS: usize = 4_096;
+const MAX_KINDS: usize = 4_096;
 
 /// Maximum number of services that an answer reports, and that are remembered for each kind.
-pub const MOST_SERVICES: usize = 16;
+pub const MAX_SERVICES: usize = 16;
 
 /// Weight of one answer in the mean of its kind, after the first ones: a wrong answer moves the mean by a
 /// sixteenth of the difference.
@@ -38,7 +38,7 @@
 
 /// Maximum slot time that one answer may report for a service, in milliseconds. Larger values count as this
 /// one, so that the answers that follow outweigh a wrong report.
-const MOST_SLOT_MS: u32 = 60_000;
+const MAX_SLOT_MS: u32 = 60_000;
 
 /// Bounds of the factor on a bucket. They let the most expensive kind of a class be admitted at least a
 /// quarter as often as the cheapest.
@@ -60,9 +60,9 @@
 pub struct ChainUsage(Vec<ServiceUsage>);
 
 impl ChainUsage {
-    /// Adds the usage that one answer reports. Keeps the [`MOST_SERVICES`] services with the largest usage.
+    /// Adds the usage that one answer reports. Keeps the [`MAX_SERVICES`] services with the largest usage.
     pub fn add(&mut self, reported: &[ServiceUsage]) {
-        for usage in reported.iter().take(MOST_SERVICES) {
+        for usage in reported.iter().take(MAX_SERVICES) {
             match self.0.iter_mut().find(|known| known.service == usage.service) {
                 Some(known) => {
                     known.calls = known.calls.saturating_add(usage.calls);
@@ -72,7 +72,7 @@
             }
         }
         self.0.sort_by(|left, right| (right.slot_ms, &left.service).cmp(&(left.slot_ms, &right.service)));
-        self.0.truncate(MOST_SERVICES);
+        self.0.truncate(MAX_SERVICES);
     }
 
     /// The sum by service, largest first.
@@ -113,16 +113,16 @@
         if now.since(self.last_sweep) > COST_LIFETIME {
             self.forget_old(now);
         }
-        if self.kinds.len() >= MOST_KINDS && !self.kinds.contains_key(kind) {
+        if self.kinds.len() >= MAX_KINDS && !self.kinds.contains_key(kind) {
             self.kinds.clear();
         }
         let costs = self.kinds.entry(kind.to_owned()).or_default();
         costs.retain(|_, cost| cost.is_fresh(now));
         for ServiceUsage { service, slot_ms, .. } in usage {
-            let sample = f64::from((*slot_ms).min(MOST_SLOT_MS));
+            let sample = f64::from((*slot_ms).min(MAX_SLOT_MS));
             if let Some(cost) = costs.get_mut(service) {
                 cost.add(sample, ANSWER_WEIGHT, now);
-            } else if costs.len() < MOST_SERVICES {
+            } else if costs.len() < MAX_SERVICES {
                 costs.entry(service.clone()).or_default().add(sample, ANSWER_WEIGHT, now);
             }
         }
--- a/crates/seamhatch-core/src/crashes/mod.rs
+++ b/crates/seamhatch-core/src/crashes/mod.rs
@@ -21,7 +21,7 @@
 pub use ledger::{CrashLedger, EvidenceEffect, SuspectStanding};
 pub use policy::CrashPolicy;
 pub use quarantine::{forbids_resend, runs_isolated, server_for_suspect};
-pub use record::{CondemnedRecord, CrashMark, MOST_MARKS, SuspectRecord, SuspectReport};
+pub use record::{CondemnedRecord, CrashMark, MAX_MARKS, SuspectRecord, SuspectReport};
 pub use runs::{CrashedRuns, LostRun, RunEnd, RunMode, RunNumber, RunTable, SURVIVAL_AFTER_ANSWER, Suspect};
 
 use crate::identity::{Address, Incarnation, RequestDigest};
--- a/crates/seamhatch-core/src/crashes/record.rs
+++ b/crates/seamhatch-core/src/crashes/record.rs
@@ -7,11 +7,11 @@
 use speedy::{Readable, Writable};
 
 /// Crashes that are kept for one request; more than any configuration needs to condemn it.
-pub const MOST_MARKS: usize = 16;
+pub const MAX_MARKS: usize = 16;
 
 /// Marks of trial runs that a record has room for, including withdrawn and cleared ones. The rest is left for
 /// the crashes that condemn the request.
-pub(super) const MOST_TRIAL_MARKS: usize = MOST_MARKS / 2;
+pub(super) const MAX_TRIAL_MARKS: usize = MAX_MARKS / 2;
 
 /// One crash during which a request ran.
 #[derive(
@@ -46,7 +46,7 @@
 pub struct SuspectRecord {
     /// Digest of the request.
     pub request: RequestDigest,
-    /// Sorted by instance. Beyond [`MOST_MARKS`], marks of trial runs are kept first and then those with the
+    /// Sorted by instance. Beyond [`MAX_MARKS`], marks of trial runs are kept first and then those with the
     /// largest digests, so that copies that crash many servers at once leave room for the trial runs, which
     /// decide.
     marks: Vec<CrashMark>,
@@ -122,7 +122,7 @@
 
     /// Whether another trial run can be recorded.
     pub(super) fn has_room_for_trial(&self) -> bool {
-        self.marks.iter().filter(|mark| mark.on_trial).count() < MOST_TRIAL_MARKS
+        self.marks.iter().filter(|mark| mark.on_trial).count() < MAX_TRIAL_MARKS
     }
 
     /// Adds a crash; returns whether it is new.
@@ -147,7 +147,7 @@
     pub fn merge(&mut self, other: &Self) -> bool {
         let mut changed = false;
         // A peer may send more marks than it should.
-        for mark in other.marks.iter().take(MOST_MARKS) {
+        for mark in other.marks.iter().take(MAX_MARKS) {
             changed |= self.add_mark(*mark);
         }
         changed
@@ -155,7 +155,7 @@
 
     /// Drops the mark with the lowest rank if there are too many.
     fn drop_lowest(&mut self) -> Option<CrashMark> {
-        if self.marks.len() <= MOST_MARKS {
+        if self.marks.len() <= MAX_MARKS {
             return None;
         }
         let (lowest, _) = self.marks.iter().enumerate().min_by_key(|(_, mark)| mark.rank())?;
--- a/crates/seamhatch-core/src/entry_floor.rs
+++ b/crates/seamhatch-core/src/entry_floor.rs
@@ -33,10 +33,10 @@
 const LEVELS_PER_MILLISECOND: f64 = 0.32;
 
 /// Maximum number of kinds of requests that are remembered; all are forgotten when there are more.
-const MOST_KINDS: usize = 4_096;
+const MAX_KINDS: usize = 4_096;
 
 /// Maximum number of bottleneck services that are remembered for one kind of request, the latest ones.
-const MOST_BOTTLENECKS: usize = 4;
+const MAX_BOTTLENECKS: usize = 4;
 
 /// Known floors of the services behind the entry.
 #[derive(Debug, Default)]
@@ -131,14 +131,14 @@
     }
 
     fn note_bottleneck(&mut self, kind: &str, service: &str) {
-        if self.by_kind.len() >= MOST_KINDS && !self.by_kind.contains_key(kind) {
+        if self.by_kind.len() >= MAX_KINDS && !self.by_kind.contains_key(kind) {
             self.by_kind.clear();
         }
         let services = self.by_kind.entry(kind.to_owned()).or_default();
         if services.iter().any(|known| known == service) {
             return;
         }
-        if services.len() == MOST_BOTTLENECKS {
+        if services.len() == MAX_BOTTLENECKS {
             services.remove(0);
         }
         services.push(service.to_owned());
--- a/crates/seamhatch-core/src/notice.rs
+++ b/crates/seamhatch-core/src/notice.rs
@@ -17,9 +17,9 @@
 
 /// Maximum number of rates that are kept after being handed back for instances that have not registered yet,
 /// the latest ones.
-const MOST_HANDED_BACK: usize = 8;
+const MAX_HANDED_BACK_RATES: usize = 8;
 /// Maximum number of rates that are tracked for the present instance.
-const MOST_ANNOUNCEMENTS: usize = 8;
+const MAX_ANNOUNCEMENTS: usize = 8;
 
 /// Rate that an answer names.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -63,9 +63,9 @@
     /// The rate is unchanged.
     Unchanged,
     /// This rate applies from now on.
-    HoldTo(RequestRate),
+    Limit(RequestRate),
     /// No rate applies any more.
-    Lifted,
+    Unlimited,
 }
 
 /// A rate that an answer has named.
@@ -145,7 +145,7 @@
     /// Records a rate that another daemon knows for an instance from before this process started.
     pub fn hand_back(&mut self, instance: Option<&InstanceId>, rate: RequestRate) -> RateChange {
         if self.instance.as_ref() != instance {
-            if self.handed_back.len() == MOST_HANDED_BACK {
+            if self.handed_back.len() == MAX_HANDED_BACK_RATES {
                 self.handed_back.pop_front();
             }
             self.handed_back.push_back((instance.cloned(), rate));
@@ -177,7 +177,7 @@
             .iter()
             .any(|announcement| lower(announcement) && sent <= announcement.received);
         self.announcements.retain(|announcement| is_out_of_date && lower(announcement));
-        if self.announcements.len() == MOST_ANNOUNCEMENTS {
+        if self.announcements.len() == MAX_ANNOUNCEMENTS {
             // Keeps only the lower one of the two highest rates, which errs on the safe side.
             self.announcements.pop();
             self.announcements.last_mut().into_iter().for_each(|announcement| announcement.received = now);
@@ -196,8 +196,8 @@
     fn change_from(&self, before: Option<RequestRate>) -> RateChange {
         match self.rate() {
             rate if rate == before => RateChange::Unchanged,
-            Some(rate) => RateChange::HoldTo(rate),
-            None => RateChange::Lifted,
+            Some(rate) => RateChange::Limit(rate),
+            None => RateChange::Unlimited,
         }
     }
 
--- a/crates/seamhatch-core/src/priority.rs
+++ b/crates/seamhatch-core/src/priority.rs
@@ -78,7 +78,7 @@
 pub const BUCKETS: u8 = 128;
 
 /// Upper bound of the fraction within a bucket; below 1, so that a factor of 1 leaves the bucket unchanged.
-const GREATEST_FRACTION: f64 = 0.999;
+const MAX_FRACTION: f64 = 0.999;
 
 /// Position of a request in the order of shedding: by class, then by bucket. Smaller is more important.
 ///
@@ -111,7 +111,7 @@
         // The upper bits of the hash give a fraction within the bucket, so that scaled values reach every
         // bucket.
         let fraction = (hash / buckets) as f64 / (u64::MAX / buckets) as f64;
-        let drawn = (hash % buckets) as f64 + fraction.min(GREATEST_FRACTION);
+        let drawn = (hash % buckets) as f64 + fraction.min(MAX_FRACTION);
         // The conversion to `u8` saturates.
         Self { class, bucket: ((drawn * factor) as u8).min(BUCKETS - 1) }
     }
--- a/crates/seamhatch-core/src/quota/bucket.rs
+++ b/crates/seamhatch-core/src/quota/bucket.rs
@@ -1,11 +1,11 @@
 //! Token bucket of one tenant at one shard.
 
-use super::{SHORTEST_PAUSE, TenantLimit};
+use super::{MIN_PAUSE, TenantLimit};
 use crate::clock::{Instant, MILLISECOND, Microseconds, SECOND};
 
-/// Longest time before a daemon that got no token asks the same shard again: the lifetime of a token with the
+/// Maximum time before a daemon that got no token asks the same shard again: the lifetime of a token with the
 /// default window of 5 s and an overage of a tenth.
-const LONGEST_PAUSE: Microseconds = 500 * MILLISECOND;
+const MAX_PAUSE: Microseconds = 500 * MILLISECOND;
 
 /// Span over which the requested tokens are counted.
 const DEMAND_WINDOW: Microseconds = 500 * MILLISECOND;
@@ -63,7 +63,7 @@
         let waiting = f64::from(self.asked.max(self.asked_before).max(1));
         let missing = (1.0 - self.tokens).max(0.0);
         let seconds = missing * waiting / limit.rate.max(f64::MIN_POSITIVE);
-        let pause = (seconds * SECOND as f64).min(LONGEST_PAUSE as f64) as Microseconds;
-        pause.max(SHORTEST_PAUSE)
+        let pause = (seconds * SECOND as f64).min(MAX_PAUSE as f64) as Microseconds;
+        pause.max(MIN_PAUSE)
     }
 }
--- a/crates/seamhatch-core/src/quota/mod.rs
+++ b/crates/seamhatch-core/src/quota/mod.rs
@@ -35,9 +35,9 @@
 /// Number of a shard; the same shards divide the limits of all tenants.
 pub type ShardNumber = u32;
 
-/// Shortest time before a daemon that got no token asks the same shard again, and shortest lifetime of a
+/// Minimum time before a daemon that got no token asks the same shard again, and minimum lifetime of a
 /// token: a few round trips within a region.
-const SHORTEST_PAUSE: Microseconds = 50 * MILLISECOND;
+const MIN_PAUSE: Microseconds = 50 * MILLISECOND;
 
 /// Limit of a tenant over all daemons.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -66,7 +66,7 @@
     /// excess of the rate, so that the whole burst of a tenant is left for its bucket.
     #[must_use]
     pub fn token_lifetime(&self) -> Microseconds {
-        ((self.window as f64 * self.overage) as Microseconds).clamp(SHORTEST_PAUSE, SECOND)
+        ((self.window as f64 * self.overage) as Microseconds).clamp(MIN_PAUSE, SECOND)
     }
 
     /// Part of a limit that one shard may grant. Its bucket holds at least one token.
--- a/crates/seamhatch-core/src/rate.rs
+++ b/crates/seamhatch-core/src/rate.rs
@@ -10,12 +10,12 @@
 use crate::clock::{Instant, MILLISECOND, Microseconds, SECOND};
 use speedy::{Readable, Writable};
 
-/// Longest span whose requests at the given rate can be saved up.
+/// Maximum span whose requests at the given rate can be saved up.
 pub const BURST_SPAN: Microseconds = 100 * MILLISECOND;
 
-/// Longest interval between two requests. However low the rate, a back end gets a request this often, which
+/// Maximum interval between two requests. However low the rate, a back end gets a request this often, which
 /// shows whether it still names that rate.
-pub const LONGEST_INTERVAL: Microseconds = 10 * SECOND;
+pub const MAX_INTERVAL: Microseconds = 10 * SECOND;
 
 /// Units of [`RequestRate`] in one request per second.
 const MILLIONTHS: f64 = 1e6;
@@ -46,11 +46,11 @@
         self.millionths / 1_000
     }
 
-    /// Time between two requests, at most [`LONGEST_INTERVAL`].
+    /// Time between two requests, at most [`MAX_INTERVAL`].
     #[must_use]
     pub fn interval(self) -> Microseconds {
-        const INTERVAL_OF_ONE: u64 = 1_000_000 * SECOND;
-        INTERVAL_OF_ONE.checked_div(self.millionths).unwrap_or(LONGEST_INTERVAL).min(LONGEST_INTERVAL)
+        const INTERVAL_OF_ONE_US: u64 = 1_000_000 * SECOND;
+        INTERVAL_OF_ONE_US.checked_div(self.millionths).unwrap_or(MAX_INTERVAL).min(MAX_INTERVAL)
     }
 
     /// The rate multiplied by `factor`, which must not be negative.
--- a/crates/seamhatch-core/src/retry/budget.rs
+++ b/crates/seamhatch-core/src/retry/budget.rs
@@ -24,9 +24,9 @@
 /// of repeated runs as first tries, serves fewer requests when answers are lost.
 const SAVED_HALF_LIFE: Microseconds = SECOND;
 
-/// Largest debt of a daemon at a service, in retries. A deployment's bound is counted over some seconds, so
+/// Maximum debt of a daemon at a service, in retries. A deployment's bound is counted over some seconds, so
 /// older debts do not matter.
-const LARGEST_DEBT: f64 = 50.0;
+const MAX_RETRY_DEBT: f64 = 50.0;
 
 /// Saved retries that do not decay: where calls are rare, a smaller balance would never reach a whole retry.
 const NON_DECAYING_BALANCE: f64 = 1.0;
@@ -98,7 +98,7 @@
     /// instead this daemon's own retries wait until its cost has been earned.
     pub fn charge_call_of_repeat(&mut self, service: &str, policy: RetryRatioPolicy, now: Instant) {
         let balance = self.balance(service, policy, now);
-        *balance = (*balance - 1.0).max(-LARGEST_DEBT);
+        *balance = (*balance - 1.0).max(-MAX_RETRY_DEBT);
     }
 
     /// The balance of `service` after decay up to `now`.
--- a/crates/seamhatch-core/src/retry/resend.rs
+++ b/crates/seamhatch-core/src/retry/resend.rs
@@ -11,7 +11,7 @@
 
 /// Number of overload refusals up to which a call is still sent to another server. Under high load, trying no
 /// other server makes no measurable difference to what is served.
-const MOST_OVERLOAD_REFUSALS: u32 = 2;
+const MAX_OVERLOAD_REFUSALS: u32 = 2;
 
 /// An attempt of a call that ended without an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -48,7 +48,7 @@
     #[must_use]
     pub fn resend(&self) -> Resend {
         let others_may_have_room =
-            self.reason.is_server_overload() && self.overload_refusals <= MOST_OVERLOAD_REFUSALS;
+            self.reason.is_server_overload() && self.overload_refusals <= MAX_OVERLOAD_REFUSALS;
         let repeat = self.may_have_run && self.repeatable;
         let is_useful = self.reason.worth_another_server() || others_may_have_room || repeat;
         let is_safe = !self.may_have_run || self.repeatable;
--- a/crates/seamhatch-core/src/return_time.rs
+++ b/crates/seamhatch-core/src/return_time.rs
@@ -14,15 +14,15 @@
 /// Sent by the daemon that took the request if the reason is unrelated to load.
 pub const DEFAULT_RETURN: Microseconds = 500 * MILLISECOND;
 
-/// Shortest span that is sent after a refusal at the entry; little changes in less time.
-pub const SHORTEST_RETURN: Microseconds = 200 * MILLISECOND;
+/// Minimum span that is sent after a refusal at the entry; little changes in less time.
+pub const MIN_RETURN: Microseconds = 200 * MILLISECOND;
 
-/// Longest span after a refusal at the entry: callers wait a few seconds in total, and an overload may end at
+/// Maximum span after a refusal at the entry: callers wait a few seconds in total, and an overload may end at
 /// any moment.
-pub const LONGEST_RETURN: Microseconds = 2 * SECOND;
+pub const MAX_RETURN: Microseconds = 2 * SECOND;
 
 /// Sent by the daemon beside the server if the reason is unrelated to load.
-pub const SERVER_RETURN: Microseconds = SHORTEST_RETURN;
+pub const SERVER_RETURN: Microseconds = MIN_RETURN;
 
 /// Sent if no daemon that holds a shard of the tenant's limit answers. Another daemon takes over a lost shard
 /// within seconds.
@@ -35,13 +35,13 @@
 /// Sent near the end of a planned stop; a restarted daemon usually serves again by then.
 pub const RESTART_RETURN: Microseconds = 800 * MILLISECOND;
 
-/// Shortest span that the gate of a server sends.
-const SHORTEST_QUEUE_RETURN: Microseconds = 100 * MILLISECOND;
+/// Minimum span that the gate of a server sends.
+const MIN_QUEUE_RETURN: Microseconds = 100 * MILLISECOND;
 
-/// Longest span that the gate of a server sends.
-const LONGEST_QUEUE_RETURN: Microseconds = 10 * SECOND;
+/// Maximum span that the gate of a server sends.
+const MAX_QUEUE_RETURN: Microseconds = 10 * SECOND;
 
-/// Largest part of the span that is added at random, so that callers that were refused together return at
+/// Maximum part of the span that is added at random, so that callers that were refused together return at
 /// different times.
 const RETURN_JITTER: f64 = 0.5;
 
@@ -61,16 +61,16 @@
     answer_time: Microseconds,
     objective: Microseconds,
 ) -> Microseconds {
-    let expected = closed_for.clamp(SHORTEST_RETURN, LONGEST_RETURN);
+    let expected = closed_for.clamp(MIN_RETURN, MAX_RETURN);
     let latest_on_time =
         (objective.saturating_sub(answer_time) as f64 / (1.0 + RETURN_JITTER)) as Microseconds;
-    if latest_on_time < SHORTEST_RETURN { expected } else { expected.min(latest_on_time) }
+    if latest_on_time < MIN_RETURN { expected } else { expected.min(latest_on_time) }
 }
 
 /// Return time after a refusal at the gate of a server whose queue takes `wait` to drain.
 #[must_use]
 pub fn after_queue(wait: Microseconds) -> Microseconds {
-    wait.clamp(SHORTEST_QUEUE_RETURN, LONGEST_QUEUE_RETURN)
+    wait.clamp(MIN_QUEUE_RETURN, MAX_QUEUE_RETURN)
 }
 
 /// Return time after a refusal by a back end that states this span itself.
@@ -83,7 +83,7 @@
 /// if no shard is waited for.
 #[must_use]
 pub fn at_limit(next_ask_in: Option<Microseconds>) -> Microseconds {
-    next_ask_in.unwrap_or_default().max(SHORTEST_RETURN)
+    next_ask_in.unwrap_or_default().max(MIN_RETURN)
 }
 
 /// Adds jitter to the span; `random` is drawn uniformly from 0 to 1.
--- a/crates/seamhatch-core/tests/chain_cost.rs
+++ b/crates/seamhatch-core/tests/chain_cost.rs
@@ -5,7 +5,7 @@
 use seamhatch_core::admission::{
     Admission, AdmissionPolicy, AdmissionQueue, AdmissionRequest, CallKind, Dequeued, Ticket,
 };
-use seamhatch_core::chain_cost::{ChainCostTable, ChainUsage, MOST_SERVICES, ServiceUsage};
+use seamhatch_core::chain_cost::{ChainCostTable, ChainUsage, MAX_SERVICES, ServiceUsage};
 use seamhatch_core::clock::{MILLISECOND, SECOND};
 use seamhatch_core::entry_floor::EntryFloorTable;
 use seamhatch_core::identity::RootId;
@@ -180,7 +180,7 @@
     let services: Vec<ServiceUsage> =
         (0..40).map(|service| usage(&format!("service {service}"), 1)).collect();
     table.learn("another", &services, START);
-    assert_eq!(table.costs(usize::MAX, START).len(), MOST_SERVICES);
+    assert_eq!(table.costs(usize::MAX, START).len(), MAX_SERVICES);
     table.learn("a third", &[usage("deep", 1)], after(61));
     assert_eq!(table.costs(usize::MAX, START).len(), 1);
 }
@@ -201,7 +201,7 @@
     for service in 0..40 {
         chain.add(&[usage(&format!("service {service}"), 60 + service)]);
     }
-    assert_eq!(chain.services().len(), MOST_SERVICES);
+    assert_eq!(chain.services().len(), MAX_SERVICES);
     assert_eq!((chain.services()[0].service.as_str(), chain.services()[1].slot_ms), ("deep", 99));
 }
 
--- a/crates/seamhatch-core/tests/crashes.rs
+++ b/crates/seamhatch-core/tests/crashes.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use seamhatch_core::clock::{MILLISECOND, SECOND};
 use seamhatch_core::crashes::{
-    CrashLedger, CrashPolicy, EvidenceEffect, InstanceDigest, LostRun, MOST_MARKS, SuspectRecord,
+    CrashLedger, CrashPolicy, EvidenceEffect, InstanceDigest, LostRun, MAX_MARKS, SuspectRecord,
     SuspectReport, SuspectStanding, runs_isolated,
 };
 use seamhatch_core::identity::RequestDigest;
@@ -218,7 +218,7 @@
         let right = merged(&[&a, &merged(&[&b, &c])]);
         prop_assert_eq!(&left, &right);
         prop_assert_eq!(&merged(&[&left, &a, &b, &left]), &left);
-        prop_assert!(left.open_crashes() as usize <= MOST_MARKS);
+        prop_assert!(left.open_crashes() as usize <= MAX_MARKS);
     }
 
     #[test]
@@ -314,7 +314,7 @@
     RetryingCase { in_flight: 3, pause: 5 * SECOND },
     RetryingCase { in_flight: 1, pause: 500 * SECOND },
     RetryingCase { in_flight: 3, pause: 7200 * SECOND },
-    RetryingCase { in_flight: MOST_MARKS, pause: SECOND },
+    RetryingCase { in_flight: MAX_MARKS, pause: SECOND },
     RetryingCase { in_flight: 40, pause: SECOND },
 ];
 
--- a/crates/seamhatch-core/tests/notice.rs
+++ b/crates/seamhatch-core/tests/notice.rs
@@ -148,8 +148,8 @@
     let mut tracker = RateTracker::default();
     assert_eq!(tracker.hand_back(Some(&id("i")), rate(5.0)), RateChange::Unchanged);
     assert_eq!(tracker.rate_for_peers(), Some((Some(&id("i")), rate(5.0))));
-    assert_eq!(tracker.open(Some(&id("i"))), RateChange::HoldTo(rate(5.0)));
+    assert_eq!(tracker.open(Some(&id("i"))), RateChange::Limit(rate(5.0)));
     assert_eq!(tracker.rate_for_peers(), Some((Some(&id("i")), rate(5.0))));
-    assert_eq!(tracker.open(Some(&id("j"))), RateChange::Lifted);
+    assert_eq!(tracker.open(Some(&id("j"))), RateChange::Unlimited);
     assert_eq!(tracker.rate_for_peers(), None);
 }
--- a/crates/seamhatch-core/tests/rate.rs
+++ b/crates/seamhatch-core/tests/rate.rs
@@ -2,7 +2,7 @@
 
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, SECOND};
-use seamhatch_core::rate::{BURST_SPAN, LONGEST_INTERVAL, RateLimiter, RequestRate};
+use seamhatch_core::rate::{BURST_SPAN, MAX_INTERVAL, RateLimiter, RequestRate};
 
 const NOW: Instant = Instant(1_000 * SECOND);
 
@@ -65,7 +65,7 @@
 fn a_rate_of_zero_lets_a_request_through_at_the_longest_interval() {
     for per_second in [0.0, 1e-9, 0.01] {
         let mut limiter = RateLimiter::new(rate(per_second), NOW);
-        let started = started(&mut limiter, NOW, 3 * LONGEST_INTERVAL);
+        let started = started(&mut limiter, NOW, 3 * MAX_INTERVAL);
         assert_eq!(started.len(), 3, "{per_second}");
     }
 }
--- a/crates/seamhatch-lab/tests/called_link.rs
+++ b/crates/seamhatch-lab/tests/called_link.rs
@@ -13,7 +13,7 @@
     ADDITIONS, CallContext, CallHead, FrameReader, Hello, PeerMessage, encode_frame, read_preface,
     write_preface,
 };
-use seamhatchd::peer::{BODY_PIECE, BODY_WINDOW};
+use seamhatchd::peer::{BODY_PIECE_BYTES, BODY_WINDOW_BYTES};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -108,7 +108,7 @@
         let call = CallId(number);
         self.send_head(number, "POST", "/quick/upload", true).await;
         for _piece in 0..pieces {
-            self.send(&PeerMessage::RequestChunk { call, bytes: vec![7; BODY_PIECE] }).await;
+            self.send(&PeerMessage::RequestChunk { call, bytes: vec![7; BODY_PIECE_BYTES] }).await;
         }
         self.send(&PeerMessage::RequestEnd { call }).await;
         let mut credit = Vec::new();
@@ -185,10 +185,10 @@
 async fn credit_for_a_request_body_is_sent_by_half_windows() {
     let (deployment, _turn) = start(topology(), false).await;
     let mut peer = CallingPeer::connect(&deployment).await;
-    let half = BODY_WINDOW / 2 / BODY_PIECE;
+    let half = BODY_WINDOW_BYTES / 2 / BODY_PIECE_BYTES;
     for (number, pieces, messages) in [(1, 1, 0), (2, half - 1, 0), (3, half, 1), (4, 6 * half + 1, 6)] {
         let credit = peer.upload(number, pieces).await;
-        assert_eq!(credit, vec![BODY_WINDOW as u32 / 2; messages], "{pieces} pieces");
+        assert_eq!(credit, vec![BODY_WINDOW_BYTES as u32 / 2; messages], "{pieces} pieces");
     }
 }
 
--- a/crates/seamhatch-model/src/notices.rs
+++ b/crates/seamhatch-model/src/notices.rs
@@ -77,7 +77,7 @@
     /// When the last request was sent.
     last_sent: Instant,
     restarts: u8,
-    book: RateTracker,
+    rates: RateTracker,
     is_open: bool,
     senders: [SenderState; SENDERS],
     exchanges: Vec<Exchange>,
@@ -95,7 +95,7 @@
 
     fn initial(&self) -> NoticesState {
         let mut state = NoticesState { is_open: true, ..NoticesState::default() };
-        state.book.open(Some(&instance()));
+        state.rates.open(Some(&instance()));
         state
     }
 
@@ -169,7 +169,7 @@
             NoticesFault::None | NoticesFault::LastAnswerCounts => told,
         };
         if let Some(rate) = handed_back {
-            state.book.hand_back(Some(&instance()), rate);
+            state.rates.hand_back(Some(&instance()), rate);
         }
     }
 
@@ -184,9 +184,9 @@
                     if self.fault == NoticesFault::LastAnswerCounts { now.plus(1) } else { exchange.sent };
                 let rate = word.rate.map_or(NamedRate::NotNamed, NamedRate::Named);
                 let notice = AnswerNotice { rate, proven: true, ..AnswerNotice::default() };
-                next.book.observe(Some(&instance()), notice, sent, now);
+                next.rates.observe(Some(&instance()), notice, sent, now);
                 let is_only = exchange.alone && exchange.sent == next.last_sent;
-                if is_only && next.book.rate() != word.rate {
+                if is_only && next.rates.rate() != word.rate {
                     next.violation = Some("a rate is kept that is not named");
                 }
                 next.senders[exchange.sender].passed_on = Some(word.version);
@@ -199,7 +199,7 @@
         if state.restarts < self.restarts {
             Step::add(steps, state, action("the daemon restarts", 0, 0), |next| {
                 next.restarts += 1;
-                next.book = RateTracker::default();
+                next.rates = RateTracker::default();
                 next.is_open = false;
                 next.exchanges.clear();
                 next.senders.iter_mut().for_each(|sender| sender.is_connected = false);
@@ -208,7 +208,7 @@
         if !state.is_open {
             Step::add(steps, state, action("the instance is heard", 0, 0), |next| {
                 next.is_open = true;
-                next.book.open(Some(&instance()));
+                next.rates.open(Some(&instance()));
             });
         }
     }
@@ -216,14 +216,14 @@
 
 impl NoticesState {
     fn tell(&mut self, sender: usize) {
-        self.senders[sender].told = self.book.rate_for_peers().map(|(_, rate)| rate);
+        self.senders[sender].told = self.rates.rate_for_peers().map(|(_, rate)| rate);
     }
 
     fn send(&mut self, sender: usize) {
         self.now += 1;
         self.sent += 1;
         let has_passed_it_on = self.senders[sender].passed_on == Some(self.word.version);
-        let is_looser = |named: RequestRate| self.book.rate().is_none_or(|rate| rate > named);
+        let is_looser = |named: RequestRate| self.rates.rate().is_none_or(|rate| rate > named);
         if has_passed_it_on && self.word.rate.is_some_and(is_looser) {
             self.violation = Some("a sender that was told is let through at a looser rate");
         }
--- a/crates/seamhatch-wire/tests/hostile.rs
+++ b/crates/seamhatch-wire/tests/hostile.rs
@@ -5,7 +5,7 @@
 use seamhatch_core::Instant;
 use seamhatch_core::balance::{ServerPace, TurnReport};
 use seamhatch_core::chain_cost::ServiceUsage;
-use seamhatch_core::crashes::{InstanceDigest, MOST_MARKS, SuspectRecord, SuspectReport};
+use seamhatch_core::crashes::{InstanceDigest, MAX_MARKS, SuspectRecord, SuspectReport};
 use seamhatch_core::freshness::FreshnessProof;
 use seamhatch_core::generation::Generation;
 use seamhatch_core::identity::{Address, CallId, Incarnation, RequestDigest, RootId};
@@ -205,7 +205,7 @@
 
 #[test]
 fn the_largest_datagram_of_suspects_stays_bounded() {
-    let reports = vec![suspect(MOST_MARKS as u64 + 5); SUSPECTS_PER_MESSAGE];
+    let reports = vec![suspect(MAX_MARKS as u64 + 5); SUSPECTS_PER_MESSAGE];
     let message = GossipMessage { body: GossipBody::Suspects(reports), ..datagrams().remove(0) };
     let bytes = encode_datagram(&message).expect("encodes");
     assert!(bytes.len() <= LARGEST_DATAGRAM, "{} bytes", bytes.len());
--- a/crates/seamhatchd/src/filters/classification.rs
+++ b/crates/seamhatchd/src/filters/classification.rs
@@ -95,7 +95,7 @@
 pub struct InheritedClass;
 
 /// Deadline of a call of the back end that has no parent request, in microseconds.
-const ORPHAN_DEADLINE: u64 = 10 * SECOND;
+const ORPHAN_DEADLINE_US: u64 = 10 * SECOND;
 
 impl RequestFilter for InheritedClass {
     fn apply(&self, _shared: &Shared, request: &mut RequestState) -> Result<(), Rejection> {
@@ -108,7 +108,7 @@
                 request.root,
                 Priority::new(request.class, request.root),
                 now,
-                now.plus(ORPHAN_DEADLINE),
+                now.plus(ORPHAN_DEADLINE_US),
                 0,
                 RetryLedger::new(0, false),
             )));
--- a/crates/seamhatchd/src/filters/idempotency.rs
+++ b/crates/seamhatchd/src/filters/idempotency.rs
@@ -7,7 +7,7 @@
 use crate::shared::Shared;
 use seamhatch_core::outcome::Reason;
 
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 256;
 
 /// Reads the caller's idempotency key. The key is scoped to the caller's credentials, so that no
--- a/crates/seamhatchd/src/listeners/admin.rs
+++ b/crates/seamhatchd/src/listeners/admin.rs
@@ -20,7 +20,7 @@
 use xitca_web::http::WebResponse;
 
 /// Maximum size of a request body, in bytes.
-const LARGEST_BODY: usize = 1024 * 1024;
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 /// Media type of the OpenMetrics text format.
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
@@ -236,7 +236,7 @@
 }
 
 async fn read_json<T: serde::de::DeserializeOwned>(body: RequestBody) -> Result<T, WebResponse> {
-    json_http::read_json(body, LARGEST_BODY).await.map_err(|invalid| {
+    json_http::read_json(body, MAX_BODY_BYTES).await.map_err(|invalid| {
         let too_large = invalid.status == StatusCode::PAYLOAD_TOO_LARGE;
         problem(invalid.status, if too_large { "too-large" } else { "bad-request" }, invalid.detail)
     })
--- a/crates/seamhatchd/src/listeners/callers.rs
+++ b/crates/seamhatchd/src/listeners/callers.rs
@@ -23,7 +23,7 @@
 
 /// Minimum size of the buffer for a request head, in bytes. The buffer is larger if the configuration allows
 /// larger heads, so that oversized heads are refused by the filters and not by the library.
-const MIN_HEAD_BUFFER: usize = 64 * 1024;
+const MIN_HEAD_BUFFER_BYTES: usize = 64 * 1024;
 /// Size of the head buffer as a multiple of the configured limit, which does not count the request line and the
 /// separators of header fields.
 const HEAD_BUFFER_FACTOR: usize = 2;
@@ -128,7 +128,7 @@
     // The library's time limit for a head includes the idle time before it.
     let longest_wait =
         Duration::from_millis(limits.idle_timeout_ms.saturating_add(limits.head_timeout_ms)) + IDLE_MARGIN;
-    let head_buffer = limits.head_bytes.saturating_mul(HEAD_BUFFER_FACTOR).max(MIN_HEAD_BUFFER);
+    let head_buffer = limits.head_bytes.saturating_mul(HEAD_BUFFER_FACTOR).max(MIN_HEAD_BUFFER_BYTES);
     let mut http = http1::Builder::new();
     http.timer(TokioTimer::new())
         .header_read_timeout(longest_wait)
--- a/crates/seamhatchd/src/listeners/mod.rs
+++ b/crates/seamhatchd/src/listeners/mod.rs
@@ -42,7 +42,7 @@
 /// Time limit for a request head of an operator or back end.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum size of a request head of an operator or back end, in bytes.
-const HEAD_BUFFER: usize = 64 * 1024;
+const HEAD_BUFFER_BYTES: usize = 64 * 1024;
 /// Maximum number of header fields of such a request.
 const HEADER_FIELDS: usize = 96;
 
@@ -86,7 +86,7 @@
         .disable_signal()
         .keep_alive_timeout(KEEP_ALIVE)
         .request_head_timeout(HEAD_TIMEOUT)
-        .max_read_buf_size::<HEAD_BUFFER>()
+        .max_read_buf_size::<HEAD_BUFFER_BYTES>()
         .max_request_headers::<HEADER_FIELDS>();
     for socket in sockets {
         server = server.listen(socket)?;
--- a/crates/seamhatchd/src/listeners/read_ahead.rs
+++ b/crates/seamhatchd/src/listeners/read_ahead.rs
@@ -23,7 +23,7 @@
 use tokio::time::Sleep;
 
 /// Maximum number of bytes that are read ahead on a connection.
-const MAX_READ_AHEAD: usize = 64 * 1024;
+const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
 /// Interval between two checks whether the caller has closed the connection, while the read-ahead buffer is full
 /// and no read would show it. Requests must be cancelled within 0.5 s of the close.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -105,7 +105,7 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<usize>> {
-        let mut part = buffer.take(MAX_READ_AHEAD - self.ahead.len());
+        let mut part = buffer.take(MAX_READ_AHEAD_BYTES - self.ahead.len());
         let read = ready!(Pin::new(&mut self.stream).poll_read(context, &mut part));
         let bytes = part.filled();
         self.ahead.extend_from_slice(bytes);
@@ -150,7 +150,7 @@
                     self.head_left = length - self.give(buffer, length);
                     return Poll::Ready(Ok(()));
                 }
-                HeadEnd::Incomplete if self.ahead.len() < MAX_READ_AHEAD => {
+                HeadEnd::Incomplete if self.ahead.len() < MAX_READ_AHEAD_BYTES => {
                     self.searched = self.ahead.len();
                     if ready!(self.poll_read_ahead(context, buffer))? > 0 {
                         continue;
@@ -168,7 +168,7 @@
     fn poll_wait(&mut self, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         loop {
             self.start_pipelined();
-            if self.ahead.len() >= MAX_READ_AHEAD {
+            if self.ahead.len() >= MAX_READ_AHEAD_BYTES {
                 ready!(self.poll_closed(context));
                 return Poll::Ready(Ok(()));
             }
--- a/crates/seamhatchd/src/listeners/registry.rs
+++ b/crates/seamhatchd/src/listeners/registry.rs
@@ -22,13 +22,13 @@
 /// Path prefix of the instances' resources.
 const INSTANCES: &str = "/v1/instances/";
 /// Maximum size of a heartbeat, in bytes.
-const LARGEST_HEARTBEAT: usize = 16 * 1024;
+const MAX_HEARTBEAT_BYTES: usize = 16 * 1024;
 /// Maximum length of an instance's name, in bytes.
-const LONGEST_NAME: usize = 200;
+const MAX_NAME_BYTES: usize = 200;
 /// Maximum warm-up time that an instance may report, in milliseconds.
-const LONGEST_COLD_MS: f64 = 600_000.0;
+const MAX_COLD_MS: f64 = 600_000.0;
 /// Maximum number of slots that an instance may report.
-const MOST_SLOTS: u32 = 100_000;
+const MAX_SLOTS: u32 = 100_000;
 
 /// The body of a heartbeat. Unknown fields are ignored, so that back ends may report more.
 #[derive(Debug, Deserialize)]
@@ -81,7 +81,7 @@
         Method::PUT => heartbeat(&shared, instance, body).await,
         Method::DELETE => {
             // An unreadable body is treated as empty, since the path names the instance.
-            let DeregistrationBody { born } = read_json(body, LARGEST_HEARTBEAT).await.unwrap_or_default();
+            let DeregistrationBody { born } = read_json(body, MAX_HEARTBEAT_BYTES).await.unwrap_or_default();
             answer(shared.control.instance_departs(InstanceId { born, ..instance }).await)
         }
         _ => {
@@ -92,11 +92,11 @@
 }
 
 fn is_name(name: &str) -> bool {
-    !name.is_empty() && name.len() <= LONGEST_NAME && !name.contains('/')
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && !name.contains('/')
 }
 
 async fn heartbeat(shared: &Shared, instance: InstanceId, body: RequestBody) -> WebResponse {
-    let sent: HeartbeatBody = match read_json(body, LARGEST_HEARTBEAT).await {
+    let sent: HeartbeatBody = match read_json(body, MAX_HEARTBEAT_BYTES).await {
         Ok(sent) => sent,
         Err(invalid) => {
             shared.metrics.bad_input(BadInput::Heartbeat);
@@ -109,7 +109,7 @@
             "the instance is of another service than this daemon's; check `service` in both settings";
         return problem(StatusCode::CONFLICT, "other-service", detail);
     }
-    if sent.slots == 0 || sent.slots > MOST_SLOTS || !(0.0..=LONGEST_COLD_MS).contains(&sent.cold_for_ms) {
+    if sent.slots == 0 || sent.slots > MAX_SLOTS || !(0.0..=MAX_COLD_MS).contains(&sent.cold_for_ms) {
         let detail = "slots must be 1 to 100000 and cold_for_ms 0 to 600000";
         return problem(StatusCode::BAD_REQUEST, "bad-heartbeat", detail);
     }
--- a/crates/seamhatchd/src/peer/credit.rs
+++ b/crates/seamhatchd/src/peer/credit.rs
@@ -5,7 +5,7 @@
 //!
 //! [`Credit`]: seamhatch_wire::PeerMessage::Credit
 
-use crate::peer::BODY_WINDOW;
+use crate::peer::BODY_WINDOW_BYTES;
 use seamhatch_core::body_credit::OwedCredit;
 use std::sync::atomic::{AtomicI64, Ordering};
 use tokio::sync::Notify;
@@ -13,7 +13,7 @@
 /// The receiver's credit account at the start of a body.
 #[must_use]
 pub fn owed_credit() -> OwedCredit {
-    OwedCredit::new(BODY_WINDOW as u32)
+    OwedCredit::new(BODY_WINDOW_BYTES as u32)
 }
 
 /// The number of bytes that may be sent now; negative after a piece that was larger than the remaining window.
@@ -25,7 +25,7 @@
 
 impl Default for CreditWindow {
     fn default() -> Self {
-        Self { available: AtomicI64::new(BODY_WINDOW as i64), refilled: Notify::new() }
+        Self { available: AtomicI64::new(BODY_WINDOW_BYTES as i64), refilled: Notify::new() }
     }
 }
 
--- a/crates/seamhatchd/src/peer/link.rs
+++ b/crates/seamhatchd/src/peer/link.rs
@@ -24,7 +24,7 @@
 static HEARTBEAT_START: LazyLock<tokio::time::Instant> = LazyLock::new(tokio::time::Instant::now);
 
 /// Number of buffered bytes at which a batch of messages is written.
-const WRITE_BATCH: usize = 64 * 1024;
+const WRITE_BATCH_BYTES: usize = 64 * 1024;
 
 /// Counts the messages of all connections that are queued and not yet written. Cheap to clone.
 #[derive(Debug, Clone, Default)]
@@ -108,7 +108,7 @@
         let Some(message) = self.messages.recv().await else { return Ok(false) };
         self.unflushed = 1;
         encode_frame(&message, buffer)?;
-        while buffer.len() < WRITE_BATCH {
+        while buffer.len() < WRITE_BATCH_BYTES {
             let Ok(message) = self.messages.try_recv() else { break };
             self.unflushed += 1;
             encode_frame(&message, buffer)?;
@@ -140,12 +140,12 @@
     mut stream: impl AsyncWrite + Unpin,
     mut messages: OutboxReader,
 ) -> Result<(), WireError> {
-    let mut buffer = Vec::with_capacity(WRITE_BATCH);
+    let mut buffer = Vec::with_capacity(WRITE_BATCH_BYTES);
     while messages.fill_batch(&mut buffer).await? {
         stream.write_all(&buffer).await?;
         messages.note_written();
         buffer.clear();
-        buffer.shrink_to(WRITE_BATCH);
+        buffer.shrink_to(WRITE_BATCH_BYTES);
     }
     Ok(())
 }
--- a/crates/seamhatchd/src/peer/mod.rs
+++ b/crates/seamhatchd/src/peer/mod.rs
@@ -30,7 +30,7 @@
 pub use view::PeerView;
 
 /// Initial flow-control window of a body, in bytes.
-pub const BODY_WINDOW: usize = 256 * 1024;
+pub const BODY_WINDOW_BYTES: usize = 256 * 1024;
 
 /// Maximum number of body bytes in one message.
-pub const BODY_PIECE: usize = 32 * 1024;
+pub const BODY_PIECE_BYTES: usize = 32 * 1024;
--- a/crates/seamhatchd/src/peer_server/call/answer.rs
+++ b/crates/seamhatchd/src/peer_server/call/answer.rs
@@ -3,7 +3,7 @@
 use super::ServerCall;
 use crate::base::clock;
 use crate::conventions::headers;
-use crate::peer::BODY_PIECE;
+use crate::peer::BODY_PIECE_BYTES;
 use crate::server::backend::{BackendAnswer, BackendError};
 use crate::server::running::RunningCall;
 use bytes::Bytes;
@@ -15,7 +15,7 @@
 /// Number of bytes of an answer's body that are buffered before its head is forwarded. If a body that would fit
 /// into the buffer is truncated, the call is refused instead, so that it can be retried and no caller gets a
 /// partial answer.
-const ANSWER_START: usize = 64 * 1024;
+const ANSWER_START_BYTES: usize = 64 * 1024;
 
 /// The buffered start of an answer's body.
 pub(super) struct AnswerStart {
@@ -25,11 +25,11 @@
 }
 
 impl AnswerStart {
-    /// Reads until the body ends or [`ANSWER_START`] bytes are buffered.
+    /// Reads until the body ends or [`ANSWER_START_BYTES`] bytes are buffered.
     pub(super) async fn read(answer: &mut BackendAnswer) -> Result<Self, BackendError> {
         let mut pieces = Vec::new();
         let mut length = 0;
-        while length < ANSWER_START {
+        while length < ANSWER_START_BYTES {
             let Some(piece) = answer.next().await? else { return Ok(Self { pieces, is_whole: true }) };
             length += piece.len();
             pieces.push(piece);
@@ -104,7 +104,7 @@
     /// Sends body bytes as the receiver grants credit.
     async fn send_pieces(&self, mut data: Bytes) {
         while !data.is_empty() {
-            let piece = data.split_to(data.len().min(BODY_PIECE));
+            let piece = data.split_to(data.len().min(BODY_PIECE_BYTES));
             self.window.ready().await;
             self.window.spend(piece.len());
             self.send(PeerMessage::AnswerChunk { call: self.head.call, bytes: piece.to_vec() });
--- a/crates/seamhatchd/src/peer_server/call/execute.rs
+++ b/crates/seamhatchd/src/peer_server/call/execute.rs
@@ -30,7 +30,7 @@
     /// The intended instance, if instances register.
     instance: Option<InstanceId>,
     /// The call's entry in the table by which a crash of the back end is attributed to requests.
-    work: TrackedRun,
+    tracked_run: TrackedRun,
     mode: RunMode,
     started: Instant,
 }
@@ -54,9 +54,9 @@
             Err(reason) => return self.refuse_unsent(running, permit, reason),
         };
         self.shared.metrics.execution(running.priority.class);
-        let work = self.shared.server.crashes.begin(instance.as_ref(), self.head.request, mode);
+        let tracked_run = self.shared.server.crashes.begin(instance.as_ref(), self.head.request, mode);
         self.set_stage(RequestStage::Sent);
-        let run = BackendRun { instance, work, mode, started: clock::now() };
+        let run = BackendRun { instance, tracked_run, mode, started: clock::now() };
         let exchanged = tokio::select! {
             exchanged = self.exchange(running, &run, registration.header(), body) => exchanged,
             () = self.until_abandoned() => return self.refuse(running, Outcome::Unknown, Reason::Cancelled, ""),
@@ -218,15 +218,15 @@
 
     /// Records that the back end did not start the call, and withdraws its trial run, if any.
     fn record_not_run(&self, run: &BackendRun) {
-        run.work.finish(RunEnd::NotRun);
-        if let RunMode::Trial(mark) = run.mode {
-            self.shared.suspects.withdraw_trial(self.head.request, mark);
+        run.tracked_run.finish(RunEnd::NotRun);
+        if let RunMode::Trial(trial_id) = run.mode {
+            self.shared.suspects.withdraw_trial(self.head.request, trial_id);
             self.shared.control.suspects_changed(vec![self.head.request]);
         }
     }
 
     async fn has_crashed(&self, run: &BackendRun) -> bool {
-        self.shared.crash_context().has_crashed(&run.work, run.instance.as_ref()).await
+        self.shared.crash_context().has_crashed(&run.tracked_run, run.instance.as_ref()).await
     }
 
     /// Clears a suspect request once the back end has stayed up for [`SURVIVAL_AFTER_ANSWER`] after the answer,
@@ -235,13 +235,13 @@
     async fn clear_suspicion(&self, run: &BackendRun) {
         let request = self.head.request;
         if !self.shared.suspects.is_suspect(request) {
-            return run.work.finish(RunEnd::Answered);
+            return run.tracked_run.finish(RunEnd::Answered);
         }
         clock::sleep_until(clock::now().plus(SURVIVAL_AFTER_ANSWER)).await;
         if self.has_crashed(run).await {
             return;
         }
-        run.work.finish(RunEnd::Answered);
+        run.tracked_run.finish(RunEnd::Answered);
         if self.shared.suspects.clear(request) {
             self.shared.control.suspects_changed(vec![request]);
         }
--- a/crates/seamhatchd/src/server/notices.rs
+++ b/crates/seamhatchd/src/server/notices.rs
@@ -125,24 +125,24 @@
     fn apply(&self, state: &mut State, change: RateChange, source: &'static str) {
         match change {
             RateChange::Unchanged => return,
-            RateChange::HoldTo(rate) => {
+            RateChange::Limit(rate) => {
                 self.gate.set_rate_limit(rate);
                 self.is_rate_limited.store(true, Ordering::Relaxed);
                 self.metrics.named_rate.set(rate.as_thousandths() as i64);
             }
-            RateChange::Lifted => {
+            RateChange::Unlimited => {
                 self.gate.end_rate_limit();
                 self.metrics.named_rate.set(NO_NAMED_RATE);
             }
         }
         let now = clock::now();
-        if now.since(state.last_logged) < LOG_INTERVAL && change != RateChange::Lifted {
+        if now.since(state.last_logged) < LOG_INTERVAL && change != RateChange::Unlimited {
             return;
         }
         state.last_logged = now;
         let instance = state.rates.instance().map_or("", |instance| instance.name.as_str());
         match change {
-            RateChange::HoldTo(rate) => {
+            RateChange::Limit(rate) => {
                 let per_second = rate.as_per_second();
                 info!(instance = instance, per_second = per_second, source = source; "the back end names a rate");
             }
--- a/crates/seamhatchd/tests/links.rs
+++ b/crates/seamhatchd/tests/links.rs
@@ -15,7 +15,7 @@
 use seamhatchd::base::clock;
 use seamhatchd::base::metrics::BadInput;
 use seamhatchd::peer::{
-    AnswerBody, AnswerPiece, BODY_PIECE, BODY_WINDOW, CallEvent, LinkHost, LocalState, PeerPool,
+    AnswerBody, AnswerPiece, BODY_PIECE_BYTES, BODY_WINDOW_BYTES, CallEvent, LinkHost, LocalState, PeerPool,
     UnwrittenMessages,
 };
 use std::net::{IpAddr, Ipv4Addr};
@@ -188,7 +188,7 @@
             usage: Vec::new(),
         };
         self.send(PeerMessage::AnswerHead(Box::new(head))).await;
-        let (mut left, mut window, mut credit) = (bytes, BODY_WINDOW as i64, Vec::new());
+        let (mut left, mut window, mut credit) = (bytes, BODY_WINDOW_BYTES as i64, Vec::new());
         while left > 0 {
             while window <= 0 {
                 if let PeerMessage::Credit { bytes, .. } = self.next().await {
@@ -196,7 +196,7 @@
                     window += i64::from(bytes);
                 }
             }
-            let piece = left.min(BODY_PIECE);
+            let piece = left.min(BODY_PIECE_BYTES);
             self.send(PeerMessage::AnswerChunk { call, bytes: vec![7; piece] }).await;
             left -= piece;
             window -= piece as i64;
@@ -292,7 +292,10 @@
         assert_eq!(read, size);
         let credit = answering.await.expect("answers");
         assert!(credit.len() <= most, "{size} bytes: {credit:?}");
-        assert!(credit.iter().all(|bytes| *bytes as usize >= BODY_WINDOW / 2), "{size} bytes: {credit:?}");
+        assert!(
+            credit.iter().all(|bytes| *bytes as usize >= BODY_WINDOW_BYTES / 2),
+            "{size} bytes: {credit:?}"
+        );
     }
 }
 
