--- a/crates/seamhatch-core/src/admission/mod.rs
+++ b/crates/seamhatch-core/src/admission/mod.rs
@@ -11,7 +11,7 @@
 //! | [`ClassShares`] | which class goes first |
 //! | `slots` | which calls hold a slot, and which have lost their answer |
 //! | `waiting` | which calls wait, and in which order |
-//! | `rate_limited` | when calls start at a back end that announces a rate |
+//! | `rate_limited` | when calls start at a back end that names a rate |
 //! | `service_times` | the median service time of each kind of call |
 //! | `floor` | the level of the admission floor that the server publishes |
 //! | `kept` | which buckets of each class are admitted at any level |
--- a/crates/seamhatch-core/src/admission/queue/mod.rs
+++ b/crates/seamhatch-core/src/admission/queue/mod.rs
@@ -1,11 +1,11 @@
 //! The admission queue of one server.
 //!
-//! A call runs at once if a slot is free and no call waits. Otherwise it waits as long as its slot can come in time,
-//! and is refused if it can't or if the queue is full of more important calls. A class that has used less than its
-//! share of the slots goes first, then the most important waiting class. Within a class, calls are ordered by bucket,
-//! so that every server of a chain prefers the same requests, and then by the age of the root request. If the
-//! deployment orders calls by cost, calls that continue a chain go before first calls of their class. A back end that
-//! announces a rate gets calls at that rate, in the same order; estimates made during that time are discarded.
+//! A call runs at once if a slot is free and no call waits. Otherwise it waits as long as its slot can come in
+//! time, and is refused if it can't or if the queue is full of more important calls. A class that has used less
+//! than its share of the slots goes first, then the most important waiting class. Within a class, calls are ordered
+//! by bucket, so that every server of a chain prefers the same requests, and then by the age of the root request.
+//! If the deployment orders calls by cost, calls that continue a chain go before first calls of their class. A back
+//! end that names a rate gets calls at that rate, in the same order; estimates made during that time are discarded.
 
 mod lateness;
 mod rate_limited;
--- a/crates/seamhatch-core/src/admission/queue/rate_limited.rs
+++ b/crates/seamhatch-core/src/admission/queue/rate_limited.rs
@@ -1,7 +1,7 @@
-//! The queue of a back end that announces a rate.
+//! The queue of a back end that names a rate.
 //!
-//! A call needs permission from the rate limiter in addition to a slot, in the same order. Estimates made while the
-//! limit lasts are discarded at its end.
+//! A call needs permission from the rate limiter in addition to a slot. Calls start in the same order as without a
+//! limit. Estimates made while the limit lasts are discarded at its end.
 
 use super::super::Ticket;
 use super::super::rate_limited::{RateLimitedBackEnd, ServiceEstimates};
--- a/crates/seamhatch-core/src/admission/rate_limited.rs
+++ b/crates/seamhatch-core/src/admission/rate_limited.rs
@@ -1,4 +1,4 @@
-//! A rate limit that a back end announces, and the ramp that follows its end.
+//! The rate limit that a back end names, and the ramp that follows its end.
 //!
 //! Holds the limiter and the estimates from before the limit. Service times under a limit describe the back end only
 //! while the limit lasts, so the earlier estimates are restored at its end.
--- a/crates/seamhatch-core/src/balance/pace.rs
+++ b/crates/seamhatch-core/src/balance/pace.rs
@@ -1,4 +1,4 @@
-//! Speed of a server, according to its own reports and its observed service times.
+//! Pace of a server: its present speed, according to its own reports and its observed service times.
 //!
 //! A server states in its answers how long work takes at the moment, in percent of the usual time. The daemon beside it
 //! keeps the last percentage with its age ([`PaceTracker`]) and reports it with the usual service time
--- a/crates/seamhatch-core/src/balance/turn.rs
+++ b/crates/seamhatch-core/src/balance/turn.rs
@@ -1,4 +1,4 @@
-//! Distribution of the call rate that a server announces among the daemons that send calls to it.
+//! Distribution of the call rate that a server names among the daemons that send calls to it.
 //!
 //! A rate-limited server runs few calls, so judged by its load it would look idle and attract every call. The daemon
 //! beside it therefore assigns turns to the sending daemons, round robin: the one that sent last comes last.
--- a/crates/seamhatch-core/src/clock.rs
+++ b/crates/seamhatch-core/src/clock.rs
@@ -1,7 +1,8 @@
 //! Instants of a machine's boot clock, and their translation between the clocks of two machines.
 //!
-//! A deadline is sent to another machine as an instant of the receiver's clock that errs early: a relative time-out
-//! would start over when a frozen daemon wakes up. Alternatives: docs/DESIGN.md#deadlines.
+//! A deadline is sent to another machine as an instant of the receiver's clock that may be too early but never too
+//! late. It is not sent as a relative time-out, which would start over when a frozen daemon wakes up.
+//! Alternatives: docs/DESIGN.md#deadlines.
 
 use crate::wire_number::wire_number;
 
--- a/crates/seamhatch-core/src/drain.rs
+++ b/crates/seamhatch-core/src/drain.rs
@@ -2,7 +2,7 @@
 //!
 //! [`StopState`] says how far the stop of the daemon has come. It decides which calls other daemons may send to the
 //! back end ([`CallIntake`]), whether a call that starts now can end before the process does, which deadline
-//! forwarded work gets, and whether callers are refused. Whatever is accepted ends by itself before the process.
+//! forwarded work gets, and whether callers are refused. Accepted work ends on its own before the process does.
 //! Times are read from the boot clock at the moment of the question.
 //!
 //! This protects requests in flight from being cut off by the end of the process. It also protects services whose
--- a/crates/seamhatch-core/src/freshness.rs
+++ b/crates/seamhatch-core/src/freshness.rs
@@ -1,14 +1,16 @@
 //! Freshness: proof that the configuration held here was the newest one a short time ago.
 //!
 //! Decides whether a daemon may act on a tenant's key, and for how long it may have missed a change. Silence proves
-//! nothing: a daemon whose watch reports no change may be cut off, may have been frozen or may have just started. It
-//! therefore asks when its proof gets old. What an outdated configuration must not allow, such as running a request
-//! with a revoked key, is done only while a *freshness proof* is recent enough: a proof that at some recent instant,
-//! no configuration newer than the one held here had been accepted. Two things prove an instant:
+//! nothing: a daemon whose watch reports no change may be cut off, may have been frozen or may have just started.
+//! The daemon therefore asks the store when its proof gets old. What an outdated configuration must not allow, such
+//! as running a request with a revoked key, is done only while a *freshness proof* is recent enough: a proof that
+//! at some recent instant, no configuration newer than the one held here had been accepted. Two things prove an
+//! instant:
 //!
 //! - An answered, linearizable read of the store proves the instant at which it was *sent*. The time at which the
 //!   answer was made or arrived proves nothing, as it may have been in transit for any time.
-//! - Another daemon's proof proves its instant, translated into the local clock so that it errs early.
+//! - Another daemon's proof proves its instant, translated into the local clock so that it may be too early but
+//!   never too late.
 //!
 //! A hanging watch proves nothing, nor does a read that may be stale, nor a message by itself.
 //!
--- a/crates/seamhatch-core/src/heartbeat.rs
+++ b/crates/seamhatch-core/src/heartbeat.rs
@@ -1,8 +1,8 @@
 //! Heartbeats on the connections between daemons.
 //!
-//! [`HeartbeatSchedule`] decides whether an end of a connection sends a heartbeat, at instants that are the same for
-//! all connections of a daemon. Inputs are the end, whether calls of the peer are in progress, and whether anything
-//! was sent since the last check.
+//! [`HeartbeatSchedule`] decides whether an end of a connection sends a heartbeat, at instants that are the same
+//! for all connections of a daemon. The inputs are which end it is, whether calls of the peer are in progress, and
+//! whether anything was sent since the last check.
 //!
 //! The called side sends a heartbeat every [`IDLE_INTERVAL`] whatever else it sends, as heartbeats carry its clock
 //! and its freshness proof. It also sends one every [`BUSY_INTERVAL`] while calls are in progress and nothing else
--- a/crates/seamhatch-core/src/outcome.rs
+++ b/crates/seamhatch-core/src/outcome.rs
@@ -1,7 +1,7 @@
 //! Outcome of a call as reported to its sender, and the reason for it.
 //!
-//! These names are sent between daemons and appear in answers, logs and metrics. [`crate::refusal`] defines
-//! what each reason means for the caller and for the sender.
+//! The names of outcomes and reasons are sent between daemons and appear in answers, logs and metrics.
+//! [`crate::refusal`] defines what each reason means for the caller and for the sender.
 
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
--- a/crates/seamhatch-core/src/pipeline.rs
+++ b/crates/seamhatch-core/src/pipeline.rs
@@ -7,8 +7,8 @@
 //! closes the connection only if no request started ahead is unanswered behind it
 //! ([`Pipeline::try_close_after_this`]): a request that has reached a server would be cut off.
 //!
-//! If the library and the reader disagree on where a request ends, the connection is served without any of this from
-//! then on ([`NextInput::PassThrough`]).
+//! If the library and the read-ahead parser disagree on where a request ends, the connection is served without
+//! pipelining from then on ([`NextInput::PassThrough`]).
 
 /// Maximum number of unanswered requests of one connection that are started ahead. Bounds the slots and memory that a
 /// connection takes.
@@ -31,7 +31,7 @@
     /// The next head.
     NextHead,
     /// The rest of a head that it was given in part. If it was given the whole head and asks for more, library and
-    /// reader disagree on where the head ends.
+    /// read-ahead parser disagree on where the head ends.
     RestOfHead,
     /// At most this many bytes of the body of the request in progress.
     Body(u64),
--- a/crates/seamhatch-core/src/quota/mod.rs
+++ b/crates/seamhatch-core/src/quota/mod.rs
@@ -1,11 +1,11 @@
 //! Tenant quotas: limits on the requests of a tenant over all daemons, without agreement on each request.
 //!
-//! Decides whether a request of a tenant is admitted. A tenant's limit is divided into a fixed number of
-//! *shards*. The daemon that holds a shard fills a token bucket per tenant at the shard's part of the rate
-//! and grants tokens on demand. A daemon admits a request with a token, which is valid for its lifetime
-//! counted from when it was *asked for*. So the tokens used in a window were granted in that window or one
-//! lifetime before it, and a bucket that is smaller by what its rate fills in a lifetime keeps the bound
-//! through losses, delays, partitions and restarts:
+//! Decides whether a request of a tenant is admitted. A tenant's limit is divided into a fixed number of *shards*.
+//! The daemon that holds a shard fills a token bucket per tenant at the shard's part of the rate and grants tokens
+//! on demand. A daemon admits a request with a token, which is valid for its lifetime counted from when it was
+//! *asked for*. So the tokens used in a window were granted in that window or in the lifetime before it. Each
+//! bucket is therefore smaller by the tokens that its rate adds in one lifetime. This keeps the bound through
+//! losses, delays, partitions and restarts:
 //!
 //! - A token that is lost in transit, or with a daemon, was granted and is never used.
 //! - A shard has one holder at a time, by a lease in the store. The holder takes the lease to end no later
--- a/crates/seamhatch-core/src/return_time.rs
+++ b/crates/seamhatch-core/src/return_time.rs
@@ -4,10 +4,10 @@
 //! spans are in microseconds and before jitter, which the listener adds last with [`jittered`]. The inputs
 //! are read at the moment of the refusal.
 //!
-//! The rules keep the same callers from returning at once to an overloaded service, and callers from staying
-//! away longer than the overload lasts. An overload is expected to last about as long again as it has lasted
-//! so far; the drain time of the entry's own queue says nothing about a bottleneck further down.
-//! Alternatives: docs/DESIGN.md#when-to-come-back.
+//! The rules keep refused callers from returning immediately to an overloaded service, and from staying away longer
+//! than the overload lasts. An overload is expected to last about as long again as it has lasted so far; the drain
+//! time of the entry's own queue says nothing about a bottleneck further down. Alternatives:
+//! docs/DESIGN.md#when-to-come-back.
 
 use crate::clock::{MILLISECOND, Microseconds, SECOND};
 
--- a/crates/seamhatchd/src/filters/context.rs
+++ b/crates/seamhatchd/src/filters/context.rs
@@ -1,5 +1,5 @@
-//! Determines the call that caused a request. Trusted fields are removed from requests from outside
-//! and read from calls of the back end.
+//! Determines the call that caused a request. Trusted fields are removed from external requests and
+//! read from calls of the back end.
 
 use crate::base::metrics::BadInput;
 use crate::conventions::headers;
--- a/crates/seamhatchd/src/filters/idempotency.rs
+++ b/crates/seamhatchd/src/filters/idempotency.rs
@@ -1,5 +1,5 @@
-//! Determines the text by which a call that is not repeatable is claimed. The claim itself is made
-//! at dispatch.
+//! Determines the claim text of a call that is not repeatable: the text that identifies the call in its
+//! claim. Dispatch makes the claim itself.
 
 use crate::base::metrics::BadInput;
 use crate::conventions::headers;
--- a/crates/seamhatchd/src/filters/limits.rs
+++ b/crates/seamhatchd/src/filters/limits.rs
@@ -1,4 +1,4 @@
-//! Limits on the size of a request, from the configuration that decides it.
+//! Limits on the size of a request, from the configuration that applies to the request.
 
 use crate::base::metrics::BadInput;
 use crate::filters::{Rejection, RequestFilter, RequestState};
--- a/crates/seamhatchd/src/filters/mod.rs
+++ b/crates/seamhatchd/src/filters/mod.rs
@@ -1,11 +1,10 @@
 //! The filters that a request passes before it is dispatched.
 //!
-//! Each filter reads the request and the shared state, and either adds its decision to
-//! [`RequestState`] or rejects the request, which has not run then. Filters don't wait.
-//! [`ingress_chain`], [`egress_chain`] and [`shared_chain`] list the filters in order, with the
-//! reason for each position; `listeners` runs the chain of its entry. Claims, quotas and retry
-//! limits come later, since they wait for other daemons or are charged for each attempt: see
-//! `listeners::proxy` and `dispatch`.
+//! Each filter reads the request and the shared state, and either adds its decision to [`RequestState`]
+//! or rejects the request before it runs. Filters don't wait. [`ingress_chain`], [`egress_chain`] and
+//! [`shared_chain`] list the filters in order, with the reason for each position; each traffic listener
+//! runs the chain of its entry. Claims, quotas and retry limits come later, since they wait for other
+//! daemons or are charged for each attempt: see `listeners::proxy` and `dispatch`.
 
 mod classification;
 mod context;
--- a/crates/seamhatchd/src/filters/readiness.rs
+++ b/crates/seamhatchd/src/filters/readiness.rs
@@ -1,5 +1,5 @@
-//! Rejects requests while the daemon drains or has no configuration, and pins the configuration
-//! that decides a request.
+//! Rejects requests while the daemon drains or has no configuration, and pins the configuration that
+//! applies to a request.
 
 use crate::conventions::headers;
 use crate::filters::{Rejection, RequestFilter, RequestState};
--- a/crates/seamhatchd/src/limits/chain_costs.rs
+++ b/crates/seamhatchd/src/limits/chain_costs.rs
@@ -1,8 +1,8 @@
 //! Costs of requests by kind, shared by all threads.
 //!
-//! Wraps the table in [`seamhatch_core::chain_cost`], which makes the decisions, in a lock. The
-//! request path writes it from answers; the classification of requests from outside reads it, and
-//! the status page shows it.
+//! Wraps the table in [`seamhatch_core::chain_cost`], which makes the decisions, in a lock. The request
+//! path writes it from answers; the classification of external requests reads it, and the status page
+//! shows it.
 
 use crate::base::clock;
 use crate::base::lock::lock;
--- a/crates/seamhatchd/src/peer/shutdown_acks.rs
+++ b/crates/seamhatchd/src/peer/shutdown_acks.rs
@@ -1,4 +1,4 @@
-//! Tracks which peers that send calls have not acknowledged the shutdown of this daemon.
+//! Tracks which calling peers have not yet acknowledged the shutdown of this daemon.
 //!
 //! Each incoming connection holds a [`PendingShutdownAck`] from its start until the peer acknowledges the shutdown
 //! or the connection closes. Once none is pending, no further call can arrive.
--- a/crates/seamhatchd/src/server/backend/stream.rs
+++ b/crates/seamhatchd/src/server/backend/stream.rs
@@ -1,8 +1,8 @@
 //! The stream of a connection to the back end, whose silence check changes with the request that is
 //! written.
 //!
-//! The check is a socket option, and the HTTP library owns the socket. The stream therefore applies
-//! the check of the next request before it writes, so that requests of both kinds share the idle
+//! The check is a socket option, and the HTTP library owns the socket. The stream therefore applies the
+//! check of the next request before it writes, so that requests with different checks share the idle
 //! connections.
 
 use crate::base::keepalive::{SilenceCheck, set_silence_check};
--- a/crates/seamhatchd/src/server/notices.rs
+++ b/crates/seamhatchd/src/server/notices.rs
@@ -1,9 +1,10 @@
-//! State that the back end reports about itself in its answers: its rate limit, and that it leaves.
+//! State that the back end reports about itself in its answers: the rate that it names, and that it
+//! leaves.
 //!
-//! Owns the tracker of its rate limits, which decides which of them is in force, and the round
-//! robin of the daemons that send calls. Sets the rate limit of the gate, so that the sum over all
-//! daemons is enforced in one place. Other daemons receive [`BackEndNotices::notice_for_peers`] and
-//! hand it back if this process restarts.
+//! Owns the [`RateTracker`], which decides which of the named rates is in force, and the round robin of
+//! the daemons that send calls. Sets the rate limit of the gate, so that the sum over all daemons is
+//! enforced in one place. Other daemons receive [`BackEndNotices::notice_for_peers`] and hand it back
+//! if this process restarts.
 
 use crate::base::clock;
 use crate::base::lock::lock;
