--- a/crates/seamhatchd/tests/backend_connections.rs
+++ b/crates/seamhatchd/tests/backend_connections.rs
@@ -1,4 +1,4 @@
-//! Which connections to the back end are kept for other calls, and what is counted when one has to be opened.
+//! Reuse of connections to the back end, and the cause that is counted when a connection is opened.
 
 use bytes::Bytes;
 use http::{HeaderMap, Response, StatusCode};
@@ -22,14 +22,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Time after which the rest of a refusal comes.
-const LATE: Duration = Duration::from_millis(150);
+/// Delay between the head of a refusal and its body.
+const BODY_DELAY: Duration = Duration::from_millis(150);
 
-/// The product's conventions; 503 says that the call was not run, 500 that the answer is somebody else's.
+/// The product's own conventions, except that status 503 means that the call was not run, and 500 that the answer is unusable.
 #[derive(Debug)]
-struct Judging(OwnConventions);
+struct StatusVerdicts(OwnConventions);
 
-impl HttpConventions for Judging {
+impl HttpConventions for StatusVerdicts {
     fn judge(&self, _call: &BackEndCall<'_>, status: StatusCode, _headers: &HeaderMap) -> AnswerVerdict {
         match status.as_u16() {
             503 => AnswerVerdict::NotRun(Reason::QueueFull),
@@ -83,7 +83,7 @@
     }
 }
 
-/// A server that does what the path of a request says.
+/// A back end whose answer depends on the path of the request.
 struct Server {
     address: Address,
     accepted: Arc<AtomicUsize>,
@@ -111,17 +111,17 @@
 
 async fn serve(mut stream: TcpStream) {
     while let Some(path) = read_request(&mut stream).await {
-        let (answer, late): (&[u8], &[u8]) = match path.as_str() {
+        let (answer, delayed): (&[u8], &[u8]) = match path.as_str() {
             "/ok" | "/early" | "/bye" => (b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nx", b""),
             "/bad" => (b"HTTP/1.1 500 Bad\r\ncontent-length: 1\r\n\r\nx", b""),
             "/refused" => (b"HTTP/1.1 503 Busy\r\ncontent-length: 4\r\n\r\n", b"busy"),
-            // Works until its connection closes.
+            // Sends no answer until the client closes the connection.
             _ => (b"", b""),
         };
         stream.write_all(answer).await.expect("is answered");
-        if !late.is_empty() {
-            tokio::time::sleep(LATE).await;
-            stream.write_all(late).await.expect("is answered");
+        if !delayed.is_empty() {
+            tokio::time::sleep(BODY_DELAY).await;
+            stream.write_all(delayed).await.expect("is answered");
         }
         if path == "/bye" {
             return;
@@ -149,17 +149,18 @@
     }
 }
 
-struct Bench {
+/// A back end, the [`Backend`] that calls it, and its metrics.
+struct Fixture {
     server: Server,
     backend: Arc<Backend>,
     metrics: Arc<Metrics>,
 }
 
-impl Bench {
+impl Fixture {
     async fn start() -> Self {
         let server = Server::start().await;
         let metrics = Arc::new(Metrics::new());
-        let conventions = Arc::new(Judging(OwnConventions));
+        let conventions = Arc::new(StatusVerdicts(OwnConventions));
         let backend = Arc::new(Backend::new(server.address, conventions, metrics.clone()));
         Self { server, backend, metrics }
     }
@@ -171,7 +172,7 @@
         self.backend.send(&request, body).await
     }
 
-    /// Sends a request and reads its answer to the end.
+    /// Sends a request, reads the whole answer and releases the connection.
     async fn exchange(&self, path: &str) {
         let mut answer = self.send(path, no_body()).await.expect("is answered");
         while answer.next().await.expect("is whole").is_some() {}
@@ -185,118 +186,121 @@
         count.map_or(0, |count| count.parse().expect("a number"))
     }
 
-    /// Asserts that the second of two connections was opened for this cause.
+    /// Asserts that two connections were opened: the first as none was idle, the second for `cause`.
     fn assert_second(&self, cause: &str) {
         assert_eq!((self.opened("none-idle"), self.opened(cause)), (1, 1), "{}", self.metrics.to_text());
         assert_eq!(self.server.accepted(), 2);
     }
 }
 
-/// A moment in which the other side's bytes or its close arrive.
+/// Waits until bytes or a close that the other side has sent have arrived.
 async fn settle() {
     tokio::time::sleep(Duration::from_millis(100)).await;
 }
 
-/// Guards against an idle connection that is passed over, and against one that is kept only after a call's answer has been passed on.
+/// Guards against opening a connection while one is idle, and against returning a connection to the pool only when its answer is
+/// dropped: it is idle as soon as the answer has been read to its end.
 #[tokio::test]
-async fn calls_after_one_another_share_a_connection() {
-    let bench = Bench::start().await;
+async fn consecutive_calls_share_a_connection() {
+    let fixture = Fixture::start().await;
     for _ in 0..20 {
-        bench.exchange("/ok").await;
+        fixture.exchange("/ok").await;
     }
-    let mut answer = bench.send("/ok", no_body()).await.expect("is answered");
+    let mut answer = fixture.send("/ok", no_body()).await.expect("is answered");
     while answer.next().await.expect("is whole").is_some() {}
-    bench.exchange("/ok").await;
+    fixture.exchange("/ok").await;
     drop(answer);
-    assert_eq!((bench.server.accepted(), bench.opened("none-idle")), (1, 1));
+    assert_eq!((fixture.server.accepted(), fixture.opened("none-idle")), (1, 1));
 }
 
 #[tokio::test]
-async fn calls_at_once_have_connections_of_their_own() {
-    let bench = Bench::start().await;
-    let first = bench.send("/ok", no_body()).await.expect("is answered");
-    bench.exchange("/ok").await;
+async fn concurrent_calls_use_separate_connections() {
+    let fixture = Fixture::start().await;
+    let first = fixture.send("/ok", no_body()).await.expect("is answered");
+    fixture.exchange("/ok").await;
     drop(first);
-    assert_eq!((bench.server.accepted(), bench.opened("none-idle")), (2, 2));
+    assert_eq!((fixture.server.accepted(), fixture.opened("none-idle")), (2, 2));
 }
 
-/// Guards against a connection for each kind of body: the silence check of one changes with its request.
+/// Guards against separate connections for requests with a streamed body, which use another silence check: a connection takes the
+/// check of its next request.
 #[tokio::test]
-async fn requests_with_long_bodies_use_the_connections_of_others() {
-    let bench = Bench::start().await;
+async fn requests_with_streamed_bodies_share_idle_connections() {
+    let fixture = Fixture::start().await;
     for _ in 0..3 {
-        bench.exchange("/ok").await;
+        fixture.exchange("/ok").await;
         let (pieces, body) = request_body();
         pieces.send(Ok(Bytes::from_static(b"some"))).expect("is open");
         drop(pieces);
-        let mut answer = bench.send("/ok", body).await.expect("is answered");
+        let mut answer = fixture.send("/ok", body).await.expect("is answered");
         while answer.next().await.expect("is whole").is_some() {}
-        bench.backend.finish(answer);
+        fixture.backend.finish(answer);
     }
-    assert_eq!((bench.server.accepted(), bench.opened("none-idle")), (1, 1));
+    assert_eq!((fixture.server.accepted(), fixture.opened("none-idle")), (1, 1));
 }
 
 #[tokio::test]
 async fn a_connection_that_the_server_closed_is_replaced() {
-    let bench = Bench::start().await;
-    bench.exchange("/bye").await;
+    let fixture = Fixture::start().await;
+    fixture.exchange("/bye").await;
     settle().await;
-    bench.exchange("/ok").await;
-    bench.assert_second("closed-by-server");
+    fixture.exchange("/ok").await;
+    fixture.assert_second("closed-by-server");
 }
 
-/// The server works on until its connection closes, so the connection of a call that is cancelled can't be kept.
+/// Guards against keeping the connection of a cancelled call: the server learns of the cancellation only by the close.
 #[tokio::test]
 async fn a_cancelled_call_closes_its_connection() {
-    let bench = Bench::start().await;
-    let cancelled = tokio::time::timeout(Duration::from_millis(100), bench.send("/works", no_body())).await;
-    assert!(cancelled.is_err(), "it is not answered");
-    bench.exchange("/ok").await;
-    bench.assert_second("cancelled");
+    let fixture = Fixture::start().await;
+    let cancelled = tokio::time::timeout(Duration::from_millis(100), fixture.send("/works", no_body())).await;
+    assert!(cancelled.is_err(), "the request must not be answered");
+    fixture.exchange("/ok").await;
+    fixture.assert_second("cancelled");
 }
 
-/// Guards against a connection that is lost with each refusal whose body comes later than its head, and against refusals that wait for it.
+/// Guards against closing the connection after a refusal whose body arrives later than its head, and against delaying the refusal
+/// until the body has arrived.
 #[tokio::test]
 async fn the_connection_of_a_refusal_is_kept_and_the_refusal_does_not_wait() {
-    let bench = Bench::start().await;
-    bench.exchange("/ok").await;
+    let fixture = Fixture::start().await;
+    fixture.exchange("/ok").await;
     for _ in 0..3 {
         let sent = Instant::now();
-        let refused = bench.send("/refused", no_body()).await.expect_err("is refused");
+        let refused = fixture.send("/refused", no_body()).await.expect_err("is refused");
         assert!(matches!(refused, BackendError::NotRun { reason: Reason::QueueFull, .. }));
-        assert!(sent.elapsed() < LATE, "the refusal does not wait for its body");
-        tokio::time::sleep(2 * LATE).await;
+        assert!(sent.elapsed() < BODY_DELAY, "the refusal waited for its body");
+        tokio::time::sleep(2 * BODY_DELAY).await;
     }
-    bench.exchange("/ok").await;
-    assert_eq!((bench.server.accepted(), bench.opened("none-idle")), (1, 1));
+    fixture.exchange("/ok").await;
+    assert_eq!((fixture.server.accepted(), fixture.opened("none-idle")), (1, 1));
 }
 
 #[tokio::test]
 async fn the_connection_of_an_unusable_answer_is_closed() {
-    let bench = Bench::start().await;
-    assert!(matches!(bench.send("/bad", no_body()).await, Err(BackendError::Failed { .. })));
-    bench.exchange("/ok").await;
-    bench.assert_second("unusable-answer");
+    let fixture = Fixture::start().await;
+    assert!(matches!(fixture.send("/bad", no_body()).await, Err(BackendError::Failed { .. })));
+    fixture.exchange("/ok").await;
+    fixture.assert_second("unusable-answer");
 }
 
-/// Guards against a request that follows the unwritten rest of the one before.
+/// Guards against sending a request on a connection on which the previous request was not written to its end.
 #[tokio::test]
 async fn a_connection_whose_request_was_not_written_to_its_end_is_closed() {
-    let bench = Bench::start().await;
+    let fixture = Fixture::start().await;
     let (pieces, body) = request_body();
     pieces.send(Ok(Bytes::from_static(b"some"))).expect("is open");
-    let mut answer = bench.send("/early", body).await.expect("is answered");
+    let mut answer = fixture.send("/early", body).await.expect("is answered");
     while answer.next().await.expect("is whole").is_some() {}
-    bench.backend.finish(answer);
-    bench.exchange("/ok").await;
-    bench.assert_second("unusable-answer");
+    fixture.backend.finish(answer);
+    fixture.exchange("/ok").await;
+    fixture.assert_second("unusable-answer");
     drop(pieces);
 }
 
 #[tokio::test]
-async fn the_look_for_the_server_is_counted_as_such() {
-    let bench = Bench::start().await;
-    assert!(!bench.backend.has_exited().await);
-    bench.exchange("/ok").await;
-    assert_eq!((bench.opened("probe"), bench.opened("none-idle"), bench.server.accepted()), (1, 0, 1));
+async fn a_probe_for_the_server_is_counted_as_a_probe() {
+    let fixture = Fixture::start().await;
+    assert!(!fixture.backend.has_exited().await);
+    fixture.exchange("/ok").await;
+    assert_eq!((fixture.opened("probe"), fixture.opened("none-idle"), fixture.server.accepted()), (1, 0, 1));
 }
--- a/crates/seamhatchd/tests/behind.rs
+++ b/crates/seamhatchd/tests/behind.rs
@@ -1,4 +1,4 @@
-//! Whether a daemon knows that its configuration is old.
+//! Whether a daemon knows that its configuration is out of date.
 
 use seamhatch_core::Instant;
 use seamhatch_core::clock::SECOND;
@@ -8,22 +8,28 @@
 struct BehindCase {
     name: &'static str,
     in_force: u64,
-    told: u64,
-    after: u64,
+    reported: u64,
+    elapsed: u64,
     behind: bool,
 }
 
 #[test]
-fn a_daemon_is_behind_what_was_told_lately() {
+fn a_daemon_is_behind_a_newer_generation_that_was_reported_recently() {
     let cases = [
-        BehindCase { name: "the same", in_force: 5, told: 5, after: SECOND, behind: false },
-        BehindCase { name: "an older one", in_force: 5, told: 4, after: SECOND, behind: false },
-        BehindCase { name: "a newer one", in_force: 5, told: 6, after: SECOND, behind: true },
         BehindCase {
-            name: "one that nobody gives",
+            name: "the generation in force",
             in_force: 5,
-            told: u64::MAX,
-            after: 10 * SECOND,
+            reported: 5,
+            elapsed: SECOND,
+            behind: false,
+        },
+        BehindCase { name: "an older generation", in_force: 5, reported: 4, elapsed: SECOND, behind: false },
+        BehindCase { name: "a newer generation", in_force: 5, reported: 6, elapsed: SECOND, behind: true },
+        BehindCase {
+            name: "a newer generation that was not received within 10 s",
+            in_force: 5,
+            reported: u64::MAX,
+            elapsed: 10 * SECOND,
             behind: false,
         },
     ];
@@ -31,9 +37,9 @@
         let (control, _events) = ControlHandle::new();
         let now = Instant(100 * SECOND);
         control.set_generation(Generation(case.in_force));
-        control.record_generation(Generation(case.told), now);
-        // Told again, it is not newer.
-        control.record_generation(Generation(case.told), now.plus(case.after));
-        assert_eq!(control.is_behind(now.plus(case.after)), case.behind, "{}", case.name);
+        control.record_generation(Generation(case.reported), now);
+        // A repeated report must not restart the period in which the daemon counts as behind.
+        control.record_generation(Generation(case.reported), now.plus(case.elapsed));
+        assert_eq!(control.is_behind(now.plus(case.elapsed)), case.behind, "{}", case.name);
     }
 }
--- a/crates/seamhatchd/tests/claim_records.rs
+++ b/crates/seamhatchd/tests/claim_records.rs
@@ -1,4 +1,4 @@
-//! What became of the claims that a daemon made, and the answers that it holds for daemons that have ended.
+//! Records of the claims that a daemon has made, and the answers that it holds for daemons that have stopped.
 
 use seamhatch_core::claims::{ClaimHolder, ClaimKey};
 use seamhatch_core::identity::Incarnation;
@@ -7,15 +7,17 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-/// Times that the same answer is handed over, and its bytes: together more than is kept.
-const TIMES: usize = 200;
-const BODY: usize = 64 * 1024;
-/// Longest that the whole takes.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How often the same answer is handed over. With [`BODY_BYTES`], the sum exceeds the limit on recorded bytes.
+const REPEATS: usize = 200;
+/// Size of the answer's body.
+const BODY_BYTES: usize = 64 * 1024;
+/// Ends a test in which trimming does not terminate.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Guards against an answer that counts once more each time that it is handed over, until nothing is kept and the trimming never ends.
+/// Guards against adding an answer's bytes to the total each time that it is handed over: the total then exceeds the limit even with
+/// no records left, and the trimming never ends.
 #[test]
-fn an_answer_that_is_handed_over_again_is_kept_once() {
+fn an_answer_that_is_handed_over_repeatedly_is_kept_once() {
     let (done, ended) = mpsc::channel();
     std::thread::spawn(move || {
         let records = ClaimRecords::default();
@@ -24,18 +26,18 @@
             incarnation: Incarnation(1),
             attempt: 1,
         };
-        let (other, again) = (ClaimKey(1), ClaimKey(2));
-        let answer = RecordedAnswer { status: 200, headers: Vec::new(), body: vec![b'a'; BODY] };
+        let (other, repeated) = (ClaimKey(1), ClaimKey(2));
+        let answer = RecordedAnswer { status: 200, headers: Vec::new(), body: vec![b'a'; BODY_BYTES] };
         records.hold(other, holder, answer.clone());
-        for _ in 0..TIMES {
-            records.hold(again, holder, answer.clone());
+        for _ in 0..REPEATS {
+            records.hold(repeated, holder, answer.clone());
         }
-        let kept = [other, again].map(|key| records.get(key, holder));
-        done.send((kept, records.answered().len())).expect("is awaited");
+        let kept = [other, repeated].map(|key| records.get(key, holder));
+        done.send((kept, records.answered().len())).expect("the test waits for the result");
     });
-    let (kept, answered) = ended.recv_timeout(PATIENCE).expect("ends");
+    let (kept, answered) = ended.recv_timeout(TIMEOUT).expect("the trimming ends");
     for state in kept {
-        assert!(matches!(state, RecordedState::Answered(answer) if answer.body.len() == BODY));
+        assert!(matches!(state, RecordedState::Answered(answer) if answer.body.len() == BODY_BYTES));
     }
     assert_eq!(answered, 2);
 }
--- a/crates/seamhatchd/tests/gate.rs
+++ b/crates/seamhatchd/tests/gate.rs
@@ -1,4 +1,4 @@
-//! The admission gate: no slot is lost, whatever becomes of those who wait.
+//! The admission gate: slots are given back and late calls are refused, also where waiting calls are cancelled.
 
 use seamhatch_core::admission::{AdmissionPolicy, CallKind};
 use seamhatch_core::clock::SECOND;
@@ -31,8 +31,8 @@
     }
 }
 
-/// Seen behind a link that was reset: a call was cancelled at the moment in
-/// which it got its slot, and the server ended up with no slot left.
+/// Guards against leaking a slot that is granted to a call while the call is being cancelled, as by a reset of the connection it came
+/// on; the leak leaves a server without slots.
 #[tokio::test]
 async fn a_slot_granted_to_a_call_that_is_cancelled_is_given_back() {
     let gate = gate();
@@ -43,7 +43,7 @@
     });
     tokio::task::yield_now().await;
     assert_eq!(gate.in_flight(), 2);
-    // The slot passes to the waiting call, which ends before it hears of it.
+    // Grants the slot to the waiting call, which is cancelled before it receives the verdict.
     drop(permit);
     waiting.abort();
     assert!(waiting.await.is_err());
@@ -52,19 +52,19 @@
 }
 
 #[tokio::test]
-async fn a_call_that_waits_too_long_is_refused_and_leaves() {
+async fn a_call_that_expires_while_waiting_is_refused_and_leaves_the_queue() {
     let gate = gate();
     let permit = gate.admit(request(60 * SECOND)).await.expect("free");
-    let refused = gate.admit(request(SECOND / 20)).await.expect_err("too late");
+    let refused = gate.admit(request(SECOND / 20)).await.expect_err("expires in the queue");
     assert_eq!(refused, Reason::DeadlineExceeded);
     assert_eq!(gate.in_flight(), 1);
     drop(permit);
     assert_eq!(gate.in_flight(), 0);
 }
 
-/// Held on, it would be refused all the same two seconds later.
+/// Guards against keeping a call in the queue that can no longer start in time: it would be refused anyway two seconds later.
 #[tokio::test]
-async fn a_call_whose_turn_has_become_too_late_is_refused_at_the_next_tick() {
+async fn a_waiting_call_that_can_no_longer_start_in_time_is_refused_at_the_next_tick() {
     let gate = gate();
     let mut slow = gate.admit(request(60 * SECOND)).await.expect("free");
     let admit = |lifetime| {
@@ -72,13 +72,13 @@
         tokio::spawn(async move { gate.admit(request(lifetime)).await })
     };
     let waiting = [60 * SECOND, 60 * SECOND, 60 * SECOND, 3 * SECOND].map(admit);
-    // Until now calls seemed to need next to nothing, and there was time for all four.
+    // Until the first call ends, the queue estimates service times near zero, by which all four can start in time.
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert_eq!(gate.in_flight(), 5);
     slow.mark_succeeded();
     drop(slow);
     gate.tick();
     assert_eq!(gate.in_flight(), 3);
-    let [.., hasty] = waiting;
-    assert_eq!(hasty.await.expect("no panic").expect_err("given up"), Reason::DeadlineExceeded);
+    let [.., short_lived] = waiting;
+    assert_eq!(short_lived.await.expect("no panic").expect_err("is refused"), Reason::DeadlineExceeded);
 }
--- a/crates/seamhatchd/tests/heads.rs
+++ b/crates/seamhatchd/tests/heads.rs
@@ -1,5 +1,5 @@
-//! Heads that are read ahead: what is started before the HTTP library has read it is what the library reads, no more and no less. A difference would hide
-//! a request in another one.
+//! Pipelined request heads that the daemon parses ahead of the HTTP library. Both must read the same requests from the same bytes: a
+//! difference would allow request smuggling.
 
 use hyper::body::{Body, Incoming};
 use hyper::server::conn::http1;
@@ -17,61 +17,69 @@
 
 const PLAIN: &str = "GET /a?b=c HTTP/1.1\r\nhost: x\r\n\r\n";
 
-/// How a request that was read ahead is taken.
+/// The kinds of [`PipelinedHead`], without their contents.
 #[derive(Debug, PartialEq, Eq)]
-enum Taken {
-    Started,
-    Left,
-    WaitsForMore,
+enum HeadKind {
+    Eligible,
+    Ineligible,
+    Incomplete,
 }
 
-fn taken(bytes: &[u8]) -> Taken {
+fn classify(bytes: &[u8]) -> HeadKind {
     match parse_pipelined(bytes) {
-        PipelinedHead::Eligible(_) => Taken::Started,
-        PipelinedHead::Ineligible => Taken::Left,
-        PipelinedHead::Incomplete => Taken::WaitsForMore,
+        PipelinedHead::Eligible(_) => HeadKind::Eligible,
+        PipelinedHead::Ineligible => HeadKind::Ineligible,
+        PipelinedHead::Incomplete => HeadKind::Incomplete,
     }
 }
 
-/// Anything with a body, that ends its connection, or that two readers may understand differently must be left to the library.
+/// The library must handle requests that have a body, that end their connection, or that two parsers may read differently.
 #[test]
-fn only_plain_requests_are_taken_ahead() {
+fn only_plain_requests_are_eligible_for_pipelining() {
     let with = |fields: &str| format!("GET / HTTP/1.1\r\nhost: x\r\n{fields}\r\n");
     let cases = [
-        ("a plain one", PLAIN.to_owned(), Taken::Started),
-        ("one with another behind it", PLAIN.repeat(2), Taken::Started),
-        ("a body of no bytes", with("content-length: 0\r\n"), Taken::Started),
-        ("a connection that is kept", with("connection: Keep-Alive\r\n"), Taken::Started),
-        ("part of a head", PLAIN[..PLAIN.len() - 1].to_owned(), Taken::WaitsForMore),
-        ("nothing", String::new(), Taken::WaitsForMore),
-        ("a body", with("content-length: 3\r\n"), Taken::Left),
-        ("the same length twice", with("content-length: 0\r\ncontent-length: 0\r\n"), Taken::Left),
-        ("other lengths", with("content-length: 0\r\ncontent-length: 3\r\n"), Taken::Left),
-        ("a signed length", with("content-length: +0\r\n"), Taken::Left),
-        ("a list of lengths", with("content-length: 0, 0\r\n"), Taken::Left),
-        ("chunks", with("transfer-encoding: chunked\r\n"), Taken::Left),
-        ("chunks and a length", with("content-length: 0\r\ntransfer-encoding: chunked\r\n"), Taken::Left),
-        ("an expectation", with("expect: 100-continue\r\n"), Taken::Left),
-        ("an upgrade", with("upgrade: websocket\r\n"), Taken::Left),
-        ("the last of its connection", with("connection: keep-alive, Close\r\n"), Taken::Left),
-        ("a second field that closes", with("connection: keep-alive\r\nconnection: close\r\n"), Taken::Left),
-        ("an older version", PLAIN.replace("1.1", "1.0"), Taken::Left),
-        ("a tunnel", "CONNECT x:1 HTTP/1.1\r\nhost: x\r\n\r\n".to_owned(), Taken::Left),
-        ("line feeds alone", PLAIN.replace('\r', ""), Taken::Left),
-        ("one line feed alone", PLAIN.replacen("\r\n", "\n", 1), Taken::Left),
-        ("an empty line before it", format!("\r\n{PLAIN}"), Taken::Left),
-        ("a folded line", with(" folded\r\n"), Taken::Left),
-        ("a space before a colon", with("a : b\r\n"), Taken::Left),
-        ("no request", "no request\r\n\r\n".to_owned(), Taken::Left),
-        ("another protocol", "\x16\x03\x01".to_owned(), Taken::Left),
-        ("too many fields", with(&"a: b\r\n".repeat(HEADER_FIELDS)), Taken::Left),
+        ("a plain request", PLAIN.to_owned(), HeadKind::Eligible),
+        ("a request followed by another", PLAIN.repeat(2), HeadKind::Eligible),
+        ("an empty body", with("content-length: 0\r\n"), HeadKind::Eligible),
+        ("a connection that stays open", with("connection: Keep-Alive\r\n"), HeadKind::Eligible),
+        ("part of a head", PLAIN[..PLAIN.len() - 1].to_owned(), HeadKind::Incomplete),
+        ("nothing", String::new(), HeadKind::Incomplete),
+        ("a body", with("content-length: 3\r\n"), HeadKind::Ineligible),
+        ("the same length twice", with("content-length: 0\r\ncontent-length: 0\r\n"), HeadKind::Ineligible),
+        ("conflicting lengths", with("content-length: 0\r\ncontent-length: 3\r\n"), HeadKind::Ineligible),
+        ("a signed length", with("content-length: +0\r\n"), HeadKind::Ineligible),
+        ("a list of lengths", with("content-length: 0, 0\r\n"), HeadKind::Ineligible),
+        ("chunks", with("transfer-encoding: chunked\r\n"), HeadKind::Ineligible),
+        (
+            "chunks and a length",
+            with("content-length: 0\r\ntransfer-encoding: chunked\r\n"),
+            HeadKind::Ineligible,
+        ),
+        ("an expectation", with("expect: 100-continue\r\n"), HeadKind::Ineligible),
+        ("an upgrade", with("upgrade: websocket\r\n"), HeadKind::Ineligible),
+        ("the last of its connection", with("connection: keep-alive, Close\r\n"), HeadKind::Ineligible),
+        (
+            "a second field that closes",
+            with("connection: keep-alive\r\nconnection: close\r\n"),
+            HeadKind::Ineligible,
+        ),
+        ("an older version", PLAIN.replace("1.1", "1.0"), HeadKind::Ineligible),
+        ("a tunnel", "CONNECT x:1 HTTP/1.1\r\nhost: x\r\n\r\n".to_owned(), HeadKind::Ineligible),
+        ("line feeds alone", PLAIN.replace('\r', ""), HeadKind::Ineligible),
+        ("one line feed alone", PLAIN.replacen("\r\n", "\n", 1), HeadKind::Ineligible),
+        ("an empty line before it", format!("\r\n{PLAIN}"), HeadKind::Ineligible),
+        ("a folded line", with(" folded\r\n"), HeadKind::Ineligible),
+        ("a space before a colon", with("a : b\r\n"), HeadKind::Ineligible),
+        ("no request", "no request\r\n\r\n".to_owned(), HeadKind::Ineligible),
+        ("another protocol", "\x16\x03\x01".to_owned(), HeadKind::Ineligible),
+        ("too many fields", with(&"a: b\r\n".repeat(HEADER_FIELDS)), HeadKind::Ineligible),
     ];
     for (name, bytes, expected) in cases {
-        assert_eq!(taken(bytes.as_bytes()), expected, "{name}");
+        assert_eq!(classify(bytes.as_bytes()), expected, "{name}");
     }
 }
 
-/// Bytes that are handed to the library at once must all belong to one request.
+/// Bytes that are passed to the library in one piece must all belong to one request.
 #[test]
 fn bytes_of_one_request() {
     let post = "POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 4\r\n\r\n";
@@ -93,9 +101,9 @@
     }
 }
 
-/// The second look at a head that comes in pieces is for an empty line only, which may lie across two pieces.
+/// When more bytes of an incomplete head arrive, the check looks only for an empty line, which may span the old and the new bytes.
 #[test]
-fn a_head_in_two_pieces_is_seen_when_it_is_whole() {
+fn a_head_in_two_pieces_is_found_when_it_is_complete() {
     for head in [PLAIN, "GET / HTTP/1.1\nhost: x\n\n", "GET / HTTP/1.1\r\nhost: x\n\r\n"] {
         let bytes = head.as_bytes();
         for seen in 1..bytes.len() {
@@ -106,11 +114,11 @@
     }
 }
 
-/// What the library has read: method, target, fields, and whether there is a body.
-type Read = (String, String, Vec<(String, Vec<u8>)>, bool);
+/// A request as the library parses it: method, target, fields, and whether it has a body.
+type ParsedRequest = (String, String, Vec<(String, Vec<u8>)>, bool);
 
-/// All requests that the library reads of some bytes.
-fn read_by_the_library(bytes: &[u8]) -> Vec<Read> {
+/// All requests that the library parses from `bytes`.
+fn parsed_by_library(bytes: &[u8]) -> Vec<ParsedRequest> {
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("starts");
     runtime.block_on(async {
         let (mut caller, stream) = tokio::io::duplex(1 << 20);
@@ -131,7 +139,7 @@
             ));
             async { Ok::<_, Infallible>(Response::new(String::new())) }
         });
-        // It ends with an error where the bytes are no requests.
+        // Returns an error where the bytes are not requests.
         let _ = http1::Builder::new()
             .half_close(true)
             .max_headers(HEADER_FIELDS)
@@ -172,7 +180,7 @@
 ];
 const LINE_ENDS: [&str; 6] = ["\r\n", "\r\n", "\r\n", "\n", "\r", "\r\r\n"];
 
-/// Heads that are mostly well-formed, each with at most one byte changed.
+/// Heads that are mostly well-formed, each with at most one byte replaced.
 fn heads() -> impl Strategy<Value = Vec<u8>> {
     let line = (prop::sample::select(&FIELDS[..]), prop::sample::select(&LINE_ENDS[..]));
     let lines = prop::collection::vec(line, 0..5);
@@ -193,32 +201,32 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 4_000, ..ProptestConfig::default() })]
 
-    /// What is started ahead is read by the library in the same way, has no body, and the next request begins where it ends.
+    /// The library parses an eligible request in the same way, finds no body, and reads the next request from where its head ends.
     #[test]
-    fn the_library_reads_what_is_started_ahead(bytes in heads()) {
-        let PipelinedHead::Eligible(plain) = parse_pipelined(&bytes) else { return Ok(()) };
-        let mut followed = bytes[..plain.length].to_vec();
+    fn the_library_reads_eligible_requests_identically(bytes in heads()) {
+        let PipelinedHead::Eligible(eligible) = parse_pipelined(&bytes) else { return Ok(()) };
+        let mut followed = bytes[..eligible.length].to_vec();
         followed.extend_from_slice(b"GET /next HTTP/1.1\r\n\r\n");
-        let read = read_by_the_library(&followed);
-        let fields = plain.parts.headers.iter();
+        let read = parsed_by_library(&followed);
+        let fields = eligible.parts.headers.iter();
         let fields = fields.map(|(name, value)| (name.to_string(), value.as_bytes().to_vec())).collect();
-        let expected = (plain.parts.method.to_string(), plain.parts.uri.to_string(), fields, false);
+        let expected = (eligible.parts.method.to_string(), eligible.parts.uri.to_string(), fields, false);
         prop_assert_eq!(read.len(), 2);
         prop_assert_eq!(&read[0], &expected);
         prop_assert_eq!(&read[1].1, "/next");
     }
 
-    /// The library needs no more than a head that was found, and finds none where more was asked for.
+    /// The library needs no bytes after the end that was found, and parses no request where the head is incomplete or malformed.
     #[test]
     fn the_library_finds_the_same_end_of_a_head(bytes in heads()) {
         match head_end(&bytes) {
             HeadEnd::At(length) => {
-                // It refuses some heads that are whole, such as those with conflicting lengths.
-                let read = read_by_the_library(&bytes[..length]);
-                let refused = read.is_empty() && read_by_the_library(&[&bytes[..length], b"GET / HTTP/1.1\r\n\r\n"].concat()).is_empty();
+                // The library refuses some complete heads, such as those with conflicting lengths.
+                let read = parsed_by_library(&bytes[..length]);
+                let refused = read.is_empty() && parsed_by_library(&[&bytes[..length], b"GET / HTTP/1.1\r\n\r\n"].concat()).is_empty();
                 prop_assert!(read.len() == 1 || refused);
             }
-            HeadEnd::Incomplete | HeadEnd::Malformed => prop_assert!(read_by_the_library(&bytes).is_empty()),
+            HeadEnd::Incomplete | HeadEnd::Malformed => prop_assert!(parsed_by_library(&bytes).is_empty()),
         }
     }
 }
--- a/crates/seamhatchd/tests/layers.rs
+++ b/crates/seamhatchd/tests/layers.rs
@@ -1,9 +1,9 @@
-//! The layers of the daemon: a module uses only those before it, so that each can be read without those behind it.
+//! The layers of the daemon: a module uses only modules that come before it in the order, so that it can be read without the later ones.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// The modules at the top of the crate, from the bottom up; lib.rs says what each layer is for.
+/// The top-level modules of the crate, from the lowest layer up; `lib.rs` describes the layers.
 const ORDER: [&str; 23] = [
     "settings",
     "base",
@@ -34,7 +34,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("src")
 }
 
-/// All files of a module, a single one or a folder.
+/// All files of a module, which is a file or a folder.
 fn files_of(path: &Path) -> Vec<PathBuf> {
     if path.is_file() {
         return vec![path.to_owned()];
@@ -43,8 +43,8 @@
     entries.flat_map(|entry| files_of(&entry)).collect()
 }
 
-/// The modules that a source names by `crate::`, comments left out.
-fn used(text: &str) -> BTreeSet<String> {
+/// The modules that a source file names by `crate::` outside of comments.
+fn used_modules(text: &str) -> BTreeSet<String> {
     let code = text.lines().filter(|line| !line.trim_start().starts_with("//"));
     let paths = code.flat_map(|line| line.split("crate::").skip(1));
     let name =
@@ -54,14 +54,18 @@
 
 #[test]
 fn each_module_uses_only_those_before_it() {
-    for (place, module) in ORDER.iter().enumerate() {
+    for (position, module) in ORDER.iter().enumerate() {
         let folder = source().join(module);
         let path = if folder.is_dir() { folder } else { source().join(format!("{module}.rs")) };
         for file in files_of(&path) {
             let text = std::fs::read_to_string(&file).expect("reads");
-            for other in used(&text) {
-                let allowed = ORDER[..=place].contains(&other.as_str());
-                assert!(allowed, "{} uses crate::{other}, which stands behind {module}", file.display());
+            for other in used_modules(&text) {
+                let allowed = ORDER[..=position].contains(&other.as_str());
+                assert!(
+                    allowed,
+                    "{} uses crate::{other}, which comes after {module} in ORDER",
+                    file.display()
+                );
             }
         }
     }
--- a/crates/seamhatchd/tests/links.rs
+++ b/crates/seamhatchd/tests/links.rs
@@ -1,4 +1,4 @@
-//! What a daemon sends on the connections that it opens to other daemons, which are stood in for here.
+//! What a daemon sends on the connections that it opens to other daemons. The tests play the called daemons.
 
 use seamhatch_core::balance::TurnReport;
 use seamhatch_core::clock::{Instant, Microseconds, SECOND};
@@ -30,7 +30,7 @@
 
 const REPORT: ServerReport = ServerReport { load: 0, limit: 8, floor: AdmissionFloor::OPEN };
 
-/// A daemon of which only the connections exist.
+/// The state of a daemon that has connections and nothing else.
 #[derive(Debug, Default)]
 struct Host {
     unwritten: UnwrittenMessages,
@@ -96,7 +96,7 @@
     }
 }
 
-/// The other end of a connection that a daemon opened.
+/// The called end of a connection that a daemon opened.
 struct CalledPeer {
     frames: FrameReader<OwnedReadHalf>,
     writer: OwnedWriteHalf,
@@ -125,20 +125,20 @@
         self.frames.next().await.expect("reads").expect("is open")
     }
 
-    /// When the daemon made the heartbeats that arrive in this time, by its clock.
+    /// The times at which the daemon sent the heartbeats that arrive within `time`, by the daemon's clock.
     async fn heartbeats_within(&mut self, time: Duration) -> Vec<Instant> {
-        let mut made = Vec::new();
+        let mut sent = Vec::new();
         let collecting = async {
             loop {
                 match self.next().await {
-                    PeerMessage::Pulse(pulse) => made.push(pulse.clock),
+                    PeerMessage::Pulse(pulse) => sent.push(pulse.clock),
                     other => panic!("not a heartbeat: {other:?}"),
                 }
             }
         };
         let ended = tokio::time::timeout(time, collecting).await;
         assert!(ended.is_err());
-        made
+        sent
     }
 }
 
@@ -168,8 +168,8 @@
 }
 
 impl CalledPeer {
-    /// Answers a call with a body of this many bytes, as fast as credit allows. Returns the credit that comes until the caller
-    /// closes the connection.
+    /// Answers a call with a body of this many bytes, as fast as credit allows. Returns the credit that the caller has granted by the
+    /// time it closes the connection or is silent for 500 ms.
     async fn answer(mut self, bytes: usize) -> Vec<u32> {
         let call = loop {
             if let PeerMessage::Call(head) = self.next().await {
@@ -213,7 +213,7 @@
     }
 }
 
-/// Opens a connection from `pool` to a peer that is stood in for.
+/// Opens a connection from `pool` to a peer that the test plays.
 async fn connect(pool: &Arc<PeerPool>) -> (seamhatchd::peer::PeerConnection, CalledPeer) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("binds");
     let address = listener.local_addr().expect("is bound");
@@ -227,13 +227,13 @@
     PeerPool::new(Handle::current(), host)
 }
 
-/// Longest time between two heartbeats that are sent at one instant, on a machine that is busy.
-const AT_ONCE: Microseconds = SECOND / 10;
+/// Largest difference between two heartbeats that are due at the same instant, on a busy machine.
+const SAME_INSTANT: Microseconds = SECOND / 10;
 
-/// With a heartbeat each 400 ms on each connection, at an instant of its own, heartbeats cost a daemon with 70 connections more
+/// Guards against a heartbeat each 400 ms at a different instant on each connection: with 70 connections, these cost a daemon more
 /// than its calls.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn heartbeats_of_the_calling_side_are_few_and_come_together() {
+async fn heartbeats_of_the_calling_side_are_rare_and_sent_at_the_same_instants() {
     let host = Arc::new(Host::default());
     let pool = pool(&host);
     let (_first, mut first_peer) = connect(&pool).await;
@@ -247,28 +247,29 @@
     assert!((3..=4).contains(&second.len()), "{second:?}");
     for (one, other) in first.iter().zip(second) {
         let apart = one.since(*other).max(other.since(*one));
-        assert!(apart < AT_ONCE, "{first:?} and {second:?}");
+        assert!(apart < SAME_INSTANT, "{first:?} and {second:?}");
     }
     for pair in second.windows(2) {
-        assert!(pair[1].since(pair[0]) + AT_ONCE > CALLING_INTERVAL, "{second:?}");
+        assert!(pair[1].since(pair[0]) + SAME_INSTANT > CALLING_INTERVAL, "{second:?}");
     }
 }
 
-/// A daemon that drains must not wait for its next heartbeat to say so.
+/// Guards against announcing a drain only with the next regular heartbeat.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_change_of_the_intake_is_told_at_once() {
+async fn a_change_of_the_intake_is_sent_at_once() {
     let host = Arc::new(Host::default());
     let pool = pool(&host);
     let (_connection, mut peer) = connect(&pool).await;
     peer.heartbeats_within(Duration::from_millis(100)).await;
     for _change in 0..3 {
         host.intake_changed.notify_waiters();
-        let told = peer.heartbeats_within(Duration::from_millis(300)).await;
-        assert!(!told.is_empty(), "within 300 ms");
+        let heartbeats = peer.heartbeats_within(Duration::from_millis(300)).await;
+        assert!(!heartbeats.is_empty(), "no heartbeat within 300 ms");
     }
 }
 
-/// Credit for each piece of an answer cost both daemons a wake-up, also for answers that fit into the window.
+/// Guards against granting credit for each piece of an answer: it costs both daemons a wake-up, even where the answer fits into the
+/// window.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn credit_for_an_answer_is_sent_by_half_windows() {
     const KIBIBYTE: usize = 1024;
@@ -296,10 +297,10 @@
     }
 }
 
-/// The pool's silence check must see what the connection's task has heard: a new connection is opened beside one that is silent,
-/// and only then.
+/// Guards against a pool that does not see what the connection's task has received: it must open a second connection if, and only if,
+/// the first one is silent.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_silent_connection_is_replaced_and_one_that_is_heard_is_kept() {
+async fn a_silent_connection_is_replaced_and_an_active_one_is_kept() {
     let host = Arc::new(Host::default());
     let pool = pool(&host);
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("binds");
@@ -323,7 +324,7 @@
             peer.send(PeerMessage::Pulse(pulse.clone())).await;
             tokio::time::sleep(Duration::from_millis(250)).await;
         }
-        // Silent from here on; the second connection must be asked for.
+        // Sends nothing from here on, so that the daemon must open a second connection.
         let second = CalledPeer::accept(&listener).await;
         (peer, second)
     });
@@ -332,10 +333,10 @@
     assert_eq!(first.with_view(|view| view.server.map(|report| report.load)), Some(3));
     assert!(!first.with_view(|view| view.is_silent(clock::now())));
     assert!(pool.read().connection(address).is_some());
-    assert!(!accepting.is_finished(), "a second connection was opened beside one that is heard");
+    assert!(!accepting.is_finished(), "a second connection was opened beside one that receives heartbeats");
     let both = tokio::time::timeout(Duration::from_secs(10), accepting).await;
-    // Held until the end: the first connection closes with the peer's end of it.
+    // Kept until the end of the test: dropping the peer's end closes the first connection.
     let _both = both.expect("a second connection is opened in time").expect("accepts");
     assert!(first.with_view(|view| view.is_silent(clock::now())));
-    assert!(first.is_open(), "calls on the silent connection go on");
+    assert!(first.is_open(), "the silent connection stays open for its calls");
 }
--- a/crates/seamhatchd/tests/log_messages.rs
+++ b/crates/seamhatchd/tests/log_messages.rs
@@ -1,11 +1,11 @@
-//! docs/OPERATIONS.md lists every log message of the daemon with its level and keys; whoever reads a log finds it there.
+//! docs/OPERATIONS.md lists every log message of the daemon with its level and keys, so that operators can look messages up.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
 const LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
 
-/// Keys of each message, by level and message.
+/// Keys of each log message, by level and text.
 type Messages = BTreeMap<(String, String), BTreeSet<String>>;
 
 fn repository() -> PathBuf {
@@ -17,29 +17,29 @@
     entries.flat_map(|path| if path.is_dir() { sources(&path) } else { vec![path] }).collect()
 }
 
-/// The arguments of a macro call that begins right before `text`: up to its closing bracket, split at semicolons and commas
-/// outside of brackets and literals; each with the sign that ends it.
+/// The arguments of a macro call whose opening bracket precedes `text`. They are split at semicolons and commas outside of brackets and
+/// string literals; each comes with the character that ends it.
 fn arguments(text: &str) -> Vec<(String, char)> {
-    let (mut depth, mut in_text, mut escaped) = (0, false, false);
+    let (mut depth, mut in_string, mut escaped) = (0, false, false);
     let (mut found, mut current) = (Vec::new(), String::new());
-    for letter in text.chars() {
-        if in_text {
-            in_text = letter != '"' || escaped;
-            escaped = letter == '\\' && !escaped;
+    for character in text.chars() {
+        if in_string {
+            in_string = character != '"' || escaped;
+            escaped = character == '\\' && !escaped;
         } else {
-            match letter {
-                '"' => in_text = true,
+            match character {
+                '"' => in_string = true,
                 '(' | '[' | '{' => depth += 1,
                 ')' if depth == 0 => break,
                 ')' | ']' | '}' => depth -= 1,
                 ',' | ';' if depth == 0 => {
-                    found.push((std::mem::take(&mut current), letter));
+                    found.push((std::mem::take(&mut current), character));
                     continue;
                 }
                 _ => {}
             }
         }
-        current.push(letter);
+        current.push(character);
     }
     found.push((current, ')'));
     found
@@ -62,7 +62,7 @@
     messages
 }
 
-/// The rows `| level | message | keys | file |` of the page.
+/// The messages in the rows `| level | message | keys | file |` of the page.
 fn messages_of_page(page: &str) -> Messages {
     let rows = page.lines().filter_map(|line| {
         let cells: Vec<&str> = line.trim_matches('|').split(" | ").map(str::trim).collect();
@@ -85,10 +85,10 @@
     assert!(!in_code.is_empty());
     let missing: Vec<_> =
         in_code.iter().filter(|(message, keys)| on_page.get(*message) != Some(*keys)).collect();
-    let gone: Vec<_> =
+    let stale: Vec<_> =
         on_page.iter().filter(|(message, keys)| in_code.get(*message) != Some(*keys)).collect();
     assert!(
-        missing.is_empty() && gone.is_empty(),
-        "not on the page as in the code: {missing:#?}\nnot in the code: {gone:#?}"
+        missing.is_empty() && stale.is_empty(),
+        "missing from the page, or with other keys: {missing:#?}\nmissing from the code, or with other keys: {stale:#?}"
     );
 }
--- a/crates/seamhatchd/tests/logging.rs
+++ b/crates/seamhatchd/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines: their form, which operators' tools read, and when they are written.
+//! The format of log lines, which operators' tools parse, and when the lines are written.
 
 use log::{Level, Record};
 use seamhatchd::base::logging::{LineQueue, append_line};
@@ -8,13 +8,13 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant, UNIX_EPOCH};
 
-/// An hour and a half of a second after the epoch.
+/// Time of the log records since the epoch: one hour and 500 ms.
 const TIME: Duration = Duration::from_millis(3_600_500);
-/// Lines that a queue holds.
+/// Capacity of a queue, in lines.
 const QUEUE: usize = 1024;
 
-/// Text with every kind of character that JSON escapes, and some that it does not.
-fn awkward() -> String {
+/// Text with every kind of character that JSON escapes, and some that it does not escape.
+fn special_characters() -> String {
     let controls: String = (0..=0x20_u8).map(char::from).collect();
     format!("\"quoted\" back\\slash /slash {controls}\u{7f} Gr\u{fc}\u{df}e \u{1f980}")
 }
@@ -27,13 +27,13 @@
     line
 }
 
-/// Guards against a change of the form that the line had when it was built as a map of JSON values: the same bytes.
+/// Guards against a change of the format: a line has the same bytes as when it is serialized from a map of JSON values.
 #[test]
 fn a_json_line_has_the_bytes_of_a_map_of_json_values() {
-    let awkward = awkward();
+    let special_characters = special_characters();
     let fields = [
         ("waited_ms", log::kv::Value::from(7_u64)),
-        ("from", log::kv::Value::from(awkward.as_str())),
+        ("from", log::kv::Value::from(special_characters.as_str())),
         ("complete", log::kv::Value::from(true)),
         ("status", log::kv::Value::from(200_u16)),
         ("a\"key", log::kv::Value::from(-3_i64)),
@@ -44,17 +44,17 @@
     let mut map = Map::new();
     map.insert("time".into(), json!("1970-01-01T01:00:00.500Z"));
     map.insert("level".into(), json!("INFO"));
-    map.insert("message".into(), json!(awkward));
+    map.insert("message".into(), json!(special_characters));
     for (key, value) in &fields {
         let value = value.to_u64().map_or_else(|| Value::from(value.to_string()), Value::from);
         map.insert((*key).into(), value);
     }
     let expected = format!("{}\n", Value::Object(map));
-    assert_eq!(line_of(LogFormat::Json, &awkward, &fields), expected);
+    assert_eq!(line_of(LogFormat::Json, &special_characters, &fields), expected);
 }
 
 #[test]
-fn lines_of_a_call_look_as_operators_know_them() {
+fn lines_keep_their_json_and_text_format() {
     let fields = [
         ("status", log::kv::Value::from(200_u16)),
         ("request", log::kv::Value::from("inc-6091")),
@@ -75,10 +75,10 @@
     );
 }
 
-/// Passes each write on with the time at which it was made.
-struct Writes(Sender<(Instant, String)>);
+/// Sends each write, with its time, to a channel.
+struct WriteSender(Sender<(Instant, String)>);
 
-impl Write for Writes {
+impl Write for WriteSender {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let text = String::from_utf8(bytes.to_vec()).expect("text");
         self.0.send((Instant::now(), text)).map_err(std::io::Error::other)?;
@@ -90,11 +90,11 @@
     }
 }
 
-/// A queue whose lines are written by a thread, and those writes.
+/// A queue with a thread that writes its lines, and the writes of that thread.
 fn writing_queue() -> (&'static LineQueue, Receiver<(Instant, String)>) {
     let queue: &LineQueue = Box::leak(Box::default());
     let (sender, writes) = channel();
-    std::thread::spawn(move || queue.write_to(&mut Writes(sender)));
+    std::thread::spawn(move || queue.write_to(&mut WriteSender(sender)));
     (queue, writes)
 }
 
@@ -102,12 +102,12 @@
     writes.recv_timeout(Duration::from_secs(20)).expect("a write")
 }
 
-/// Guards against a wake-up and a write for each line.
+/// Guards against waking the thread and writing for each single line.
 #[test]
 fn lines_are_collected_for_one_write() {
     let (queue, writes) = writing_queue();
     for _ in 0..2 {
-        // Longer than lines are collected: the thread waits without a time limit in the second round.
+        // Longer than the collection period, so that the thread waits without a time limit in the second round.
         std::thread::sleep(Duration::from_millis(120));
         let first = Instant::now();
         for line in ["one\n", "two\n", "three\n"] {
@@ -115,12 +115,12 @@
         }
         let (written, text) = next(&writes);
         assert_eq!(text, "one\ntwo\nthree\n");
-        assert!(written - first < Duration::from_secs(5), "lines are not held back for long");
+        assert!(written - first < Duration::from_secs(5), "the lines were held back");
     }
 }
 
-/// Guards against warnings that a process loses as it ends abruptly, and against lines that overtake others. The bound is half of the
-/// time for which other lines are collected, for the fastest of several tries, as the machine may be busy.
+/// Guards against losing a warning when the process ends abruptly, and against lines out of order. The bound is half of the collection
+/// period of other lines. It applies to the fastest of several tries, as the machine may be busy.
 #[test]
 fn a_warning_is_written_at_once_with_the_lines_before_it() {
     let (queue, writes) = writing_queue();
@@ -130,7 +130,7 @@
         queue.push("warning\n", true);
         let (mut written, mut text) = next(&writes);
         if text == "before\n" {
-            // The time of the earlier lines ran out in between.
+            // The collection period of the first line ended before the warning was pushed.
             let (later, rest) = next(&writes);
             written = later;
             text.push_str(&rest);
@@ -144,13 +144,13 @@
 #[test]
 fn flush_waits_until_everything_is_written() {
     let (queue, writes) = writing_queue();
-    assert!(queue.flush(Duration::from_secs(20)), "there is nothing to wait for");
-    queue.push("last words\n", false);
+    assert!(queue.flush(Duration::from_secs(20)), "an empty queue is flushed at once");
+    queue.push("last line\n", false);
     assert!(queue.flush(Duration::from_secs(20)));
-    assert_eq!(writes.try_recv().expect("written by now").1, "last words\n");
+    assert_eq!(writes.try_recv().expect("written by now").1, "last line\n");
 }
 
-/// Guards against a queue that grows while nobody reads standard output, and against an overflow that nobody hears of.
+/// Guards against a queue that grows without limit while nothing reads standard output, and against an overflow that is not reported.
 #[test]
 fn lines_that_do_not_fit_are_dropped_and_counted() {
     let queue: &LineQueue = Box::leak(Box::default());
@@ -158,9 +158,9 @@
         queue.push("line\n", false);
     }
     assert_eq!(queue.dropped(), 3);
-    assert!(!queue.flush(Duration::from_millis(10)), "nobody writes yet");
+    assert!(!queue.flush(Duration::from_millis(10)), "no thread writes the lines yet");
     let (sender, writes) = channel();
-    std::thread::spawn(move || queue.write_to(&mut Writes(sender)));
+    std::thread::spawn(move || queue.write_to(&mut WriteSender(sender)));
     let mut text = String::new();
     while !text.ends_with("count=3\n") {
         text.push_str(&next(&writes).1);
@@ -171,7 +171,7 @@
     assert_eq!(queue.dropped(), 0);
 }
 
-/// Guards against lines that a reader of a pipe gets in part: a write of up to 4,096 bytes is whole, and a larger one may be cut.
+/// Guards against readers of a pipe that receive partial lines: a write of up to 4,096 bytes is atomic, a larger one may be split.
 #[test]
 fn a_write_has_whole_lines_and_fits_a_pipe() {
     let queue: &LineQueue = Box::leak(Box::default());
@@ -180,7 +180,7 @@
     let lines = [&short, &short, &short, &short, &short, &short, &short, &long, &short];
     lines.iter().for_each(|line| queue.push(line, false));
     let (sender, writes) = channel();
-    std::thread::spawn(move || queue.write_to(&mut Writes(sender)));
+    std::thread::spawn(move || queue.write_to(&mut WriteSender(sender)));
     assert!(queue.flush(Duration::from_secs(20)));
     let writes: Vec<String> = writes.try_iter().map(|(_, text)| text).collect();
     assert_eq!(writes.concat(), lines.map(String::as_str).concat());
@@ -189,9 +189,9 @@
     }
 }
 
-/// Guards against lines lost in a burst: the thread is woken before the queue overflows while it sleeps.
+/// Guards against losing lines of a burst: a half full queue wakes the thread before the collection period ends.
 #[test]
-fn a_half_full_queue_is_written_before_the_time() {
+fn a_half_full_queue_is_written_before_the_collection_period_ends() {
     let (queue, writes) = writing_queue();
     let mut written = 0;
     for _ in 0..20 {
--- a/crates/seamhatchd/tests/operator_interface.rs
+++ b/crates/seamhatchd/tests/operator_interface.rs
@@ -1,5 +1,5 @@
-//! What operators, collectors of metrics and callers rely on by name: settings, flags, metrics, the pages of a
-//! daemon, and the product's own header fields.
+//! Names that operators, metrics collectors and callers depend on: settings, flags, metrics, the status and crash pages, and the
+//! product's own header fields.
 
 use http::{HeaderMap, StatusCode};
 use seamhatch_core::Instant;
@@ -17,7 +17,7 @@
 use seamhatchd::settings::{HELP, Invocation, Settings, from_arguments};
 use serde::Serialize;
 
-const SMALLEST: &str = "\
+const MINIMAL: &str = "\
 cluster = \"c\"
 region = \"r\"
 zone = \"z\"
@@ -46,7 +46,7 @@
     }
 }
 
-/// The part of the error for an unknown key that lists the known ones.
+/// The part of the error for an unknown key that lists the valid keys of the table.
 fn known_keys(table: &str) -> String {
     let section = if table.is_empty() { String::new() } else { format!("[{table}]\n") };
     let error = load(&format!("{section}no-such-key = 1\n")).expect_err("unknown key");
@@ -71,7 +71,7 @@
         "quotas",
     ];
     let keys: String = tables.iter().map(|table| format!("[{table}] {}\n", known_keys(table))).collect();
-    let settings = load(SMALLEST).expect("valid");
+    let settings = load(MINIMAL).expect("valid");
     let defaults = format!(
         "machines {:?}\nseeds {:?}\nfirst start {}\ngrace {:?}\nretries {}\nrevocation {:?}\nquota window {}\n\
          quota overage {}\nquota slack {}\nquota shards {}\nlog level {}\nlog format {:?}\ntraffic threads {}\n",
@@ -110,7 +110,7 @@
         BadInput::LateAnswer,
     ];
     kinds.into_iter().for_each(|kind| metrics.bad_input(kind));
-    // The samples of one family come in no fixed order.
+    // The order of the samples within a family is not fixed.
     let text = metrics.to_text();
     let mut lines: Vec<&str> = text.lines().collect();
     lines.sort_unstable();
@@ -152,8 +152,8 @@
         turned_away_for_ms: Some(10),
         until_cleared: false,
     };
-    let for_good = SuspectStatus { digest: "0c0d".into(), until_cleared: true, ..suspect.clone() };
-    let crashes = CrashReport { crashes_here: 11, suspects: vec![suspect, for_good] };
+    let until_cleared = SuspectStatus { digest: "0c0d".into(), until_cleared: true, ..suspect.clone() };
+    let crashes = CrashReport { crashes_here: 11, suspects: vec![suspect, until_cleared] };
     insta::assert_snapshot!(format!("{}\n{}", json(&status), json(&crashes)));
 }
 
--- a/crates/seamhatchd/tests/pace.rs
+++ b/crates/seamhatchd/tests/pace.rs
@@ -1,4 +1,4 @@
-//! The pace of a back end, from its answers to what the daemon beside it reports.
+//! The pace of a back end, from the header field in its answers to the report of the daemon beside it.
 
 use http::{HeaderMap, HeaderValue};
 use seamhatch_core::admission::{AdmissionPolicy, BackEndLoad, CallKind};
@@ -13,10 +13,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Guards against a field that can't be read and counts as a figure, and against a deployment whose back ends send none being treated as one
-/// whose back ends do.
+/// Guards against taking an unreadable field for a percentage, and against treating back ends that send no field like back ends that
+/// send one.
 #[test]
-fn the_products_own_field_carries_the_figure_alone() {
+fn the_products_own_field_carries_only_the_percentage() {
     let cases =
         [(Some("250"), Some(250)), (Some("0"), None), (Some("12.5"), None), (Some(""), None), (None, None)];
     for (field, expected) in cases {
@@ -38,18 +38,19 @@
     GateRequest { priority, root_admitted: now, expiry, objective_end: expiry, kind, continues_chain: false }
 }
 
-/// Guards against a service time of a chain that counts as the server's own work, and against a report without any figure.
+/// Guards against counting the service time of a call with calls of its own as the server's own work, and against a report where the
+/// back end has sent no pace.
 #[tokio::test]
-async fn the_gate_reports_the_last_figure_and_the_time_of_calls_that_make_none() {
+async fn the_gate_reports_the_last_percentage_and_the_work_of_leaf_calls() {
     let policy = AdmissionPolicy { slots: 2, queue_per_slot: 4, initial_slots: 2 };
     let gate = AdmissionGate::new(policy, Arc::new(Metrics::new()));
-    let mut untold = gate.admit(request()).await.expect("free");
-    untold.mark_succeeded();
-    drop(untold);
+    let mut without_pace = gate.admit(request()).await.expect("free");
+    without_pace.mark_succeeded();
+    drop(without_pace);
     assert_eq!(gate.pace(), None);
-    let told = BackEndLoad { calls: None, time_percent: Some(200) };
+    let load = BackEndLoad { calls: None, time_percent: Some(200) };
     let mut chain = gate.admit(request()).await.expect("free");
-    chain.note_load(told);
+    chain.note_load(load);
     chain.mark_calls_made();
     chain.mark_succeeded();
     drop(chain);
@@ -60,10 +61,10 @@
     );
     let mut work = gate.admit(request()).await.expect("free");
     tokio::time::sleep(Duration::from_millis(100)).await;
-    work.note_load(told);
+    work.note_load(load);
     work.mark_succeeded();
     drop(work);
-    let pace = gate.pace().expect("told");
-    // 100 ms and more, at a figure of 200.
+    let pace = gate.pace().expect("the back end has sent a pace");
+    // The call took at least 100 ms at 200 percent of the usual time, which is 50 ms of usual work.
     assert!(pace.time_percent == 200 && (50..5_000).contains(&pace.work_ms), "{pace:?}");
 }
--- a/crates/seamhatchd/tests/rejections.rs
+++ b/crates/seamhatchd/tests/rejections.rs
@@ -1,4 +1,4 @@
-//! Which status a caller is told for which reason, by who reached the verdict.
+//! The HTTP status for each reason, which depends on whether the entry or a peer reached the verdict.
 
 use seamhatch_core::clock::MILLISECOND;
 use seamhatch_core::outcome::{Outcome, Reason};
@@ -6,60 +6,61 @@
 use seamhatch_wire::{Refusal, ServerReport};
 use seamhatchd::filters::Rejection;
 
-/// Statuses of one reason: of calls that were not run, and of those that may have run.
+/// Statuses for one reason. Each pair holds the status of a call that was not run, and that of a call that may have run.
 struct StatusCase {
     reason: Reason,
     entry: (u16, u16),
     peer: (u16, u16),
 }
 
-const fn blames_caller(reason: Reason, status: u16) -> StatusCase {
+const fn blames_caller_at_entry(reason: Reason, status: u16) -> StatusCase {
     StatusCase { reason, entry: (status, status), peer: (503, 502) }
 }
 
-const fn blames_nobody(reason: Reason, not_run: u16, unknown: u16) -> StatusCase {
+const fn same_at_entry_and_peer(reason: Reason, not_run: u16, unknown: u16) -> StatusCase {
     StatusCase { reason, entry: (not_run, unknown), peer: (not_run, unknown) }
 }
 
-/// The entry says 503 of itself; what an earlier attempt did is not known where a peer says so.
-const fn promises_of_the_entry(reason: Reason) -> StatusCase {
+/// The entry answers 503 for both outcomes. Where a peer reports the reason, an earlier attempt may have run, so an unknown outcome is
+/// answered with 502.
+const fn unavailable_at_entry(reason: Reason) -> StatusCase {
     StatusCase { reason, entry: (503, 503), peer: (503, 502) }
 }
 
 const CASES: [StatusCase; 33] = [
-    blames_caller(Reason::BadRequest, 400),
-    blames_caller(Reason::BadContext, 403),
-    blames_caller(Reason::NoRoute, 404),
-    blames_caller(Reason::KeyHeld, 409),
-    blames_caller(Reason::KeyMismatch, 409),
-    blames_caller(Reason::BodyTooLarge, 413),
-    blames_caller(Reason::HeadTooLarge, 431),
-    promises_of_the_entry(Reason::NotReady),
-    promises_of_the_entry(Reason::Draining),
-    promises_of_the_entry(Reason::NoClaimMajority),
-    blames_nobody(Reason::DeadlineExceeded, 503, 504),
-    blames_nobody(Reason::AdmissionFloor, 503, 502),
-    blames_nobody(Reason::QueueFull, 503, 502),
-    blames_nobody(Reason::Evicted, 503, 502),
-    blames_nobody(Reason::Cancelled, 503, 502),
-    blames_nobody(Reason::NoServer, 503, 502),
-    blames_nobody(Reason::RetriesExhausted, 503, 502),
-    blames_nobody(Reason::RetryRatio, 503, 502),
-    blames_nobody(Reason::PeerLost, 503, 502),
-    blames_nobody(Reason::BackendUnreachable, 503, 502),
-    blames_nobody(Reason::BackendFailed, 503, 502),
-    blames_nobody(Reason::BackendCrashed, 503, 502),
-    blames_nobody(Reason::BackendRefused, 503, 502),
-    blames_nobody(Reason::NoInstance, 503, 502),
-    blames_nobody(Reason::OtherInstance, 503, 502),
-    blames_nobody(Reason::CrashesServers, 503, 502),
-    blames_nobody(Reason::OtherService, 503, 502),
-    blames_caller(Reason::NoKey, 401),
-    blames_caller(Reason::UnknownKey, 401),
-    blames_nobody(Reason::NoProof, 503, 502),
-    blames_nobody(Reason::OverQuota, 429, 502),
-    blames_nobody(Reason::NoQuotaShard, 503, 502),
-    blames_nobody(Reason::BackendRate, 503, 502),
+    blames_caller_at_entry(Reason::BadRequest, 400),
+    blames_caller_at_entry(Reason::BadContext, 403),
+    blames_caller_at_entry(Reason::NoRoute, 404),
+    blames_caller_at_entry(Reason::KeyHeld, 409),
+    blames_caller_at_entry(Reason::KeyMismatch, 409),
+    blames_caller_at_entry(Reason::BodyTooLarge, 413),
+    blames_caller_at_entry(Reason::HeadTooLarge, 431),
+    unavailable_at_entry(Reason::NotReady),
+    unavailable_at_entry(Reason::Draining),
+    unavailable_at_entry(Reason::NoClaimMajority),
+    same_at_entry_and_peer(Reason::DeadlineExceeded, 503, 504),
+    same_at_entry_and_peer(Reason::AdmissionFloor, 503, 502),
+    same_at_entry_and_peer(Reason::QueueFull, 503, 502),
+    same_at_entry_and_peer(Reason::Evicted, 503, 502),
+    same_at_entry_and_peer(Reason::Cancelled, 503, 502),
+    same_at_entry_and_peer(Reason::NoServer, 503, 502),
+    same_at_entry_and_peer(Reason::RetriesExhausted, 503, 502),
+    same_at_entry_and_peer(Reason::RetryRatio, 503, 502),
+    same_at_entry_and_peer(Reason::PeerLost, 503, 502),
+    same_at_entry_and_peer(Reason::BackendUnreachable, 503, 502),
+    same_at_entry_and_peer(Reason::BackendFailed, 503, 502),
+    same_at_entry_and_peer(Reason::BackendCrashed, 503, 502),
+    same_at_entry_and_peer(Reason::BackendRefused, 503, 502),
+    same_at_entry_and_peer(Reason::NoInstance, 503, 502),
+    same_at_entry_and_peer(Reason::OtherInstance, 503, 502),
+    same_at_entry_and_peer(Reason::CrashesServers, 503, 502),
+    same_at_entry_and_peer(Reason::OtherService, 503, 502),
+    blames_caller_at_entry(Reason::NoKey, 401),
+    blames_caller_at_entry(Reason::UnknownKey, 401),
+    same_at_entry_and_peer(Reason::NoProof, 503, 502),
+    same_at_entry_and_peer(Reason::OverQuota, 429, 502),
+    same_at_entry_and_peer(Reason::NoQuotaShard, 503, 502),
+    same_at_entry_and_peer(Reason::BackendRate, 503, 502),
 ];
 
 fn refusal(outcome: Outcome, reason: Reason) -> Refusal {
@@ -75,17 +76,18 @@
     }
 }
 
-/// Only what the entry finds itself may blame the caller: a peer judges by what it knows of the sender.
+/// Only a verdict of the entry itself may have a status that blames the caller: a peer's verdict rests on what it knows of the sending
+/// daemon.
 #[test]
-fn only_the_entrys_own_verdict_blames_the_caller() {
+fn only_a_verdict_of_the_entry_blames_the_caller() {
     for StatusCase { reason, entry, peer } in CASES {
         let of_entry = [Rejection::not_run(reason, ""), Rejection::unknown(reason, "")];
-        let told = of_entry.map(|rejection| rejection.status().as_u16());
-        assert_eq!(told, [entry.0, entry.1], "entry: {reason}");
+        let statuses = of_entry.map(|rejection| rejection.status().as_u16());
+        assert_eq!(statuses, [entry.0, entry.1], "entry: {reason}");
         let of_peer =
             [Outcome::NotRun, Outcome::Unknown].map(|outcome| Rejection::of_peer(&refusal(outcome, reason)));
         assert!(of_peer.iter().all(|rejection| rejection.retry_after.is_some()), "peer: {reason}");
-        let told = of_peer.map(|rejection| rejection.status().as_u16());
-        assert_eq!(told, [peer.0, peer.1], "peer: {reason}");
+        let statuses = of_peer.map(|rejection| rejection.status().as_u16());
+        assert_eq!(statuses, [peer.0, peer.1], "peer: {reason}");
     }
 }
--- a/crates/seamhatchd/tests/running.rs
+++ b/crates/seamhatchd/tests/running.rs
@@ -1,4 +1,4 @@
-//! Calls that run beside a daemon, and what they tell the call that caused them.
+//! Calls that run on the back end, and what they report to their parent calls.
 
 use seamhatch_core::Instant;
 use seamhatch_core::chain_cost::ServiceUsage;
@@ -15,29 +15,29 @@
     Arc::new(RunningCall::new(root, priority, Instant(1), Instant(expiry), 3, RetryLedger::new(2, false)))
 }
 
-/// Without it the entry goes on admitting what fails deep in the chain.
+/// Guards against an entry that keeps admitting requests that are refused deeper in the chain.
 #[test]
-fn a_floor_met_by_a_caused_call_is_told_to_its_cause() {
-    let cause = call(1_000);
-    let caused = RunningCall::child_of(cause.clone(), Instant(5_000), RetryLedger::new(0, false));
-    assert_eq!((caused.root, caused.priority, caused.depth), (cause.root, cause.priority, 3));
-    assert_eq!(caused.expiry, cause.expiry);
-    let told = ChainFloor::unless_open("stock", AdmissionFloor::at(40)).expect("is not open");
-    caused.lower_chain_floor(&told);
-    caused.lower_chain_floor(&ChainFloor { floor: AdmissionFloor::at(41), service: "orders".into() });
-    assert_eq!((caused.chain_floor(), cause.chain_floor()), (Some(told.clone()), Some(told)));
+fn a_floor_met_by_a_child_call_is_reported_to_its_parent() {
+    let parent = call(1_000);
+    let child = RunningCall::child_of(parent.clone(), Instant(5_000), RetryLedger::new(0, false));
+    assert_eq!((child.root, child.priority, child.depth), (parent.root, parent.priority, 3));
+    assert_eq!(child.expiry, parent.expiry);
+    let lowest = ChainFloor::unless_open("stock", AdmissionFloor::at(40)).expect("is not open");
+    child.lower_chain_floor(&lowest);
+    child.lower_chain_floor(&ChainFloor { floor: AdmissionFloor::at(41), service: "orders".into() });
+    assert_eq!((child.chain_floor(), parent.chain_floor()), (Some(lowest.clone()), Some(lowest)));
 }
 
-/// Without it the entry learns only the first call of a chain as its cost.
+/// Guards against an entry that counts only the first call of a chain as the cost of the request.
 #[test]
-fn what_a_caused_call_uses_is_told_to_its_cause() {
-    let cause = call(1_000);
-    let caused = RunningCall::child_of(cause.clone(), Instant(5_000), RetryLedger::new(0, false));
+fn the_usage_of_a_child_call_is_added_to_its_parent() {
+    let parent = call(1_000);
+    let child = RunningCall::child_of(parent.clone(), Instant(5_000), RetryLedger::new(0, false));
     let usage = |calls, slot_ms| ServiceUsage { service: "stock".into(), calls, slot_ms };
-    caused.add_usage(&[usage(1, 40)]);
-    cause.add_usage(&[usage(2, 50)]);
-    assert_eq!(caused.usage().services(), [usage(1, 40)]);
-    assert_eq!(cause.usage().services(), [usage(3, 90)]);
+    child.add_usage(&[usage(1, 40)]);
+    parent.add_usage(&[usage(2, 50)]);
+    assert_eq!(child.usage().services(), [usage(1, 40)]);
+    assert_eq!(parent.usage().services(), [usage(3, 90)]);
 }
 
 #[test]
@@ -47,7 +47,7 @@
     let repeated = calls.register(call(2), Some("a"));
     assert_eq!(calls.find_by_name("a").map(|call| call.expiry), Some(Instant(2)));
     drop(first);
-    // The end of the first must not hide the repeat.
+    // The end of the first call must not remove the entry of the second, which has the same name.
     assert!(calls.find_by_name("a").is_some());
     drop(repeated);
     assert!(calls.find_by_name("a").is_none());
--- a/crates/seamhatchd/tests/settings.rs
+++ b/crates/seamhatchd/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: flags win over the file, and each error names key, value and remedy.
+//! Settings: flags override the file, and each error names the key, the value and the remedy.
 
 use seamhatch_core::clock::SECOND;
 use seamhatch_core::quota::QuotaPolicy;
@@ -6,7 +6,7 @@
 use std::ffi::OsString;
 use std::time::Duration;
 
-const COMPLETE: &str = "\
+const MINIMAL: &str = "\
 cluster = \"c\"
 region = \"r\"
 zone = \"z\"
@@ -34,29 +34,29 @@
 }
 
 #[test]
-fn flags_win_over_the_file() {
+fn flags_override_the_file() {
     let flags = ["--zone", "other", "--slots", "9", "--seed", "127.0.0.2:3", "--seed", "127.0.0.3:3"];
-    let Ok(Invocation::Run(settings)) = load(COMPLETE, &flags) else { panic!("valid") };
+    let Ok(Invocation::Run(settings)) = load(MINIMAL, &flags) else { panic!("valid") };
     assert_eq!((settings.zone.as_str(), settings.slots, settings.seeds.len()), ("other", 9, 2));
     assert_eq!(settings.advertise.peer, settings.listen.peer);
-    assert!(matches!(load(COMPLETE, &["--check"]), Ok(Invocation::Check(_))));
+    assert!(matches!(load(MINIMAL, &["--check"]), Ok(Invocation::Check(_))));
 }
 
 #[test]
-fn tenants_are_kept_as_exactly_as_the_settings_say() {
+fn tenant_and_quota_settings_are_read() {
     let more = "[tenants]\nrevocation_ms = 4000\n[quotas]\nwindow_s = 2\noverage = 0.2\nslack = 3\nshards = 16\n[backend]";
-    let Ok(Invocation::Run(settings)) = load(&COMPLETE.replace("[backend]", more), &[]) else {
+    let Ok(Invocation::Run(settings)) = load(&MINIMAL.replace("[backend]", more), &[]) else {
         panic!("valid")
     };
     assert_eq!(settings.revocation, Some(Duration::from_secs(4)));
     assert_eq!(settings.quota, QuotaPolicy { window: 2 * SECOND, overage: 0.2, slack: 3.0, shards: 16 });
-    let Ok(Invocation::Run(settings)) = load(COMPLETE, &[]) else { panic!("valid") };
+    let Ok(Invocation::Run(settings)) = load(MINIMAL, &[]) else { panic!("valid") };
     assert_eq!((settings.revocation, settings.quota.shards), (None, 8));
 }
 
 #[test]
 fn errors_name_key_value_and_remedy() {
-    let with = |from: &str, to: &str| COMPLETE.replace(from, to);
+    let with = |from: &str, to: &str| MINIMAL.replace(from, to);
     let cases = [
         ("unknown key", with("[backend]", "[backend]\nslot = 3"), vec![]),
         ("missing", with("zone = \"z\"\n", ""), vec![]),
@@ -64,10 +64,10 @@
         ("bad name", with("\"c\"", "\"two words\""), vec![]),
         ("no slots", with("slots = 6", "slots = 0"), vec![]),
         ("same address", with("127.0.0.1:2", "127.0.0.1:1"), vec![]),
-        ("bad level", COMPLETE.into(), vec!["--log-level", "loud"]),
-        ("bad number", COMPLETE.into(), vec!["--slots", "many"]),
-        ("unknown flag", COMPLETE.into(), vec!["--verbose"]),
-        ("flag without value", COMPLETE.into(), vec!["--zone"]),
+        ("bad level", MINIMAL.into(), vec!["--log-level", "loud"]),
+        ("bad number", MINIMAL.into(), vec!["--slots", "many"]),
+        ("unknown flag", MINIMAL.into(), vec!["--verbose"]),
+        ("flag without value", MINIMAL.into(), vec!["--zone"]),
         ("not TOML", "cluster = ".into(), vec![]),
         ("short revocation", with("[backend]", "[tenants]\nrevocation_ms = 100\n[backend]"), vec![]),
         ("no overage", with("[backend]", "[quotas]\noverage = 0\n[backend]"), vec![]),
--- a/crates/seamhatchd/tests/suspects.rs
+++ b/crates/seamhatchd/tests/suspects.rs
@@ -1,5 +1,5 @@
-//! Suspects as the threads of one daemon see them: standing by the configuration, trials one after the other, and what a
-//! call pays while nothing is suspected.
+//! The registry of suspects that the threads of a daemon share: the effect of the configuration, the serialization of trial runs, and the
+//! cost of a call while there are no suspects.
 
 use seamhatch_core::crashes::{InstanceDigest, RunEnd, RunMode, Suspect, SuspectStanding};
 use seamhatch_core::identity::{Incarnation, RequestDigest, RootId};
@@ -18,12 +18,12 @@
     Suspect { request: REQUEST, mode: if isolated { RunMode::Isolated } else { RunMode::Usual } }
 }
 
-fn book_after(crashes: u64) -> SuspectRegistry {
-    let book = SuspectRegistry::default();
-    for life in 1..=crashes {
-        book.report_crash(InstanceDigest(life), &[suspect(life > 2)]);
+fn registry_after(crashes: u64) -> SuspectRegistry {
+    let registry = SuspectRegistry::default();
+    for instance in 1..=crashes {
+        registry.report_crash(InstanceDigest(instance), &[suspect(instance > 2)]);
     }
-    book
+    registry
 }
 
 struct SettingsCase {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_configuration_sets_the_count_and_whether_anything_is_turned_away() {
+fn the_configuration_sets_the_crash_limit_and_whether_suspects_are_turned_away() {
     let usual = CrashSettings::default();
     let cases = [
         SettingsCase { name: "two", crashes: 2, settings: usual, is_turned_away: false },
@@ -53,20 +53,20 @@
         },
     ];
     for case in cases {
-        let book = book_after(case.crashes);
-        book.set_settings(&case.settings);
-        let standing = book.standing(REQUEST);
+        let registry = registry_after(case.crashes);
+        registry.set_settings(&case.settings);
+        let standing = registry.standing(REQUEST);
         let turned_away = matches!(standing, SuspectStanding::Condemned { .. });
         assert_eq!(turned_away, case.is_turned_away, "{}: {standing:?}", case.name);
     }
 }
 
-/// Two suspects that want to run at once.
+/// Two suspects whose trial runs are requested at the same time.
 struct TrialCase {
     name: &'static str,
     first: (u64, u32),
     second: (u64, u32),
-    /// The second waits for the first.
+    /// Whether the second waits for the end of the first.
     waits: bool,
 }
 
@@ -78,15 +78,15 @@
 ];
 
 #[tokio::test]
-async fn suspects_wait_for_copies_and_those_of_several_crashes_for_each_other() {
+async fn trial_runs_wait_for_copies_and_those_of_several_crashes_for_each_other() {
     for case in TRIALS {
-        let book = Arc::new(SuspectRegistry::default());
-        let first = book.trial_runs.begin(RequestDigest(case.first.0), case.first.1).await;
+        let registry = Arc::new(SuspectRegistry::default());
+        let first = registry.trial_runs.begin(RequestDigest(case.first.0), case.first.1).await;
         let waiting = {
-            let book = book.clone();
-            tokio::spawn(
-                async move { book.trial_runs.begin(RequestDigest(case.second.0), case.second.1).await },
-            )
+            let registry = registry.clone();
+            tokio::spawn(async move {
+                registry.trial_runs.begin(RequestDigest(case.second.0), case.second.1).await
+            })
         };
         tokio::time::sleep(Duration::from_millis(20)).await;
         assert_eq!(!waiting.is_finished(), case.waits, "{}", case.name);
@@ -95,55 +95,58 @@
     }
 }
 
-/// What becomes of a trial run that was begun.
-struct BegunCase {
+/// What happens to a trial run after it has begun, and the crashes that are counted afterwards.
+struct TrialEndCase {
     name: &'static str,
-    then: fn(&SuspectRegistry, RunMode),
+    event: fn(&SuspectRegistry, RunMode),
     crashes: u32,
 }
 
-const BEGUN: [BegunCase; 4] = [
-    BegunCase { name: "nobody tells how it ended", then: |_, _| {}, crashes: 4 },
-    BegunCase {
-        name: "its server crashes",
-        then: |book, mode| book.report_crash(InstanceDigest(99), &[Suspect { request: REQUEST, mode }]),
+const TRIAL_ENDS: [TrialEndCase; 4] = [
+    TrialEndCase { name: "its end is not reported", event: |_, _| {}, crashes: 4 },
+    TrialEndCase {
+        name: "the server crashes",
+        event: |registry, mode| {
+            registry.report_crash(InstanceDigest(99), &[Suspect { request: REQUEST, mode }])
+        },
         crashes: 4,
     },
-    BegunCase {
-        name: "its server does not begin it",
-        then: |book, mode| {
+    TrialEndCase {
+        name: "the server does not start it",
+        event: |registry, mode| {
             if let RunMode::Trial(mark) = mode {
-                book.withdraw_trial(REQUEST, mark);
+                registry.withdraw_trial(REQUEST, mark);
             }
         },
         crashes: 3,
     },
-    BegunCase { name: "it ends well", then: |book, _| assert!(book.clear(REQUEST)), crashes: 0 },
+    TrialEndCase { name: "it ends well", event: |registry, _| assert!(registry.clear(REQUEST)), crashes: 0 },
 ];
 
 #[tokio::test]
-async fn a_trial_run_counts_once_from_its_beginning_until_it_ends_well() {
-    for case in BEGUN {
-        let book = book_after(3);
-        book.set_settings(&CrashSettings { pause_ms: 1, ..CrashSettings::default() });
+async fn a_trial_run_counts_as_one_crash_until_it_ends_well() {
+    for case in TRIAL_ENDS {
+        let registry = registry_after(3);
+        registry.set_settings(&CrashSettings { pause_ms: 1, ..CrashSettings::default() });
         tokio::time::sleep(Duration::from_millis(5)).await;
-        let trial = book.trial_runs.begin(REQUEST, 3).await;
-        let mode = book.begin_run(REQUEST, Some(&trial)).expect("its pause is over");
+        let trial = registry.trial_runs.begin(REQUEST, 3).await;
+        let mode = registry.begin_run(REQUEST, Some(&trial)).expect("the pause is over");
         assert!(matches!(mode, RunMode::Trial(_)), "{}", case.name);
-        assert_eq!(book.standing(REQUEST).crashes(), 4, "{}: while it runs", case.name);
-        (case.then)(&book, mode);
-        assert_eq!(book.standing(REQUEST).crashes(), case.crashes, "{}", case.name);
+        assert_eq!(registry.standing(REQUEST).crashes(), 4, "{}: during the run", case.name);
+        (case.event)(&registry, mode);
+        assert_eq!(registry.standing(REQUEST).crashes(), case.crashes, "{}", case.name);
     }
 }
 
-/// Calls of one batch, and batches; the fastest batch counts, so that other work on the machine doesn't.
+/// Calls in one batch.
 const CALLS: u32 = 10_000;
+/// Batches; the fastest one counts, so that other work on the machine does not.
 const BATCHES: usize = 20;
-/// Most that a call may pay while nothing is suspected, as a share of what its entry in the table of running calls costs.
-const MOST_PAID: f64 = 1.0;
+/// Largest cost of tracking a call while there are no suspects, as a ratio to the cost of its entry in the table of running calls.
+const MAX_COST_RATIO: f64 = 1.0;
 
-/// Time of one call, by the fastest batch.
-fn fastest(mut call: impl FnMut(u32)) -> Duration {
+/// Time of one call in the fastest batch.
+fn fastest_call(mut call: impl FnMut(u32)) -> Duration {
     let batch = |_| {
         let started = Instant::now();
         (0..CALLS).for_each(&mut call);
@@ -153,16 +156,16 @@
 }
 
 #[test]
-fn a_call_pays_less_than_its_entry_in_the_table_of_running_calls_while_nothing_is_suspected() {
-    let book = SuspectRegistry::default();
-    let watch = CrashTracker::new(Incarnation(1));
-    let paid = fastest(|number| {
+fn tracking_a_call_costs_less_than_its_running_calls_entry_while_there_are_no_suspects() {
+    let registry = SuspectRegistry::default();
+    let tracker = CrashTracker::new(Incarnation(1));
+    let cost = fastest_call(|number| {
         let number = number.to_le_bytes();
         let parts: [&[u8]; 6] = [b"cluster", b"host.example", b"GET", b"/a/path/", &number, &[7; 8]];
         let digest = RequestDigest::of(&parts);
-        black_box(book.standing(digest));
-        let work = watch.begin(None, digest, RunMode::Usual);
-        black_box(book.is_suspect(digest));
+        black_box(registry.standing(digest));
+        let work = tracker.begin(None, digest, RunMode::Usual);
+        black_box(registry.is_suspect(digest));
         work.finish(RunEnd::Answered);
         drop(work);
     });
@@ -172,8 +175,8 @@
     let ledger = RetryLedger::new(1, false);
     let now = seamhatch_core::Instant(1);
     let call = Arc::new(RunningCall::new(root, priority, now, now, 0, ledger));
-    let entry = fastest(|_| drop(black_box(calls.register(call.clone(), Some("a-name")))));
-    let ratio = paid.as_secs_f64() / entry.as_secs_f64();
-    println!("{paid:?} a call, {ratio:.2} of its entry among the running calls ({entry:?})");
-    assert!(ratio < MOST_PAID, "{ratio}");
+    let entry = fastest_call(|_| drop(black_box(calls.register(call.clone(), Some("a-name")))));
+    let ratio = cost.as_secs_f64() / entry.as_secs_f64();
+    println!("{cost:?} per call, ratio {ratio:.2} to its entry in the table of running calls ({entry:?})");
+    assert!(ratio < MAX_COST_RATIO, "cost ratio {ratio}");
 }
--- a/crates/seamhatchd/tests/without_configuration.rs
+++ b/crates/seamhatchd/tests/without_configuration.rs
@@ -1,4 +1,4 @@
-//! A daemon that has no configuration yet does not know what is wrong with a request.
+//! A daemon that has no configuration yet must not reject a request for good: it answers 503.
 
 use std::net::Ipv4Addr;
 use std::process::{Child, Command, Stdio};
@@ -9,24 +9,24 @@
 
 const INGRESS: u16 = 7101;
 const EGRESS: u16 = 7102;
-/// Generous bound for the start of a process.
-const LONG: Duration = Duration::from_secs(30);
+/// Longest wait for the daemon to listen.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A daemon that no other one and no store can be reached by.
-struct LonelyDaemon {
+/// A daemon that can reach neither another daemon nor the store.
+struct IsolatedDaemon {
     ip: Ipv4Addr,
     child: Child,
     _directory: TempDir,
 }
 
-impl Drop for LonelyDaemon {
+impl Drop for IsolatedDaemon {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-impl LonelyDaemon {
+impl IsolatedDaemon {
     fn start() -> Self {
         let [high, low] = (std::process::id() as u16).to_be_bytes();
         let ip = Ipv4Addr::new(127, 11, high, low.max(1));
@@ -49,7 +49,7 @@
         let mut caller = loop {
             match TcpStream::connect((self.ip, port)).await {
                 Ok(caller) => break caller,
-                Err(error) => assert!(started.elapsed() < LONG, "{error}"),
+                Err(error) => assert!(started.elapsed() < START_TIMEOUT, "{error}"),
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         };
@@ -64,20 +64,20 @@
 }
 
 #[tokio::test]
-async fn nothing_is_wrong_with_a_request_that_nothing_is_known_of() {
+async fn requests_are_answered_with_503_before_the_first_configuration() {
     struct RequestCase {
         name: &'static str,
         port: u16,
         path: String,
     }
-    let long = || format!("/stock/{}", "x".repeat(9_000));
+    let long_path = || format!("/stock/{}", "x".repeat(9_000));
     let cases = [
         RequestCase { name: "a caller's", port: INGRESS, path: "/stock/1".into() },
-        RequestCase { name: "a caller's with a long path", port: INGRESS, path: long() },
+        RequestCase { name: "a caller's with a long path", port: INGRESS, path: long_path() },
         RequestCase { name: "the back end's", port: EGRESS, path: "/stock/1".into() },
-        RequestCase { name: "the back end's with a long path", port: EGRESS, path: long() },
+        RequestCase { name: "the back end's with a long path", port: EGRESS, path: long_path() },
     ];
-    let daemon = LonelyDaemon::start();
+    let daemon = IsolatedDaemon::start();
     for case in cases {
         let head = format!("GET {} HTTP/1.1\r\nhost: a\r\n\r\n", case.path);
         assert_eq!(daemon.status_of(case.port, &head).await, 503, "{}", case.name);
