--- a/crates/seamhatchd/src/controllers/configuration.rs
+++ b/crates/seamhatchd/src/controllers/configuration.rs
@@ -60,7 +60,7 @@
     }
 
     /// What is held as a witness and not in force yet.
-    pub fn unfinished(&self) -> Option<&StoredConfiguration> {
+    pub fn held_not_in_force(&self) -> Option<&StoredConfiguration> {
         self.held.as_ref().filter(|held| held.generation > self.generation())
     }
 
--- a/crates/seamhatchd/src/controllers/control_thread/configuration.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/configuration.rs
@@ -52,7 +52,7 @@
         match event {
             ConfigurationEvent::PeerGeneration { peer, generation } => match self.backing {
                 Backing::Witnessed(_) => self.pull_if_behind(peer, generation),
-                Backing::Followed(_) => self.note_ahead(peer, generation),
+                Backing::Followed(_) => self.record_newer_generation(peer, generation),
             },
             ConfigurationEvent::Offered(stored, source) => {
                 self.exchanges.end_all();
@@ -174,7 +174,7 @@
             let peer = self.membership.state.member(message.from).map(|record| record.info.peer);
             match self.backing {
                 Backing::Witnessed(_) => self.pull_if_behind(peer, message.generation),
-                Backing::Followed(_) => self.note_ahead(peer, message.generation),
+                Backing::Followed(_) => self.record_newer_generation(peer, message.generation),
             }
         }
         if message.roster_version > self.roster.roster().version {
--- a/crates/seamhatchd/src/controllers/control_thread/departures.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/departures.rs
@@ -21,11 +21,11 @@
 use tokio::sync::oneshot;
 
 /// Time between two questions to other daemons about departures. Chosen, not measured.
-const DEPARTURE_POLL: Microseconds = 250 * MILLISECOND;
+const DEPARTURE_POLL_INTERVAL: Microseconds = 250 * MILLISECOND;
 /// Daemons that are asked to remember a departure: one is enough, the others are for those that restart or can't be reached. Chosen, not measured.
 const DEPARTURE_HOLDERS: usize = 3;
 /// Daemons that are asked for departures: more than hold them, as the membership may have changed. Chosen, not measured.
-const DEPARTURE_ASKED: usize = 5;
+const DEPARTURE_QUERY_FANOUT: usize = 5;
 /// Seed of the choice of these daemons. Any number will do that differs from the other seeds of rendezvous hashing.
 const DEPARTURE_SEED: u64 = 3;
 
@@ -56,7 +56,7 @@
         info!(source:? = source, instances = instances.len(); "departures of an earlier life told");
         if self.shared.server.instances.depart(instances) {
             warn!("the registered instance had departed before this daemon started");
-            self.work_changed();
+            self.availability_changed();
         }
         self.learn_departures(clock::now());
     }
@@ -91,7 +91,7 @@
         }
         info!("departures of an earlier life are known");
         if let Some(heartbeat) = self.departures.early_heartbeat.take() {
-            self.take_heartbeat(heartbeat);
+            self.apply_heartbeat(heartbeat);
         }
     }
 
@@ -100,11 +100,11 @@
         if departures.inquiry.holders_answered() || departures.asking || now < departures.next_poll {
             return;
         }
-        let peers = self.departure_peers(DEPARTURE_ASKED);
+        let peers = self.departure_peers(DEPARTURE_QUERY_FANOUT);
         if peers.is_empty() {
             return;
         }
-        self.departures.next_poll = now.plus(DEPARTURE_POLL);
+        self.departures.next_poll = now.plus(DEPARTURE_POLL_INTERVAL);
         self.departures.asking = true;
         let (pool, control) = (self.shared.pool.clone(), self.shared.control.clone());
         let gossip = self.shared.settings.advertise.gossip;
--- a/crates/seamhatchd/src/controllers/control_thread/followed.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/followed.rs
@@ -9,7 +9,7 @@
 use crate::control::{ConfigurationEvent, ConfigurationSource};
 use crate::controllers::ask::ask_generation;
 use crate::controllers::follow::{
-    ProofKeeper, ShardKeeper, ShardOwner, discover, follow_configuration, keep_fresh, keep_quota_shards,
+    ProofKeeper, ShardKeeper, ShardOwner, discover, follow_configuration, keep_proof_fresh, keep_quota_shards,
 };
 use crate::limits::freshness::ProofRelayPosition;
 use crate::ports::{Backing, FollowedStore};
@@ -24,14 +24,14 @@
 use std::cmp::Reverse;
 
 /// How long the watch of the store may take before a generation that peers reported is asked for.
-const PULL_PATIENCE: Microseconds = 300 * MILLISECOND;
+const PULL_DELAY: Microseconds = 300 * MILLISECOND;
 /// Time between two attempts to get a generation that peers reported.
 const PULL_INTERVAL: Microseconds = 400 * MILLISECOND;
 /// Members to which one passes its proofs on: with 570 members all others are one or two heartbeats from the first.
 const PROOF_FANOUT: usize = 32;
 /// Seed of the order in which daemons ask the store whether the configuration is the newest. Any number will do that differs from the
 /// other seeds of rendezvous hashing, so that one daemon isn't first everywhere.
-const ASKING_SEED: u64 = 4;
+const RELAY_SEED: u64 = 4;
 
 /// A generation that peers have and this daemon has not.
 #[derive(Debug, Clone, Copy)]
@@ -46,7 +46,7 @@
 
 /// How far the configuration in the followed store is known.
 #[derive(Debug, Default)]
-pub(super) struct Following {
+pub(super) struct FollowState {
     /// The store has returned its configuration to this process, or that there is none.
     configuration_read: bool,
     missing: Option<MissingGeneration>,
@@ -76,7 +76,7 @@
             control.clone(),
             metrics.clone(),
         ));
-        tokio::spawn(keep_fresh(ProofKeeper {
+        tokio::spawn(keep_proof_fresh(ProofKeeper {
             followed: followed.clone(),
             documents,
             limits: self.shared.limits.clone(),
@@ -115,15 +115,15 @@
         if now >= self.schedule.housekeeping {
             self.schedule.housekeeping = now.plus(HOUSEKEEPING_INTERVAL);
             self.update_metrics();
-            self.update_asking_order();
+            self.update_relay_position();
             self.update_vacant_shards(now);
             self.shared.limits.quota.forget_old();
         }
     }
 
     /// Finds this daemon's place in the order in which live members ask the store whether the configuration is the newest.
-    fn update_asking_order(&self) {
-        let weight = |member: Address| rendezvous::weight(ASKING_SEED, member.to_string().as_bytes());
+    fn update_relay_position(&self) {
+        let weight = |member: Address| rendezvous::weight(RELAY_SEED, member.to_string().as_bytes());
         let own = weight(self.shared.settings.advertise.gossip);
         let live = self.membership.state.others().filter(|record| record.is_live());
         let mut before: Vec<(u64, Address)> = live
@@ -137,29 +137,30 @@
     }
 
     /// Records a generation that a peer reported. The store is expected to return it too.
-    pub(super) fn note_ahead(&mut self, peer: Option<Address>, generation: Generation) {
+    pub(super) fn record_newer_generation(&mut self, peer: Option<Address>, generation: Generation) {
         if generation <= self.configuration.generation() {
             return;
         }
         let now = clock::now();
-        match &mut self.following.missing {
+        match &mut self.follow_state.missing {
             Some(missing) if generation > missing.generation => {
                 missing.generation = generation;
                 missing.peer = peer.or(missing.peer);
             }
             Some(_) => {}
             None => {
-                let next_pull = now.plus(if self.is_ready() { PULL_PATIENCE } else { 0 });
-                self.following.missing = Some(MissingGeneration { peer, generation, since: now, next_pull });
+                let next_pull = now.plus(if self.is_ready() { PULL_DELAY } else { 0 });
+                self.follow_state.missing =
+                    Some(MissingGeneration { peer, generation, since: now, next_pull });
             }
         }
     }
 
     /// Asks the peer that reported a missing generation for it, then others at random.
     fn pull_missing(&mut self, now: Instant) {
-        let Some(mut missing) = self.following.missing else { return };
+        let Some(mut missing) = self.follow_state.missing else { return };
         if missing.generation <= self.configuration.generation() {
-            self.following.missing = None;
+            self.follow_state.missing = None;
             return;
         }
         if now < missing.next_pull {
@@ -168,7 +169,7 @@
         missing.next_pull = now.plus(PULL_INTERVAL);
         let random = self.membership.random_peers(1).first().copied();
         let Some(peer) = missing.peer.take().or(random) else { return };
-        self.following.missing = Some(missing);
+        self.follow_state.missing = Some(missing);
         let have = self.configuration.generation();
         let shared = self.shared.clone();
         tokio::spawn(async move {
@@ -180,7 +181,7 @@
     }
 
     pub(super) fn followed_store_read(&mut self) {
-        self.following.configuration_read = true;
+        self.follow_state.configuration_read = true;
         self.verify_followed(clock::now());
     }
 
@@ -191,8 +192,8 @@
             return;
         }
         let waited_for_store = now.since(self.started) >= STORE_ANSWER_TIMEOUT;
-        let caught_up = self.following.missing.is_none() && self.configuration.in_force().is_some();
-        if self.following.configuration_read || (waited_for_store && caught_up) {
+        let caught_up = self.follow_state.missing.is_none() && self.configuration.in_force().is_some();
+        if self.follow_state.configuration_read || (waited_for_store && caught_up) {
             self.verified();
         }
     }
--- a/crates/seamhatchd/src/controllers/control_thread/instances.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/instances.rs
@@ -20,9 +20,9 @@
 /// A cold back end starts with its slots divided by this.
 const COLD_DIVISOR: u32 = 2;
 /// Pause between two looks whether a back end without a name, which leaves, has ended.
-const LEAVING_PAUSE: Duration = Duration::from_millis(100);
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// After this time, one that still listens gets calls again, and says itself whether it leaves.
-const LONGEST_LEAVING: Microseconds = 60 * SECOND;
+const MAX_EXIT_WAIT: Microseconds = 60 * SECOND;
 
 impl ControlThread {
     pub(super) fn handle_instance(&mut self, event: InstanceEvent) {
@@ -45,11 +45,11 @@
     fn heartbeat(&mut self, heartbeat: Heartbeat, reply: oneshot::Sender<InstanceAnswer>) {
         let instance = self.shared.server.instances.resolve(heartbeat.instance.clone());
         if heartbeat.state == InstanceState::Draining {
-            self.take_heartbeat(heartbeat);
+            self.apply_heartbeat(heartbeat);
             return self.remember(instance, reply);
         }
         if self.departures.settled || self.followed().is_none() {
-            self.take_heartbeat(heartbeat);
+            self.apply_heartbeat(heartbeat);
         } else {
             // It may be of an instance that has departed: it counts once that is known.
             self.departures.early_heartbeat = Some(heartbeat);
@@ -58,7 +58,7 @@
         let _ = reply.send(InstanceAnswer::Acknowledged);
     }
 
-    pub(super) fn take_heartbeat(&mut self, heartbeat: Heartbeat) {
+    pub(super) fn apply_heartbeat(&mut self, heartbeat: Heartbeat) {
         let (instance, sequence, now) = (heartbeat.instance.name.clone(), heartbeat.sequence, clock::now());
         let before = self.shared.server.instances.current();
         let opened = |instance: &InstanceId| self.shared.server.notices.note_open(Some(instance));
@@ -71,7 +71,7 @@
             }
             HeartbeatVerdict::Closed => {
                 info!(instance = instance.as_str(), sequence = sequence; "instance closed: it drains");
-                self.work_changed();
+                self.availability_changed();
             }
             HeartbeatVerdict::Stale => {
                 info!(instance = instance.as_str(), sequence = sequence; "stale heartbeat passed over");
@@ -97,7 +97,7 @@
             self.shared.server.gate.set_slots(slots, initial);
             self.membership.state.set_slots(slots);
         }
-        self.work_changed();
+        self.availability_changed();
     }
 
     /// Gives a back end that is no longer cold all its slots.
@@ -114,7 +114,7 @@
         let instance = self.departing_instance(instance);
         if self.shared.server.instances.depart([&instance]) {
             info!(instance = instance.name.as_str(); "instance closed: it said goodbye");
-            self.work_changed();
+            self.availability_changed();
         }
         self.remember(instance, reply);
     }
@@ -124,20 +124,20 @@
     fn says_leaving(&mut self, instance: Option<InstanceId>) {
         let name = instance.as_ref().map_or("", |instance| instance.name.as_str());
         info!(instance = name; "instance closed: its answers say that it leaves");
-        self.work_changed();
+        self.availability_changed();
         match instance {
             Some(instance) => self.remember(instance, oneshot::channel().0),
-            None => self.watch_unnamed(),
+            None => self.wait_for_unnamed_exit(),
         }
     }
 
     /// Waits for the end of a back end without a name, which may be followed by another one. One that stays is asked again.
-    fn watch_unnamed(&self) {
+    fn wait_for_unnamed_exit(&self) {
         let shared = self.shared.clone();
         tokio::spawn(async move {
-            let longest = clock::now().plus(LONGEST_LEAVING);
-            while clock::now() < longest && !shared.server.backend.has_exited().await {
-                tokio::time::sleep(LEAVING_PAUSE).await;
+            let deadline = clock::now().plus(MAX_EXIT_WAIT);
+            while clock::now() < deadline && !shared.server.backend.has_exited().await {
+                tokio::time::sleep(EXIT_POLL_INTERVAL).await;
             }
             shared.control.send(InstanceEvent::LeftUnnamed);
         });
@@ -147,7 +147,7 @@
         if self.shared.server.instances.set_leaving(false) {
             info!("the back end that was leaving has ended");
             self.shared.server.backend.close_idle_connections();
-            self.work_changed();
+            self.availability_changed();
         }
     }
 
@@ -172,7 +172,7 @@
         if refutation == Refutation::Replaced {
             self.open_instance();
         } else {
-            self.work_changed();
+            self.availability_changed();
         }
     }
 
@@ -181,7 +181,7 @@
         if self.shared.server.instances.suspend(instance) {
             warn!(instance = instance.name.as_str(), why = why; "instance lost");
             self.shared.server.backend.close_idle_connections();
-            self.work_changed();
+            self.availability_changed();
         }
     }
 
--- a/crates/seamhatchd/src/controllers/control_thread/members.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/members.rs
@@ -2,14 +2,14 @@
 
 use super::ControlThread;
 use crate::control::{Discovery, MemberEvent};
-use crate::controllers::follow::EvidenceNews;
+use crate::controllers::follow::EvidenceUpdate;
 use crate::store::{ListedMachine, MachineState, StoreError, read_machines};
 use log::{debug, info};
 use seamhatch_core::identity::Address;
 use seamhatch_core::membership::MemberRecord;
 
 /// Daemons that one that starts sends its record to at once; the others hear of it by gossip. Chosen, not measured.
-const GREETED: usize = 6;
+const SYNC_FANOUT: usize = 6;
 
 impl ControlThread {
     pub(super) fn handle_member(&mut self, event: MemberEvent) {
@@ -24,17 +24,17 @@
     fn discovered(&mut self, discovery: Discovery) {
         let Discovery { members, evidence, own_evidence, shards } = discovery;
         self.shared.suspects.merge(&evidence);
-        self.remember_evidence(EvidenceNews::InOwnRecord(own_evidence));
+        self.remember_evidence(EvidenceUpdate::InOwnRecord(own_evidence));
         self.learn_quota_shards(&shards);
         info!(members = members.len(); "read the daemons' records");
         let own = self.shared.settings.advertise.gossip;
         let mut others: Vec<Address> = members.iter().copied().filter(|member| *member != own).collect();
-        let mut greeted: Vec<Address> = Vec::new();
-        while greeted.len() < GREETED && !others.is_empty() {
-            greeted.push(others.swap_remove(rand::random_range(0..others.len())));
+        let mut sync_targets: Vec<Address> = Vec::new();
+        while sync_targets.len() < SYNC_FANOUT && !others.is_empty() {
+            sync_targets.push(others.swap_remove(rand::random_range(0..others.len())));
         }
         self.membership.state.add_seeds(members);
-        let outgoing = self.membership.state.sync_with(&greeted);
+        let outgoing = self.membership.state.sync_with(&sync_targets);
         self.membership.send_all(outgoing);
     }
 
@@ -72,7 +72,7 @@
                 return;
             }
         };
-        self.roster.take_machines(machines.iter().map(|machine| machine.address).collect());
+        self.roster.update_machines(machines.iter().map(|machine| machine.address).collect());
         for machine in &machines {
             self.note_machine(machine);
         }
--- a/crates/seamhatchd/src/controllers/control_thread/mod.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/mod.rs
@@ -22,7 +22,7 @@
 use crate::base::clock;
 use crate::control::{ControlEvent, SuspectEvent};
 use crate::controllers::configuration::{ConfigurationController, UnusableRule};
-use crate::controllers::follow::EvidenceNews;
+use crate::controllers::follow::EvidenceUpdate;
 use crate::controllers::membership::MembershipController;
 use crate::controllers::roster::RosterController;
 use crate::ports::{Backing, Ports};
@@ -30,17 +30,17 @@
 use crate::shared::Shared;
 use configuration::ConfigurationExchanges;
 use departures::Departures;
-use followed::Following;
+use followed::FollowState;
 use log::warn;
 use publishing::Publication;
-use roster::RosterUpkeep;
+use roster::RosterMaintenance;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, Microseconds, SECOND};
 use seamhatch_core::membership::{MemberInfo, Membership, MembershipPolicy};
 use seamhatch_wire::LARGEST_DATAGRAM;
 use std::sync::Arc;
 use std::time::Duration;
-use suspects::SuspectNews;
+use suspects::SuspectUpdates;
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 use verification::Verification;
@@ -75,16 +75,16 @@
     membership: MembershipController,
     configuration: ConfigurationController,
     roster: RosterController,
-    roster_upkeep: RosterUpkeep,
+    roster_maintenance: RosterMaintenance,
     backing: Backing,
     verification: Verification,
     exchanges: ConfigurationExchanges,
     /// Used where daemons accept configurations.
     store_view: StoreView,
     /// Used where the store is followed.
-    following: Following,
+    follow_state: FollowState,
     departures: Departures,
-    suspect_news: SuspectNews,
+    suspect_updates: SuspectUpdates,
     publication: Publication,
     schedule: Schedule,
     started: Instant,
@@ -111,14 +111,14 @@
             membership: MembershipController::new(state, Arc::new(socket), shared.metrics.clone()),
             configuration: ConfigurationController::new(ports.documents.clone(), unusable),
             roster: RosterController::default(),
-            roster_upkeep: RosterUpkeep::default(),
+            roster_maintenance: RosterMaintenance::default(),
             backing: ports.backing.clone(),
             verification: Verification::default(),
             exchanges: ConfigurationExchanges::default(),
             store_view: StoreView::default(),
-            following: Following::default(),
+            follow_state: FollowState::default(),
             departures: Departures::default(),
-            suspect_news: SuspectNews::default(),
+            suspect_updates: SuspectUpdates::default(),
             publication: Publication::default(),
             schedule: Schedule::default(),
             started: clock::now(),
@@ -143,7 +143,7 @@
                     if let Some(message) = self.membership.datagram(&buffer[..length], from) {
                         self.note_versions(&message);
                         self.note_suspects(&message);
-                        self.publish_soon_after_a_change();
+                        self.publish_rate_limited();
                     }
                 }
             }
@@ -159,7 +159,7 @@
         self.publish_if_changed();
         self.shared.server.gate.tick();
         self.become_ready_if_verified();
-        self.spread_suspects_again(now);
+        self.resend_suspects(now);
         match self.backing {
             Backing::Witnessed(_) => self.tick_witnessed(now),
             Backing::Followed(_) => self.tick_followed(now),
@@ -184,7 +184,7 @@
             ControlEvent::Instance(event) => self.handle_instance(event),
             ControlEvent::Suspects(SuspectEvent::Changed(requests)) => self.suspects_changed(requests),
             ControlEvent::Suspects(SuspectEvent::CrashedHere(requests)) => {
-                self.remember_evidence(EvidenceNews::CrashedHere(requests));
+                self.remember_evidence(EvidenceUpdate::CrashedHere(requests));
             }
             ControlEvent::Configuration(event) => self.handle_configuration(event),
             ControlEvent::Roster(event) => self.handle_roster(event),
--- a/crates/seamhatchd/src/controllers/control_thread/publishing.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/publishing.rs
@@ -13,7 +13,7 @@
 
 /// Shortest time between two snapshots that datagrams cause: a snapshot copies the name and addresses of each member, and a burst of records
 /// arrives in several datagrams.
-const SNAPSHOT_PAUSE: Microseconds = 20 * MILLISECOND;
+const MIN_SNAPSHOT_INTERVAL: Microseconds = 20 * MILLISECOND;
 
 /// What the last snapshot was made from, and when.
 #[derive(Debug, Default)]
@@ -42,8 +42,8 @@
 
     /// Publishes a change of the members at once where the last snapshot is old enough, else with the next
     /// tick: a daemon that has just started refuses all calls until it knows a server.
-    pub(super) fn publish_soon_after_a_change(&mut self) {
-        if clock::now().since(self.publication.at) >= SNAPSHOT_PAUSE {
+    pub(super) fn publish_rate_limited(&mut self) {
+        if clock::now().since(self.publication.at) >= MIN_SNAPSHOT_INTERVAL {
             self.publish_if_changed();
         }
     }
--- a/crates/seamhatchd/src/controllers/control_thread/quota_shards.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/quota_shards.rs
@@ -16,13 +16,13 @@
 /// Seed of the order in which daemons may take shards. Any number will do that differs from the other seeds of rendezvous hashing.
 const SHARD_SEED: u64 = 5;
 /// Daemons that may take a vacant shard, one after the other. Chosen, not measured.
-const MOST_CONTENDERS: usize = 3;
+const MAX_CONTENDERS: usize = 3;
 /// Places by which a daemon goes back in the order for each shard that it holds, so that one loss costs few shards. Chosen, not
 /// measured.
-const PLACES_FOR_SHARD: usize = 2;
+const RANKS_PER_SHARD: usize = 2;
 /// Age in microseconds from which a daemon may take shards: by then it knows the other members, by the store's records and their
 /// gossip. Chosen, not measured.
-const LEAST_AGE: Microseconds = 1_500 * MILLISECOND;
+const MIN_AGE: Microseconds = 1_500 * MILLISECOND;
 
 impl ControlThread {
     /// Uses the shards' records in the store. This daemon takes those that an earlier incarnation of it held.
@@ -44,7 +44,7 @@
 
     /// Finds the shards that no live member reports to hold, and this daemon's place in the order of those that may take them.
     pub(super) fn update_vacant_shards(&mut self, now: Instant) {
-        if !self.shared.limits.quota.is_needed() || now.since(self.started) < LEAST_AGE {
+        if !self.shared.limits.quota.is_needed() || now.since(self.started) < MIN_AGE {
             return;
         }
         self.update_shard_holders();
@@ -52,20 +52,20 @@
         let own = self.shared.limits.quota.held.mask();
         let held = live.fold(own, |mask, record| mask | record.info.quota_shards);
         let vacant = (0..self.shared.limits.quota.policy.shards).filter(|shard| held & (1 << shard) == 0);
-        let contended = vacant.map(|shard| (shard, self.place_for(shard)));
-        let contended = contended.filter(|(_, place)| *place < MOST_CONTENDERS).collect();
+        let contended = vacant.map(|shard| (shard, self.rank_for(shard)));
+        let contended = contended.filter(|(_, rank)| *rank < MAX_CONTENDERS).collect();
         self.shared.limits.quota.directory.set_vacant(contended);
     }
 
     /// This daemon's place in the order of those that may take a shard; zero is first.
-    fn place_for(&self, shard: ShardNumber) -> usize {
+    fn rank_for(&self, shard: ShardNumber) -> usize {
         let weight = |member: Address| rendezvous::weight(SHARD_SEED, format!("{shard} {member}").as_bytes());
         let own = weight(self.shared.settings.advertise.gossip);
         let is_before = |record: &&MemberRecord| {
             may_take_shards(record) && record.info.quota_shards == 0 && weight(record.info.gossip) > own
         };
         let held = self.shared.limits.quota.held.mask().count_ones() as usize;
-        self.membership.state.others().filter(is_before).count() + PLACES_FOR_SHARD * held
+        self.membership.state.others().filter(is_before).count() + RANKS_PER_SHARD * held
     }
 
     /// Shows the threads that carry traffic which live members report to hold which shards.
--- a/crates/seamhatchd/src/controllers/control_thread/requests.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/requests.rs
@@ -77,7 +77,7 @@
 
     /// As a witness, holds a configuration that the store has accepted.
     fn hold_configuration(&mut self, epoch: Epoch, stored: &StoredConfiguration) -> ControlReply {
-        done_if(registration::is_holder(&self.shared, epoch) && self.configuration.hold(stored))
+        done_or_declined(registration::is_holder(&self.shared, epoch) && self.configuration.hold(stored))
     }
 
     /// As a witness, returns the newest configuration held.
@@ -114,7 +114,7 @@
             // What is held here stays, and is what daemons that ask are given.
             debug!(generation = held.generation.0; "a change of witnesses brought a configuration that the one held here does not follow");
         }
-        done_if(self.shared.claims.witnesses.install(shard, epoch, claims))
+        done_or_declined(self.shared.claims.witnesses.install(shard, epoch, claims))
     }
 
     pub(super) fn handle_operator(&mut self, event: OperatorEvent) {
@@ -149,6 +149,6 @@
     }
 }
 
-fn done_if(done: bool) -> ControlReply {
+fn done_or_declined(done: bool) -> ControlReply {
     if done { ControlReply::Done } else { ControlReply::Declined }
 }
--- a/crates/seamhatchd/src/controllers/control_thread/roster.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/roster.rs
@@ -17,14 +17,14 @@
 use std::collections::BTreeSet;
 
 /// Time between two checks of shards that are as they should be: finds a witness that restarted unnoticed.
-const ROSTER_RECHECK: Microseconds = 30 * SECOND;
+const ROSTER_RECHECK_INTERVAL: Microseconds = 30 * SECOND;
 
 /// Time after the start by which a daemon knows all members: a few exchanges of whole lists, one each second.
-const MEMBERS_KNOWN: Microseconds = 5 * SECOND;
+const MEMBERSHIP_SETTLE_TIME: Microseconds = 5 * SECOND;
 
 /// What the coordinator has under way.
 #[derive(Debug, Default)]
-pub(super) struct RosterUpkeep {
+pub(super) struct RosterMaintenance {
     /// A changed roster is being written: what else has changed by then is written after it, at once.
     writing: bool,
     /// Count of membership changes that were looked at; none before the first one.
@@ -34,11 +34,11 @@
 impl ControlThread {
     pub(super) fn handle_roster(&mut self, event: RosterEvent) {
         match event {
-            RosterEvent::Check(ahead) => self.pull_roster(ahead),
+            RosterEvent::Check(reported_by) => self.pull_roster(reported_by),
             RosterEvent::Read(result) => self.roster_read(result),
             RosterEvent::Offered(roster) => self.offer_roster(roster),
             RosterEvent::Transition(result) => self.finish_transition(&result),
-            RosterEvent::WriteEnded => self.roster_upkeep.writing = false,
+            RosterEvent::WriteEnded => self.roster_maintenance.writing = false,
             RosterEvent::Duty(reply) => {
                 // The stop may have given up waiting.
                 let _ = reply.send(self.witness_duty());
@@ -87,26 +87,26 @@
     }
 
     /// Looks after the roster at once where the members have changed: a witness that stops waits for others to take over.
-    pub(super) fn look_after_changed_members(&mut self, now: Instant) {
+    pub(super) fn maintain_roster_on_member_change(&mut self, now: Instant) {
         let changes = self.membership.state.changes();
-        if self.roster_upkeep.member_changes != Some(changes) {
-            self.roster_upkeep.member_changes = Some(changes);
-            self.look_after_roster(now);
+        if self.roster_maintenance.member_changes != Some(changes) {
+            self.roster_maintenance.member_changes = Some(changes);
+            self.maintain_roster(now);
         }
     }
 
     /// As the coordinator, plans the next roster and carries out changes that are under way.
-    pub(super) fn look_after_roster(&mut self, now: Instant) {
+    pub(super) fn maintain_roster(&mut self, now: Instant) {
         if !self.is_ready() || !self.membership.is_coordinator() {
             return;
         }
         if now >= self.schedule.roster_recheck {
-            self.schedule.roster_recheck = now.plus(ROSTER_RECHECK);
+            self.schedule.roster_recheck = now.plus(ROSTER_RECHECK_INTERVAL);
             self.roster.recheck();
         }
-        let knows_all = now.since(self.started) > MEMBERS_KNOWN;
-        if !self.roster_upkeep.writing
-            && let Some(next) = self.roster.plan(&self.all_members(), knows_all)
+        let knows_all_members = now.since(self.started) > MEMBERSHIP_SETTLE_TIME;
+        if !self.roster_maintenance.writing
+            && let Some(next) = self.roster.plan(&self.all_members(), knows_all_members)
         {
             self.write_roster(next);
         }
@@ -116,8 +116,8 @@
     /// Writes a roster that lists the witnesses no more that are not needed, if there is one and none is being written: they may be waiting for
     /// it. Other changes come with the next tick, so that two coordinators that know different members change nothing in turn all the time.
     fn release_witnesses(&mut self) {
-        self.roster_upkeep.member_changes = None;
-        if self.roster_upkeep.writing || !self.is_ready() || !self.membership.is_coordinator() {
+        self.roster_maintenance.member_changes = None;
+        if self.roster_maintenance.writing || !self.is_ready() || !self.membership.is_coordinator() {
             return;
         }
         if let Some(next) = self.roster.plan_releases() {
@@ -133,7 +133,7 @@
                 shard,
                 ended: self.roster.ended(&target, &members),
                 target,
-                waited: self.roster.waited(shard, now),
+                waited_out: self.roster.waited_out(shard, now),
                 holders: candidates(&members).into_iter().map(|candidate| candidate.id.daemon).collect(),
                 newest: self.configuration.highest(),
             };
@@ -157,7 +157,7 @@
         let Backing::Witnessed(store) = &self.backing else { return };
         let (store, control) = (store.clone(), self.shared.control.clone());
         let known_version = self.roster.roster().version;
-        self.roster_upkeep.writing = true;
+        self.roster_maintenance.writing = true;
         tokio::spawn(async move {
             let newest = swap_roster(&store, known_version, next).await;
             control.send(RosterEvent::WriteEnded);
@@ -182,14 +182,14 @@
         self.membership.state.set_roster_version(version);
         self.publish();
         let is_coordinator = self.is_ready() && self.membership.is_coordinator();
-        let mut told: BTreeSet<Address> = self.membership.random_peers(FANOUT).into_iter().collect();
+        let mut targets: BTreeSet<Address> = self.membership.random_peers(FANOUT).into_iter().collect();
         if is_coordinator {
             // New witnesses are about to be installed, and those that were released wait for nothing else.
-            told.extend(self.roster.witnesses().into_iter().chain(earlier_witnesses));
-            told.remove(&self.shared.settings.advertise.peer);
+            targets.extend(self.roster.witnesses().into_iter().chain(earlier_witnesses));
+            targets.remove(&self.shared.settings.advertise.peer);
         }
         let request = ControlRequest::PutRoster(Roster::clone(self.roster.roster()));
-        for peer in told {
+        for peer in targets {
             self.send_to_peer(peer, request.clone());
         }
         if is_coordinator {
@@ -200,8 +200,8 @@
     }
 
     /// Asks a peer for its roster: one that is `ahead`, or a random one.
-    pub(super) fn pull_roster(&self, ahead: Option<Address>) {
-        let peer = ahead.or_else(|| self.membership.random_peers(1).first().copied());
+    pub(super) fn pull_roster(&self, reported_by: Option<Address>) {
+        let peer = reported_by.or_else(|| self.membership.random_peers(1).first().copied());
         let Some(peer) = peer else { return };
         let shared = self.shared.clone();
         tokio::spawn(async move {
@@ -218,7 +218,7 @@
     let stored = match store.read::<Roster>(ROSTER_KEY).await {
         Ok(stored) => stored,
         Err(error) => {
-            log_unwritten(&error);
+            log_write_failure(&error);
             return None;
         }
     };
@@ -236,12 +236,12 @@
         }
         // Where the write was done all the same, the next read shows it.
         Err(error) => {
-            log_unwritten(&error);
+            log_write_failure(&error);
             None
         }
     }
 }
 
-fn log_unwritten(error: &StoreError) {
+fn log_write_failure(error: &StoreError) {
     debug!(error = error.to_string().as_str(); "the witness roster was not written; it is tried again");
 }
--- a/crates/seamhatchd/src/controllers/control_thread/stopping.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/stopping.rs
@@ -8,7 +8,7 @@
 
 impl ControlThread {
     /// Reacts to a back end that started or stopped taking work: peers learn it at once.
-    pub(super) fn work_changed(&mut self) {
+    pub(super) fn availability_changed(&mut self) {
         if !self.shared.server.instances.is_open() {
             self.shared.server.gate.close();
         }
@@ -54,7 +54,7 @@
         info!("draining: new work is taken only where no other daemon can");
         self.shared.lifecycle.start_draining();
         self.shared.limits.quota.start_handover();
-        self.work_changed();
+        self.availability_changed();
         // From now on no other daemon chooses this one as a witness; what was chosen before has to be known before it may end.
         self.read_store();
     }
--- a/crates/seamhatchd/src/controllers/control_thread/suspects.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/suspects.rs
@@ -7,7 +7,7 @@
 
 use super::ControlThread;
 use crate::base::clock;
-use crate::controllers::follow::{EvidenceKeeper, EvidenceNews, keep_evidence};
+use crate::controllers::follow::{EvidenceKeeper, EvidenceUpdate, keep_evidence};
 use crate::ports::FollowedStore;
 use seamhatch_core::Instant;
 use seamhatch_core::clock::{MILLISECOND, Microseconds, SECOND};
@@ -16,7 +16,7 @@
 use tokio::sync::mpsc;
 
 /// Time until news is sent a second time: whatever made a link lose the first may be over by then.
-const SECOND_SENDING: Microseconds = 300 * MILLISECOND;
+const RESEND_DELAY: Microseconds = 300 * MILLISECOND;
 /// Datagrams of suspects that answer an exchange of member lists.
 const DATAGRAMS_PER_EXCHANGE: usize = 8;
 /// Records that an exchange of member lists brings, those with the most crashes.
@@ -26,43 +26,43 @@
 
 /// What is due to be sent a second time and when, and the task that keeps evidence in the store.
 #[derive(Debug, Default)]
-pub(super) struct SuspectNews {
-    again: Vec<(Instant, Vec<RequestDigest>)>,
+pub(super) struct SuspectUpdates {
+    resends: Vec<(Instant, Vec<RequestDigest>)>,
     next_forget: Instant,
-    keeper: Option<mpsc::UnboundedSender<EvidenceNews>>,
+    keeper: Option<mpsc::UnboundedSender<EvidenceUpdate>>,
 }
 
 impl ControlThread {
     pub(super) fn suspects_changed(&mut self, requests: Vec<RequestDigest>) {
         self.spread_suspects(&requests);
-        self.suspect_news.again.push((clock::now().plus(SECOND_SENDING), requests));
+        self.suspect_updates.resends.push((clock::now().plus(RESEND_DELAY), requests));
     }
 
     /// Has the store remember, where one is followed, what speaks against requests.
-    pub(super) fn remember_evidence(&self, news: EvidenceNews) {
-        if let Some(keeper) = &self.suspect_news.keeper {
+    pub(super) fn remember_evidence(&self, update: EvidenceUpdate) {
+        if let Some(keeper) = &self.suspect_updates.keeper {
             // The task ends with the process.
-            let _ = keeper.send(news);
+            let _ = keeper.send(update);
         }
     }
 
     /// Starts the task that keeps evidence in the followed store.
     pub(super) fn start_keeping_evidence(&mut self, followed: FollowedStore) {
-        let (sender, news) = mpsc::unbounded_channel();
-        self.suspect_news.keeper = Some(sender);
+        let (sender, updates) = mpsc::unbounded_channel();
+        self.suspect_updates.keeper = Some(sender);
         let gossip = self.shared.settings.advertise.gossip;
         let (suspects, metrics) = (self.shared.suspects.clone(), self.shared.metrics.clone());
-        tokio::spawn(keep_evidence(EvidenceKeeper::new(followed, gossip, suspects, metrics, news)));
+        tokio::spawn(keep_evidence(EvidenceKeeper::new(followed, gossip, suspects, metrics, updates)));
     }
 
     /// Sends what is due a second time, and forgets records that are too old.
-    pub(super) fn spread_suspects_again(&mut self, now: Instant) {
-        let due: Vec<_> = self.suspect_news.again.extract_if(.., |(at, _)| *at <= now).collect();
+    pub(super) fn resend_suspects(&mut self, now: Instant) {
+        let due: Vec<_> = self.suspect_updates.resends.extract_if(.., |(at, _)| *at <= now).collect();
         for (_, requests) in due {
             self.spread_suspects(&requests);
         }
-        if now >= self.suspect_news.next_forget {
-            self.suspect_news.next_forget = now.plus(FORGET_INTERVAL);
+        if now >= self.suspect_updates.next_forget {
+            self.suspect_updates.next_forget = now.plus(FORGET_INTERVAL);
             self.shared.suspects.forget_old();
         }
     }
--- a/crates/seamhatchd/src/controllers/control_thread/verification.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/verification.rs
@@ -16,11 +16,11 @@
 use std::sync::Arc;
 
 /// How long a starting daemon asks the witnesses before the store alone is enough.
-const WITNESS_PATIENCE: Microseconds = 10 * SECOND;
+const WITNESS_TIMEOUT: Microseconds = 10 * SECOND;
 
 /// How long a starting daemon waits for another's list of members: without one, its back end's calls find no server. In a deployment of
 /// one there is none.
-const MEMBERS_PATIENCE: Microseconds = 600 * MILLISECOND;
+const MEMBER_LIST_TIMEOUT: Microseconds = 600 * MILLISECOND;
 
 /// How far this daemon has verified that it knows the newest accepted configuration.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -46,7 +46,7 @@
 
 impl ControlThread {
     /// Starts an attempt to learn the newest of what the store has and a majority of the witnesses holds. Without
-    /// the store, the witnesses are enough; without the witnesses, the store is after [`WITNESS_PATIENCE`].
+    /// the store, the witnesses are enough; without the witnesses, the store is after [`WITNESS_TIMEOUT`].
     pub(super) fn verify(&mut self, now: Instant) {
         if self.verification != Verification::Pending {
             return;
@@ -60,7 +60,7 @@
             shared: self.shared.clone(),
             in_store: self.store_view.configuration().cloned(),
             first_start: store_was_read && no_roster,
-            store_is_enough: store_was_read && now.since(self.started) > WITNESS_PATIENCE,
+            store_is_enough: store_was_read && now.since(self.started) > WITNESS_TIMEOUT,
         };
         self.verification = Verification::AskingWitnesses;
         tokio::spawn(attempt.run());
@@ -85,7 +85,7 @@
 
     /// Whether another daemon has sent its list of members, or none does. A followed store has the daemons' records.
     fn knows_members(&self) -> bool {
-        let waited = clock::now().since(self.started) >= MEMBERS_PATIENCE;
+        let waited = clock::now().since(self.started) >= MEMBER_LIST_TIMEOUT;
         self.followed().is_some() || self.membership.state.has_received_list() || waited
     }
 
@@ -98,7 +98,7 @@
         }
         info!(generation = self.configuration.generation().0; "ready");
         self.shared.lifecycle.become_ready();
-        self.work_changed();
+        self.availability_changed();
     }
 }
 
--- a/crates/seamhatchd/src/controllers/control_thread/witnessed.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/witnessed.rs
@@ -86,12 +86,12 @@
             self.schedule.machines = now.plus(jittered(WATCHER_INTERVAL));
             self.read_machines();
         }
-        self.look_after_changed_members(now);
+        self.maintain_roster_on_member_change(now);
         if now >= self.schedule.housekeeping {
             self.schedule.housekeeping = now.plus(jittered(HOUSEKEEPING_INTERVAL));
-            self.look_after_roster(now);
+            self.maintain_roster(now);
             // The daemon that wanted it in force may be gone.
-            if let Some(held) = self.configuration.unfinished().cloned() {
+            if let Some(held) = self.configuration.held_not_in_force().cloned() {
                 self.register(held);
             }
             self.update_metrics();
@@ -117,7 +117,7 @@
         self.store_view.end_read(result.is_err());
         let stored = match result {
             Ok(stored) => stored,
-            Err(error) => return self.note_unread_store(&error),
+            Err(error) => return self.record_read_failure(&error),
         };
         let in_store = stored.value.as_ref().map(|stored| stored.generation).unwrap_or_default();
         if self.configuration.generation() > in_store && self.membership.is_coordinator() {
@@ -133,7 +133,7 @@
         }
     }
 
-    fn note_unread_store(&self, error: &StoreError) {
+    fn record_read_failure(&self, error: &StoreError) {
         self.shared.metrics.store_failures.inc();
         if !self.is_ready() {
             warn!(error = error.to_string().as_str(); "the store can't be read at the start");
--- a/crates/seamhatchd/src/controllers/follow/configuration.rs
+++ b/crates/seamhatchd/src/controllers/follow/configuration.rs
@@ -18,13 +18,13 @@
 /// TCP keep-alive probes, which cost none.
 const WATCH_WAIT: Duration = Duration::from_secs(25);
 /// A watch that is silent for this much longer is lost: the store acknowledges probes but doesn't answer.
-const WATCH_SLACK: Duration = Duration::from_secs(3);
+const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_secs(3);
 /// A watch that ends sooner is followed by a pause in any case, in microseconds.
-const SHORTEST_WATCH: Microseconds = SECOND;
+const MIN_WATCH: Microseconds = SECOND;
 /// A watch that has not brought a configuration which has been in force here for this long has fallen silent.
-const OVERTAKEN: Duration = Duration::from_secs(1);
+const SILENT_WATCH_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause after a change before the next watch, so that changes in quick succession arrive in one answer.
-const GATHER_PAUSE: Duration = Duration::from_millis(250);
+const COALESCING_PAUSE: Duration = Duration::from_millis(250);
 
 /// One daemon's watch of the configuration.
 struct Follower {
@@ -60,7 +60,7 @@
         follower.note_failure(&failure);
         let is_renewed = matches!(failure, StoreError::HistoryLost | StoreError::WatchSilent);
         // A store that has no history at all ends each watch at once.
-        if !is_renewed || clock::now().since(began) < SHORTEST_WATCH {
+        if !is_renewed || clock::now().since(began) < MIN_WATCH {
             backoff.pause().await;
         }
     }
@@ -90,8 +90,8 @@
             let watch = self.followed.store.watch(&self.followed.configuration_key, after, WATCH_WAIT);
             let known = self.newest.max(self.control.generation_in_force());
             let answer = tokio::select! {
-                answer = tokio::time::timeout(WATCH_WAIT + WATCH_SLACK, watch) => answer,
-                () = overtaken(&self.control, known) => return StoreError::WatchSilent,
+                answer = tokio::time::timeout(WATCH_WAIT + WATCH_TIMEOUT_MARGIN, watch) => answer,
+                () = watch_fell_silent(&self.control, known) => return StoreError::WatchSilent,
             };
             let changes = match answer {
                 Ok(Ok(changes)) => changes,
@@ -105,7 +105,7 @@
             if let Some(newest) = versions.iter().map(|version| version.generation).max() {
                 self.newest = self.newest.max(newest);
                 self.control.send(ConfigurationEvent::OfferedSeries(versions, ConfigurationSource::Watch));
-                tokio::time::sleep(GATHER_PAUSE).await;
+                tokio::time::sleep(COALESCING_PAUSE).await;
             }
         }
     }
@@ -150,11 +150,11 @@
     }
 }
 
-/// Resolves when a configuration newer than `known` has been in force for [`OVERTAKEN`].
-async fn overtaken(control: &ControlHandle, known: Generation) {
+/// Resolves when a configuration newer than `known` has been in force for [`SILENT_WATCH_TIMEOUT`].
+async fn watch_fell_silent(control: &ControlHandle, known: Generation) {
     loop {
         let seen = control.generation_in_force();
-        tokio::time::sleep(OVERTAKEN).await;
+        tokio::time::sleep(SILENT_WATCH_TIMEOUT).await;
         if seen > known {
             return;
         }
--- a/crates/seamhatchd/src/controllers/follow/evidence.rs
+++ b/crates/seamhatchd/src/controllers/follow/evidence.rs
@@ -20,15 +20,15 @@
 use tokio::sync::mpsc;
 
 /// Requests that the record of one daemon has room for; those that were cleared, and then the oldest, are dropped.
-const MOST_NOTED: usize = 32;
+const MAX_NOTED: usize = 32;
 /// Time between two looks whether the store still has what was noted.
 const CHECK_INTERVAL: Duration = Duration::from_secs(10);
 /// Time after a crash until its requests are looked at again: crashes elsewhere in the same moment are known here by then.
-const SECOND_LOOK: Duration = Duration::from_secs(1);
+const RECHECK_DELAY: Duration = Duration::from_secs(1);
 
 /// Requests that may be worth noting.
 #[derive(Debug)]
-pub enum EvidenceNews {
+pub enum EvidenceUpdate {
     /// They ran in a crash of this daemon's back end.
     CrashedHere(Vec<RequestDigest>),
     /// This daemon's record in the store holds them.
@@ -41,7 +41,7 @@
     gossip: Address,
     suspects: Arc<SuspectRegistry>,
     metrics: Arc<Metrics>,
-    news: mpsc::UnboundedReceiver<EvidenceNews>,
+    updates: mpsc::UnboundedReceiver<EvidenceUpdate>,
     /// Requests of crashes here that may turn out to have run in others too.
     recent: BTreeSet<RequestDigest>,
     noted: BTreeSet<RequestDigest>,
@@ -50,7 +50,7 @@
 /// Notes evidence in the store, and sees to it that it stays there, until the process ends.
 pub async fn keep_evidence(mut keeper: EvidenceKeeper) {
     let mut backoff = Backoff::default();
-    while keeper.until_due().await {
+    while keeper.wait_until_due().await {
         while let Err(error) = keeper.step().await {
             keeper.metrics.store_failures.inc();
             debug!(error = error.to_string().as_str(); "evidence can't be noted in the store yet");
@@ -61,58 +61,58 @@
 }
 
 impl EvidenceKeeper {
-    /// Has noted nothing yet. `gossip` is this daemon's gossip address; `news` brings what may be worth noting.
+    /// Has noted nothing yet. `gossip` is this daemon's gossip address; `updates` brings what may be worth noting.
     pub fn new(
         followed: FollowedStore,
         gossip: Address,
         suspects: Arc<SuspectRegistry>,
         metrics: Arc<Metrics>,
-        news: mpsc::UnboundedReceiver<EvidenceNews>,
+        updates: mpsc::UnboundedReceiver<EvidenceUpdate>,
     ) -> Self {
         let (recent, noted) = (BTreeSet::new(), BTreeSet::new());
-        Self { followed, gossip, suspects, metrics, news, recent, noted }
+        Self { followed, gossip, suspects, metrics, updates, recent, noted }
     }
 
     /// Waits until there is something to look at. False when nothing will come any more.
-    async fn until_due(&mut self) -> bool {
+    async fn wait_until_due(&mut self) -> bool {
         let pause = match (self.recent.is_empty(), self.noted.is_empty()) {
-            (false, _) => SECOND_LOOK,
+            (false, _) => RECHECK_DELAY,
             (true, false) => CHECK_INTERVAL,
             (true, true) => Duration::MAX,
         };
         tokio::select! {
-            news = self.news.recv() => match news {
-                Some(news) => self.take_in(news),
+            update = self.updates.recv() => match update {
+                Some(update) => self.apply_update(update),
                 None => return false,
             },
             // The second look is the last one.
             () = tokio::time::sleep(pause) => {
-                self.choose();
+                self.note_repeated();
                 self.recent.clear();
             }
         }
         true
     }
 
-    fn take_in(&mut self, news: EvidenceNews) {
-        match news {
-            EvidenceNews::CrashedHere(requests) => self.recent.extend(requests),
-            EvidenceNews::InOwnRecord(requests) => self.noted.extend(requests),
+    fn apply_update(&mut self, update: EvidenceUpdate) {
+        match update {
+            EvidenceUpdate::CrashedHere(requests) => self.recent.extend(requests),
+            EvidenceUpdate::InOwnRecord(requests) => self.noted.extend(requests),
         }
     }
 
     /// Adds those recent requests that ran in several crashes to what is noted.
-    fn choose(&mut self) {
+    fn note_repeated(&mut self) {
         let repeated = self.recent.iter().filter(|request| self.suspects.is_repeat_suspect(**request));
         self.noted.extend(repeated);
     }
 
     /// Brings this daemon's record up to what is known of the requests that it holds.
     async fn step(&mut self) -> Result<(), StoreError> {
-        while let Ok(news) = self.news.try_recv() {
-            self.take_in(news);
+        while let Ok(update) = self.updates.try_recv() {
+            self.apply_update(update);
         }
-        self.choose();
+        self.note_repeated();
         let noted: Vec<RequestDigest> = self.noted.iter().copied().collect();
         let reports = self.suspects.reports(&noted);
         // What is no longer known was cleared or has lapsed.
@@ -154,24 +154,24 @@
 /// Adds to a record what it lacks of the reports. True when it lacked anything.
 fn add(record: &mut DaemonRecord, reports: &[SuspectReport]) -> bool {
     let now = unix_milliseconds();
-    let mut lacked = false;
+    let mut changed = false;
     for report in reports {
-        let place = record.condemned.iter().position(|known| known.record.request == report.record.request);
+        let index = record.condemned.iter().position(|known| known.record.request == report.record.request);
         let mut entry = CondemnedRecord::new(report, now);
-        if let Some(place) = place {
-            let known = &record.condemned[place];
+        if let Some(index) = index {
+            let known = &record.condemned[index];
             if !known.record.clone().merge(&report.record) {
                 continue;
             }
             entry.record.merge(&known.record);
-            record.condemned.remove(place);
+            record.condemned.remove(index);
         }
         record.condemned.push(entry);
-        lacked = true;
+        changed = true;
     }
-    let dropped = record.condemned.len().saturating_sub(MOST_NOTED);
+    let dropped = record.condemned.len().saturating_sub(MAX_NOTED);
     // The order among those of a kind stays: the oldest come first.
     record.condemned.sort_by_key(|known| known.record.open_crashes() > 0);
     record.condemned.drain(..dropped);
-    lacked
+    changed
 }
--- a/crates/seamhatchd/src/controllers/follow/freshness.rs
+++ b/crates/seamhatchd/src/controllers/follow/freshness.rs
@@ -26,19 +26,19 @@
 use std::time::Duration;
 
 /// Pause between two checks of the age of the proof.
-const POLL: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Age of its proof at which a daemon asks, in microseconds, by its place in the order; all later ones ask at the last.
 ///
 /// A configuration is to be in force 2 s after it was accepted: the last age leaves 0.7 s for the poll, the read and the compiler. A proof
 /// reaches a direct peer of the first within the age at which that one asks, a poll and a heartbeat: 0.9 s.
-const ASKS_AFTER: [Microseconds; 4] =
+const REFRESH_AGES: [Microseconds; 4] =
     [400 * MILLISECOND, 1050 * MILLISECOND, 1150 * MILLISECOND, 1200 * MILLISECOND];
 /// Age of its proof at which a daemon sees to a connection to the member above it, in microseconds: just above what a working one allows.
-const CONNECTS_AFTER: Microseconds = 950 * MILLISECOND;
+const CONNECT_AGE: Microseconds = 950 * MILLISECOND;
 /// Time between two attempts to do so, in microseconds.
 const CONNECT_INTERVAL: Microseconds = 500 * MILLISECOND;
 /// Places in the order that try again at short, even pauses: after an outage the others receive the proof from them.
-const EAGER_PLACES: usize = 3;
+const FIXED_PAUSE_RANKS: usize = 3;
 
 /// What this task uses.
 pub struct ProofKeeper {
@@ -57,16 +57,16 @@
 }
 
 /// Keeps the proof recent until the process ends.
-pub async fn keep_fresh(keeper: ProofKeeper) {
+pub async fn keep_proof_fresh(keeper: ProofKeeper) {
     let freshness = &keeper.limits.freshness;
     let mut backoff = Backoff::default();
     // The watch begins with a read, which is a proof.
     let mut asked = clock::now();
     let mut connected = clock::now();
     loop {
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         let now = clock::now();
-        if is_older(freshness, CONNECTS_AFTER, now) && now.since(connected) >= CONNECT_INTERVAL {
+        if is_older(freshness, CONNECT_AGE, now) && now.since(connected) >= CONNECT_INTERVAL {
             connected = now;
             keeper.connect_upstream();
         }
@@ -79,8 +79,8 @@
             Err(error) => {
                 keeper.metrics.store_failures.inc();
                 debug!(error = error.to_string().as_str(); "the store does not tell whether the configuration is the newest");
-                if freshness.relay_position().rank < EAGER_PLACES {
-                    backoff.eager_pause().await;
+                if freshness.relay_position().rank < FIXED_PAUSE_RANKS {
+                    backoff.fixed_pause().await;
                 } else {
                     backoff.pause().await;
                 }
@@ -91,8 +91,8 @@
 
 /// Whether neither a proof nor an attempt to get one is young enough. An attempt may bring none, as without a configuration.
 fn is_due(freshness: &Freshness, asked: Instant, now: Instant) -> bool {
-    let asks_after = ASKS_AFTER[freshness.relay_position().rank.min(ASKS_AFTER.len() - 1)];
-    now.since(asked) >= asks_after && is_older(freshness, asks_after, now)
+    let refresh_age = REFRESH_AGES[freshness.relay_position().rank.min(REFRESH_AGES.len() - 1)];
+    now.since(asked) >= refresh_age && is_older(freshness, refresh_age, now)
 }
 
 fn is_older(freshness: &Freshness, than: Microseconds, now: Instant) -> bool {
--- a/crates/seamhatchd/src/controllers/follow/mod.rs
+++ b/crates/seamhatchd/src/controllers/follow/mod.rs
@@ -16,6 +16,6 @@
 pub use configuration::follow_configuration;
 pub use departures::{ask_departures, remember_departure};
 pub use discovery::discover;
-pub use evidence::{EvidenceKeeper, EvidenceNews, keep_evidence};
-pub use freshness::{ProofKeeper, keep_fresh};
+pub use evidence::{EvidenceKeeper, EvidenceUpdate, keep_evidence};
+pub use freshness::{ProofKeeper, keep_proof_fresh};
 pub use quota_shards::{ShardKeeper, ShardOwner, holder_of, keep_quota_shards};
--- a/crates/seamhatchd/src/controllers/follow/quota_shards.rs
+++ b/crates/seamhatchd/src/controllers/follow/quota_shards.rs
@@ -24,18 +24,18 @@
 use std::time::Duration;
 
 /// Pause between two checks of which shards to take or keep.
-const POLL: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// How long a lease lasts without renewal: a shard whose holder is lost is free after that.
 ///
 /// It outlasts an outage of the store for which proofs of freshness stay recent enough, five seconds or so, with the last renewal before it
 /// and the first one after it: else all limits are gone until all shards are taken again. Longer, the shards of a lost daemon are missing for longer.
-const LEASE: Duration = Duration::from_secs(8);
+const LEASE_DURATION: Duration = Duration::from_secs(8);
 /// Time between two renewals, in microseconds: each costs the store a tenth of a read.
-const RENEWAL: Microseconds = SECOND;
+const RENEWAL_INTERVAL: Microseconds = SECOND;
 /// A daemon whose lease was renewed longer ago than this doesn't reach the store, in microseconds.
-const LONGEST_RENEWAL: Microseconds = 2 * RENEWAL;
+const MAX_RENEWAL_AGE: Microseconds = 2 * RENEWAL_INTERVAL;
 /// How much later each next one in the order tries to take a shard, in microseconds.
-const NEXT_TRIES_AFTER: Microseconds = 300 * MILLISECOND;
+const ATTEMPT_STAGGER: Microseconds = 300 * MILLISECOND;
 /// Pause in microseconds after another daemon was found to hold a shard that seemed vacant.
 const HELD_ELSEWHERE_PAUSE: Microseconds = 500 * MILLISECOND;
 
@@ -67,7 +67,7 @@
     /// When the call that made or last renewed the lease was sent.
     renewed: Instant,
     /// Shards that seem vacant, each with the instant at which this daemon may try next.
-    noticed: BTreeMap<ShardNumber, Instant>,
+    next_attempts: BTreeMap<ShardNumber, Instant>,
     /// The shards of the lease, with the revisions of their records.
     records: BTreeMap<ShardNumber, Revision>,
 }
@@ -76,12 +76,12 @@
 pub async fn keep_quota_shards(mut keeper: ShardKeeper) {
     let mut backoff = Backoff::default();
     loop {
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         if !keeper.limits.quota.is_needed() {
             continue;
         }
         if keeper.limits.quota.is_handing_over() {
-            return keeper.leave().await;
+            return keeper.hand_over().await;
         }
         match keeper.step().await {
             Ok(()) => backoff.succeeded(),
@@ -90,7 +90,7 @@
                 debug!(error = error.to_string().as_str(); "shards can't be taken or kept");
                 if keeper.lease.is_some() {
                     // Few daemons hold shards, and their leases run out.
-                    backoff.eager_pause().await;
+                    backoff.fixed_pause().await;
                 } else {
                     backoff.pause().await;
                 }
@@ -116,15 +116,15 @@
             metrics,
             lease: None,
             renewed: Instant::default(),
-            noticed: BTreeMap::new(),
+            next_attempts: BTreeMap::new(),
             records: BTreeMap::new(),
         }
     }
 
     /// Hands out nothing more and removes this daemon's records, so that others can take its shards at once. Where the store seems to be out, it keeps them until
     /// the lease ends.
-    async fn leave(&mut self) {
-        let is_out = clock::now().since(self.renewed) > LONGEST_RENEWAL;
+    async fn hand_over(&mut self) {
+        let is_out = clock::now().since(self.renewed) > MAX_RENEWAL_AGE;
         if self.records.is_empty() || is_out {
             return;
         }
@@ -152,25 +152,25 @@
 
     /// Renews the lease and tries the shards that are due.
     async fn step(&mut self) -> Result<(), StoreError> {
-        self.drop_ended_lease();
+        self.drop_expired_lease();
         self.renew().await?;
         let held = self.limits.quota.held.mask();
         let mut vacant = self.limits.quota.directory.vacant();
         vacant.retain(|(shard, _)| held & (1 << shard) == 0);
-        self.noticed.retain(|shard, _| vacant.iter().any(|(vacant, _)| vacant == shard));
-        for (shard, place) in vacant {
+        self.next_attempts.retain(|shard, _| vacant.iter().any(|(vacant, _)| vacant == shard));
+        for (shard, rank) in vacant {
             let now = clock::now();
-            let delay = place as Microseconds * NEXT_TRIES_AFTER;
-            let due = *self.noticed.entry(shard).or_insert_with(|| now.plus(delay));
+            let delay = rank as Microseconds * ATTEMPT_STAGGER;
+            let due = *self.next_attempts.entry(shard).or_insert_with(|| now.plus(delay));
             if now >= due {
-                self.try_to_take(shard).await?;
+                self.try_acquire(shard).await?;
             }
         }
         Ok(())
     }
 
     /// Gives up all shards where the lease has ended.
-    fn drop_ended_lease(&mut self) {
+    fn drop_expired_lease(&mut self) {
         let held = &self.limits.quota.held;
         if self.lease.is_some() && !held.has_lease() {
             warn!(shards = held.mask().count_ones(); "the lease of this daemon's shards has ended");
@@ -184,16 +184,16 @@
     async fn renew(&mut self) -> Result<(), StoreError> {
         let Some(lease) = self.lease else { return Ok(()) };
         let sent = clock::now();
-        if sent.since(self.renewed) < RENEWAL {
+        if sent.since(self.renewed) < RENEWAL_INTERVAL {
             return Ok(());
         }
         let kept = self.call(self.followed.store.keep_lease(lease)).await?;
         if kept {
             self.renewed = sent;
-            self.limits.quota.held.record_renewal(sent, LEASE.as_micros() as Microseconds);
+            self.limits.quota.held.record_renewal(sent, LEASE_DURATION.as_micros() as Microseconds);
         } else {
             self.limits.quota.held.release_all();
-            self.drop_ended_lease();
+            self.drop_expired_lease();
         }
         Ok(())
     }
@@ -204,24 +204,24 @@
             return Ok(lease);
         }
         let sent = clock::now();
-        let lease = self.call(self.followed.store.make_lease(LEASE)).await?;
+        let lease = self.call(self.followed.store.make_lease(LEASE_DURATION)).await?;
         self.renewed = sent;
-        self.limits.quota.held.record_renewal(sent, LEASE.as_micros() as Microseconds);
+        self.limits.quota.held.record_renewal(sent, LEASE_DURATION.as_micros() as Microseconds);
         self.lease = Some(lease);
         Ok(lease)
     }
 
-    async fn try_to_take(&mut self, shard: ShardNumber) -> Result<(), StoreError> {
+    async fn try_acquire(&mut self, shard: ShardNumber) -> Result<(), StoreError> {
         let lease = self.lease().await?;
         let Some(found) = self.write(shard, Revision(0), lease).await? else { return Ok(()) };
         let record = ShardRecord::read(&self.followed.member_prefix, &found).map(|(_, record)| record);
         match record {
             // The answer to an earlier attempt was lost.
-            Some(record) if record == self.record(lease) => self.take(shard, found.revision),
+            Some(record) if record == self.record(lease) => self.record_acquired(shard, found.revision),
             Some(record) if record.is_of_earlier_incarnation(self.owner.gossip, self.owner.incarnation) => {
                 self.write(shard, found.revision, lease).await?;
             }
-            Some(record) => self.pass_over(shard, &record),
+            Some(record) => self.defer_held_shard(shard, &record),
             None => {
                 warn!(shard = shard; "a shard's record in the store can't be read, so it is nobody's");
                 self.write(shard, found.revision, lease).await?;
@@ -247,7 +247,7 @@
         };
         match self.call(self.followed.store.write(&write)).await? {
             WriteOutcome::Done(revision) => {
-                self.take(shard, revision);
+                self.record_acquired(shard, revision);
                 Ok(None)
             }
             WriteOutcome::Refused(items) => Ok(items.into_iter().next()),
@@ -265,7 +265,7 @@
         }
     }
 
-    fn take(&mut self, shard: ShardNumber, revision: Revision) {
+    fn record_acquired(&mut self, shard: ShardNumber, revision: Revision) {
         info!(shard = shard; "this daemon holds a shard of the tenants' limits");
         self.records.insert(shard, revision);
         self.limits.quota.held.add(shard);
@@ -273,9 +273,9 @@
     }
 
     /// Leaves a shard that another daemon holds alone for a while.
-    fn pass_over(&mut self, shard: ShardNumber, record: &ShardRecord) {
+    fn defer_held_shard(&mut self, shard: ShardNumber, record: &ShardRecord) {
         self.limits.quota.directory.set_holder(shard, holder_of(record));
-        self.noticed.insert(shard, clock::now().plus(HELD_ELSEWHERE_PAUSE));
+        self.next_attempts.insert(shard, clock::now().plus(HELD_ELSEWHERE_PAUSE));
     }
 
     async fn call<T>(&self, call: impl Future<Output = Result<T, StoreError>>) -> Result<T, StoreError> {
--- a/crates/seamhatchd/src/controllers/membership.rs
+++ b/crates/seamhatchd/src/controllers/membership.rs
@@ -102,15 +102,15 @@
             .filter(|record| record.is_live() && record.lifecycle != Lifecycle::Draining)
     }
 
-    /// Peer addresses of up to `count` live members, drawn at random.
+    /// Peer addresses of up to `count` live members, sampled at random.
     pub fn random_peers(&self, count: usize) -> Vec<Address> {
         let mut peers: Vec<Address> =
             self.state.others().filter(|record| record.is_live()).map(|record| record.info.peer).collect();
-        let mut drawn = Vec::new();
-        while drawn.len() < count && !peers.is_empty() {
-            drawn.push(peers.swap_remove(rand::random_range(0..peers.len())));
+        let mut sampled = Vec::new();
+        while sampled.len() < count && !peers.is_empty() {
+            sampled.push(peers.swap_remove(rand::random_range(0..peers.len())));
         }
-        drawn
+        sampled
     }
 
     fn is_chosen<'a>(
--- a/crates/seamhatchd/src/controllers/roster.rs
+++ b/crates/seamhatchd/src/controllers/roster.rs
@@ -31,7 +31,7 @@
     running: BTreeSet<usize>,
     loss_waits: ClaimLossWaits,
     /// Machines that were listed and are no longer.
-    gone_machines: BTreeSet<IpAddr>,
+    removed_machines: BTreeSet<IpAddr>,
     listed_machines: BTreeSet<IpAddr>,
 }
 
@@ -78,16 +78,16 @@
     }
 
     /// Compares the platform's list of machines with the one before: those that are no longer listed are gone.
-    pub fn take_machines(&mut self, listed: BTreeSet<IpAddr>) {
+    pub fn update_machines(&mut self, listed: BTreeSet<IpAddr>) {
         let vanished: Vec<IpAddr> = self.listed_machines.difference(&listed).copied().collect();
-        self.gone_machines.extend(vanished);
-        self.gone_machines.retain(|address| !listed.contains(address));
+        self.removed_machines.extend(vanished);
+        self.removed_machines.retain(|address| !listed.contains(address));
         self.listed_machines = listed;
     }
 
-    /// The roster that should follow, or none while all shards are as they should be. `knows_all` says that a witness without a record in
+    /// The roster that should follow, or none while all shards are as they should be. `knows_all_members` says that a witness without a record in
     /// `members` is one that has gone.
-    pub fn plan(&self, members: &[MemberRecord], knows_all: bool) -> Option<Roster> {
+    pub fn plan(&self, members: &[MemberRecord], knows_all_members: bool) -> Option<Roster> {
         let candidates = candidates(members);
         if candidates.is_empty() {
             return None;
@@ -96,7 +96,7 @@
             return Some(first_roster(&candidates));
         }
         let is_unknown =
-            |id: &WitnessId| !knows_all && members.iter().all(|record| record.info.peer != id.daemon);
+            |id: &WitnessId| !knows_all_members && members.iter().all(|record| record.info.peer != id.daemon);
         let health = |id: &WitnessId| match self.health(id, members) {
             WitnessHealth::Unreachable if is_unknown(id) => WitnessHealth::Unknown,
             health => health,
@@ -179,7 +179,7 @@
     }
 
     /// Epochs of a shard that ended with a loss and have been waited out.
-    pub fn waited(&self, shard: usize, now: Instant) -> BTreeSet<Epoch> {
+    pub fn waited_out(&self, shard: usize, now: Instant) -> BTreeSet<Epoch> {
         self.loss_waits.elapsed(shard, now)
     }
 
@@ -210,7 +210,7 @@
     }
 
     fn health(&self, id: &WitnessId, members: &[MemberRecord]) -> WitnessHealth {
-        let gone = self.gone_machines.contains(&id.daemon.ip);
+        let gone = self.removed_machines.contains(&id.daemon.ip);
         let Some(record) = members.iter().find(|record| record.info.peer == id.daemon) else {
             return if gone { WitnessHealth::Ended } else { WitnessHealth::Unreachable };
         };
--- a/crates/seamhatchd/src/controllers/roster_change.rs
+++ b/crates/seamhatchd/src/controllers/roster_change.rs
@@ -31,7 +31,7 @@
     /// Witnesses that are known to have ended.
     pub ended: BTreeSet<WitnessId>,
     /// Epochs that ended with a loss and have been waited out.
-    pub waited: BTreeSet<Epoch>,
+    pub waited_out: BTreeSet<Epoch>,
     /// Peer addresses of the daemons that may hold what retired witnesses remembered.
     pub holders: Vec<Address>,
     /// The newest accepted configuration that this daemon knows.
@@ -55,7 +55,7 @@
                 None => return result,
             }
         };
-        if sealed.lossy.iter().any(|epoch| !self.waited.contains(epoch)) {
+        if sealed.lossy.iter().any(|epoch| !self.waited_out.contains(epoch)) {
             result.lossy = sealed.lossy;
             return result;
         }
--- a/crates/seamhatchd/src/controllers/status.rs
+++ b/crates/seamhatchd/src/controllers/status.rs
@@ -18,10 +18,10 @@
 use std::sync::Arc;
 
 /// Members that are asked at the same time.
-const ASKED_AT_ONCE: usize = 32;
+const CONCURRENT_QUERIES: usize = 32;
 
 /// Costs that are shown at most, the dearest ones.
-const MOST_COSTS: usize = 32;
+const MAX_COSTS: usize = 32;
 
 /// What the control thread knows for the report.
 pub struct StatusInput {
@@ -42,7 +42,8 @@
         ..member_status(&input.me, Some(input.generation.0))
     };
     let asking = input.others.into_iter().map(|record| ask_member(shared.clone(), record));
-    let mut members: Vec<MemberStatus> = stream::iter(asking).buffer_unordered(ASKED_AT_ONCE).collect().await;
+    let mut members: Vec<MemberStatus> =
+        stream::iter(asking).buffer_unordered(CONCURRENT_QUERIES).collect().await;
     members.push(own);
     members.sort_by(|left, right| (&left.service, &left.member).cmp(&(&right.service, &right.member)));
     let shards =
@@ -62,7 +63,7 @@
 }
 
 fn costs(shared: &Shared) -> Vec<CostStatus> {
-    let known = shared.chain_costs.costs(MOST_COSTS).into_iter();
+    let known = shared.chain_costs.costs(MAX_COSTS).into_iter();
     let status =
         |KindCost { kind, service, slot_ms }| CostStatus { kind, service, slot_ms: slot_ms.round() as u64 };
     known.map(status).collect()
--- a/crates/seamhatchd/src/controllers/submission.rs
+++ b/crates/seamhatchd/src/controllers/submission.rs
@@ -17,7 +17,7 @@
 use tokio::time::Instant;
 
 /// How long a submission tries before the operator is told that it is unavailable or unknown. Chosen, not measured.
-const LONGEST_SUBMISSION: Duration = Duration::from_secs(15);
+const MAX_SUBMISSION_TIME: Duration = Duration::from_secs(15);
 /// Pause after a failure of the store or a lost compare-and-swap: even, as an operator waits. Chosen, not measured.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
@@ -60,12 +60,12 @@
         Ok(Self { shared, store, request, known, based_on: None, may_be_written: false })
     }
 
-    /// Carries the submission out, for at most [`LONGEST_SUBMISSION`].
+    /// Carries the submission out, for at most [`MAX_SUBMISSION_TIME`].
     ///
     /// # Errors
     /// [`SubmitError`].
     pub async fn run(mut self) -> Result<AcceptedSubmission, SubmitError> {
-        let deadline = Instant::now() + LONGEST_SUBMISSION;
+        let deadline = Instant::now() + MAX_SUBMISSION_TIME;
         while let Err(error) = self.ask_witnesses().await {
             if Instant::now() >= deadline {
                 return Err(error);
