--- a/crates/seamhatchd/src/controllers/control_thread/configuration.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/configuration.rs
@@ -1,4 +1,4 @@
-//! Bringing configurations into force, spreading them to other daemons, and taking submissions of operators.
+//! Applies configurations, distributes them to other daemons, and accepts submissions from operators.
 
 use super::ControlThread;
 use crate::base::clock;
@@ -14,20 +14,20 @@
 use seamhatch_wire::{ControlReply, ControlRequest};
 use tokio::sync::oneshot;
 
-/// Peers that a new configuration or roster is passed on to by each daemon that adopts it. A push to all
-/// members would cost the accepting daemon a connection to each.
+/// Number of peers to which each daemon that adopts a new configuration or roster forwards it. A push to all members
+/// would cost the accepting daemon a connection to each.
 pub(super) const FANOUT: usize = 4;
 
-/// Exchanges with other daemons about a newer configuration that are in progress.
+/// Requests to other daemons about a newer configuration that are in progress.
 #[derive(Debug, Default)]
 pub(super) struct ConfigurationExchanges {
-    /// Generation that is being registered with the witnesses.
+    /// Generation whose registration with the witnesses is in progress.
     registering: Option<Generation>,
     asked: AskedPeers,
 }
 
 impl ConfigurationExchanges {
-    /// Begins to register a generation; false when it or a later one is being registered.
+    /// Starts the registration of a generation. Returns false when this or a later generation is being registered.
     pub(super) fn begin_registration(&mut self, generation: Generation) -> bool {
         if self.registering.is_some_and(|registering| registering >= generation) {
             return false;
@@ -40,7 +40,8 @@
         self.registering = None;
     }
 
-    /// A configuration has arrived: what is still missing is asked for again.
+    /// Clears all requests in progress after a configuration has arrived, so that a generation still missing is requested
+    /// again.
     fn end_all(&mut self) {
         self.registering = None;
         self.asked.clear();
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Adopts the last of several that can be used, if it is newer than the one held.
+    /// Adopts the last usable configuration of a series, if it is newer than the one held.
     fn offer_series(&mut self, series: Vec<StoredConfiguration>, source: ConfigurationSource) {
         for stored in series.into_iter().rev() {
             let version = stored.version();
@@ -87,7 +88,8 @@
         let version = stored.version();
         let offer = self.configuration.offer(stored, source);
         if self.configuration.has_refused(version) {
-            // What it allows isn't known here, so nothing is turned down for good by the earlier one.
+            // This daemon doesn't know what the refused configuration allows, so the earlier one must not reject requests
+            // permanently.
             self.shared.control.record_generation(version.generation, clock::now());
         }
         if offer != Offer::Adopt {
@@ -97,20 +99,21 @@
         self.membership.state.set_generation(generation);
         self.apply_service_settings();
         self.publish();
-        // After the snapshot, and only a generation that can be used: until then this daemon is behind.
+        // Recorded after the snapshot is published, and only for a usable generation: until then this daemon counts as
+        // behind.
         self.shared.control.record_generation(generation, clock::now());
         if let Some((in_force, configuration)) = self.configuration.in_force() {
             self.shared.control.set_generation(in_force);
             self.apply_tenants(in_force, &configuration);
         }
         if self.followed().is_none() {
-            // Daemons that follow a store hear of it there.
+            // Daemons that follow a store receive the configuration from it.
             self.pass_on_configuration();
         }
         offer
     }
 
-    /// Applies what the configuration says of tenants.
+    /// Applies the tenant settings of the configuration.
     fn apply_tenants(&self, generation: Generation, configuration: &Configuration) {
         let tenants = configuration.tenants();
         self.shared.limits.freshness.set_in_force(generation);
@@ -124,7 +127,7 @@
         self.shared.limits.quota.set_needed(is_limited && can_be_limited);
     }
 
-    /// Applies what the configuration says of crashes, and of the service beside this daemon.
+    /// Applies the crash settings and the settings of this daemon's own service.
     fn apply_service_settings(&self) {
         let Some((_, configuration)) = self.configuration.in_force() else { return };
         self.shared.suspects.set_settings(configuration.crashes());
@@ -151,7 +154,8 @@
         });
     }
 
-    /// Asks a peer for its configuration where `generation`, which it or another daemon reported, is newer than the one held.
+    /// Requests the configuration from a peer if `generation`, reported by that peer or another daemon, is newer than the
+    /// one held.
     fn pull_if_behind(&mut self, peer: Option<Address>, generation: Generation) {
         let have = self.configuration.generation();
         if generation <= have {
@@ -167,7 +171,7 @@
         });
     }
 
-    /// Compares the versions in a datagram with those held here.
+    /// Compares the configuration and roster versions in a datagram with those held here, and requests newer ones.
     pub(super) fn note_versions(&mut self, message: &GossipMessage) {
         self.shared.control.record_generation(message.generation, clock::now());
         if message.generation > self.configuration.generation() {
@@ -190,7 +194,7 @@
     ) {
         let Backing::Witnessed(store) = &self.backing else {
             let detail = "operators of this deployment write into its store, not to daemons".into();
-            // The operator may have gone away.
+            // Fails if the operator has disconnected.
             let _ = reply.send(Err(SubmitError::Unavailable { detail }));
             return;
         };
@@ -208,7 +212,7 @@
                     .send(ConfigurationEvent::Offered(accepted.newest, ConfigurationSource::Submission));
                 accepted.generation
             });
-            // The operator may have gone away; the submission stands all the same.
+            // Fails if the operator has disconnected; the submission remains in effect.
             let _ = reply.send(result);
         });
     }
--- a/crates/seamhatchd/src/controllers/control_thread/departures.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/departures.rs
@@ -1,8 +1,9 @@
-//! Departures of instances: who remembers them, and what a starting daemon has to learn of them before it trusts a heartbeat.
+//! Departures of instances: where they are recorded, and what a starting daemon must learn of them before it accepts a
+//! heartbeat.
 //!
-//! A daemon may restart and then receive a late heartbeat of an instance that has gone. So a departure is acknowledged only once the
-//! store or another daemon remembers it, and a starting daemon asks both. [`seamhatch_core::departure`] decides when it knows enough;
-//! [`Departures`] owns what is known.
+//! A daemon may restart and then receive a late heartbeat of an instance that has departed. A departure is therefore
+//! acknowledged only after the store or another daemon has recorded it, and a starting daemon asks both.
+//! [`seamhatch_core::departure`] decides when enough answers have arrived; [`Departures`] holds the known departures.
 
 use super::ControlThread;
 use crate::base::clock;
@@ -20,40 +21,40 @@
 use std::collections::{HashMap, HashSet};
 use tokio::sync::oneshot;
 
-/// Time between two questions to other daemons about departures. Chosen, not measured.
+/// Interval between two queries to other daemons about departures.
 const DEPARTURE_POLL_INTERVAL: Microseconds = 250 * MILLISECOND;
-/// Daemons that are asked to remember a departure: one is enough, the others are for those that restart or can't be reached. Chosen, not measured.
+/// Number of daemons asked to hold a departure. One is enough; the others cover daemons that restart or are unreachable.
 const DEPARTURE_HOLDERS: usize = 3;
-/// Daemons that are asked for departures: more than hold them, as the membership may have changed. Chosen, not measured.
+/// Number of daemons queried for departures. It exceeds [`DEPARTURE_HOLDERS`] because the membership may have changed.
 const DEPARTURE_QUERY_FANOUT: usize = 5;
-/// Seed of the choice of these daemons. Any number will do that differs from the other seeds of rendezvous hashing.
+/// Rendezvous hashing seed for the choice of these daemons. Must differ from the other seeds.
 const DEPARTURE_SEED: u64 = 3;
 
-/// What is known of departed instances, here and on behalf of other daemons.
+/// Departed instances of this daemon's back end, and those held on behalf of other daemons.
 #[derive(Debug, Default)]
 pub(super) struct Departures {
-    /// Departures before the start of this process are known as far as they can be.
+    /// Whether the departures before the start of this process are known as far as possible.
     pub(super) settled: bool,
     inquiry: DepartureInquiry,
-    /// The daemons that may hold departures are being asked.
+    /// Whether a query to the daemons that may hold departures is in progress.
     asking: bool,
     next_poll: Instant,
-    /// The last heartbeat that arrived before departures were settled.
+    /// The last heartbeat that arrived before `settled` was set.
     pub(super) early_heartbeat: Option<Heartbeat>,
-    /// Departures that other daemons have asked to remember, by their gossip address.
+    /// Departures held on behalf of other daemons, by their gossip address.
     held: HashMap<Address, Vec<InstanceId>>,
-    /// Instances whose departure the store or another daemon remembers: nothing more has to be done for them.
+    /// Instances whose departure the store or another daemon has recorded.
     remembered: HashSet<InstanceId>,
 }
 
 impl ControlThread {
-    /// Uses departures before the start of this process, as the store or the daemons that hold them reported.
+    /// Applies departures from before the start of this process, reported by the store or by the daemons that hold them.
     pub(super) fn departures_learned(&mut self, source: DepartureSource, instances: &[InstanceId]) {
         if source == DepartureSource::Holders {
             self.departures.asking = false;
         }
         self.departures.inquiry.note_answer(source);
-        info!(source:? = source, instances = instances.len(); "departures of an earlier life told");
+        info!(source:? = source, instances = instances.len(); "received departures from before this start");
         if self.shared.server.instances.depart(instances) {
             warn!("the registered instance had departed before this daemon started");
             self.availability_changed();
@@ -65,8 +66,8 @@
         self.departures.asking = false;
     }
 
-    /// Asks the daemons that hold departures; the store is read by a task of its own. Either may have recorded one that the other has
-    /// not. Each is waited for only so long.
+    /// Queries the daemons that hold departures; a separate task reads the store. Either may have recorded a departure that
+    /// the other lacks. The wait for each is bounded.
     pub(super) fn learn_departures(&mut self, now: Instant) {
         if self.departures.settled {
             return;
@@ -76,7 +77,7 @@
             InquiryVerdict::Settled => self.settle_departures(),
             InquiryVerdict::GivenUp => {
                 warn!(
-                    "neither the store nor a peer tells what departed before this start; the back end's word is taken"
+                    "neither the store nor a peer reported the departures before this start; accepting the back end's heartbeats"
                 );
                 self.settle_departures();
             }
@@ -84,12 +85,12 @@
         }
     }
 
-    /// From now on the back end's heartbeats count.
+    /// Ends the inquiry; heartbeats of the back end are applied from now on.
     fn settle_departures(&mut self) {
         if std::mem::replace(&mut self.departures.settled, true) {
             return;
         }
-        info!("departures of an earlier life are known");
+        info!("departures from before this start are known");
         if let Some(heartbeat) = self.departures.early_heartbeat.take() {
             self.apply_heartbeat(heartbeat);
         }
@@ -116,7 +117,7 @@
         });
     }
 
-    /// Peer addresses of the daemons that hold this daemon's departures.
+    /// Peer addresses of up to `count` daemons chosen to hold this daemon's departures.
     fn departure_peers(&self, count: usize) -> Vec<Address> {
         let own = self.shared.settings.advertise.gossip;
         let others = self.membership.state.others().filter(|record| record.is_live());
@@ -127,7 +128,7 @@
             .collect()
     }
 
-    /// Remembers a departure for another daemon.
+    /// Holds a departure for another daemon.
     pub(super) fn hold_departure(&mut self, member: Address, instance: InstanceId) -> ControlReply {
         let held = self.departures.held.entry(member).or_default();
         if !held.contains(&instance) {
@@ -139,16 +140,16 @@
         ControlReply::Done
     }
 
-    /// The departures remembered for another daemon.
+    /// Returns the departures held for another daemon.
     pub(super) fn held_departures(&self, member: Address) -> ControlReply {
         ControlReply::Departures(self.departures.held.get(&member).cloned().unwrap_or_default())
     }
 
-    /// Answers the back end once the store or another daemon remembers that an instance takes no work any more.
+    /// Answers the back end after the store or another daemon has recorded that an instance takes no more work.
     pub(super) fn remember(&self, instance: InstanceId, reply: oneshot::Sender<InstanceAnswer>) {
         let is_known = self.departures.remembered.contains(&instance);
         let Some(followed) = self.followed().filter(|_| !is_known).cloned() else {
-            // The back end may have gone away.
+            // Fails if the back end has disconnected.
             let _ = reply.send(InstanceAnswer::Acknowledged);
             return;
         };
@@ -166,14 +167,14 @@
             } else {
                 InstanceAnswer::NotRemembered
             };
-            // The back end may have gone away.
+            // Fails if the back end has disconnected.
             let _ = reply.send(answer);
         });
     }
 
     pub(super) fn departure_remembered(&mut self, instance: InstanceId) {
         if self.departures.remembered.len() >= REMEMBERED_DEPARTURES {
-            // Forgotten ones are remembered again when they are asked for.
+            // The set only avoids repeated writes: a departure removed here is recorded again on the next request.
             self.departures.remembered.clear();
         }
         self.departures.remembered.insert(instance);
--- a/crates/seamhatchd/src/controllers/control_thread/followed.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/followed.rs
@@ -1,8 +1,8 @@
-//! Deployments in which operators write into a store that keeps what it acknowledged, and all daemons follow it.
+//! Deployments in which operators write into a durable store that all daemons follow.
 //!
-//! Starts the tasks that follow the store and does their share of the housekeeping. The store's configuration is expected to
-//! arrive by its watch; one that only peers report is asked for after a short wait, so that a daemon that is cut off from the
-//! store doesn't fall behind.
+//! Starts the tasks that follow the store and runs their periodic work. Configurations normally arrive through the watch of
+//! the store. A generation that only peers report is requested from a peer after a short delay, so that a daemon that is cut
+//! off from the store doesn't fall behind.
 
 use super::{ControlThread, HOUSEKEEPING_INTERVAL};
 use crate::base::clock;
@@ -23,31 +23,32 @@
 use seamhatch_wire::ControlReply;
 use std::cmp::Reverse;
 
-/// How long the watch of the store may take before a generation that peers reported is asked for.
+/// Delay before a generation reported by peers is requested from a peer, to let the watch of the store deliver it first.
 const PULL_DELAY: Microseconds = 300 * MILLISECOND;
-/// Time between two attempts to get a generation that peers reported.
+/// Interval between two requests for a generation reported by peers.
 const PULL_INTERVAL: Microseconds = 400 * MILLISECOND;
-/// Members to which one passes its proofs on: with 570 members all others are one or two heartbeats from the first.
+/// Number of members to which each member relays its freshness proofs. With 570 members, each is at most two heartbeats
+/// from the first.
 const PROOF_FANOUT: usize = 32;
-/// Seed of the order in which daemons ask the store whether the configuration is the newest. Any number will do that differs from the
-/// other seeds of rendezvous hashing, so that one daemon isn't first everywhere.
+/// Rendezvous hashing seed for the order in which daemons ask the store whether the configuration is the newest. Must differ
+/// from the other seeds, so that no single daemon is first in every order.
 const RELAY_SEED: u64 = 4;
 
-/// A generation that peers have and this daemon has not.
+/// A generation that peers have and this daemon lacks.
 #[derive(Debug, Clone, Copy)]
 struct MissingGeneration {
-    /// Peer that reported it; none where that isn't known, or it was asked already.
+    /// Peer that reported the generation; none if unknown or already asked.
     peer: Option<Address>,
     generation: Generation,
-    /// When the first such generation was reported.
+    /// When a missing generation was first reported.
     since: Instant,
     next_pull: Instant,
 }
 
-/// How far the configuration in the followed store is known.
+/// What this daemon knows of the configuration in the followed store.
 #[derive(Debug, Default)]
 pub(super) struct FollowState {
-    /// The store has returned its configuration to this process, or that there is none.
+    /// Whether the store has returned its configuration to this process, or reported that there is none.
     configuration_read: bool,
     missing: Option<MissingGeneration>,
 }
@@ -60,11 +61,11 @@
         }
     }
 
-    /// Starts to follow the store, where there is one to follow.
+    /// Starts the tasks that follow the store, if the deployment has a followed store.
     pub(super) fn start_following(&mut self) {
         let Some(followed) = self.followed().cloned() else { return };
         if self.shared.settings.first_start {
-            // No daemon of this deployment can have seen a departure.
+            // On the first start of a deployment, no daemon can have recorded a departure.
             self.departures.settled = true;
         }
         let documents = self.configuration.documents().clone();
@@ -96,7 +97,7 @@
         tokio::spawn(discover(followed, gossip, control, metrics));
     }
 
-    /// This daemon as the holder of shards.
+    /// This daemon's identity as a holder of shards.
     fn shard_owner(&self) -> ShardOwner {
         let settings = &self.shared.settings;
         ShardOwner {
@@ -121,7 +122,8 @@
         }
     }
 
-    /// Finds this daemon's place in the order in which live members ask the store whether the configuration is the newest.
+    /// Updates this daemon's rank, and its upstream member, in the order in which live members ask the store whether the
+    /// configuration is the newest.
     fn update_relay_position(&self) {
         let weight = |member: Address| rendezvous::weight(RELAY_SEED, member.to_string().as_bytes());
         let own = weight(self.shared.settings.advertise.gossip);
@@ -136,7 +138,7 @@
         self.shared.limits.freshness.set_relay_position(ProofRelayPosition { rank, upstream });
     }
 
-    /// Records a generation that a peer reported. The store is expected to return it too.
+    /// Records a generation reported by a peer. The store is expected to deliver it as well.
     pub(super) fn record_newer_generation(&mut self, peer: Option<Address>, generation: Generation) {
         if generation <= self.configuration.generation() {
             return;
@@ -156,7 +158,7 @@
         }
     }
 
-    /// Asks the peer that reported a missing generation for it, then others at random.
+    /// Requests a missing generation from the peer that reported it, later from random peers.
     fn pull_missing(&mut self, now: Instant) {
         let Some(mut missing) = self.follow_state.missing else { return };
         if missing.generation <= self.configuration.generation() {
@@ -174,7 +176,7 @@
         let shared = self.shared.clone();
         tokio::spawn(async move {
             if let Some(ControlReply::Configuration(newer)) = ask_generation(&shared.pool, peer, have).await {
-                info!(generation = newer.generation.0, waited_ms = clock::now().since(missing.since) / MILLISECOND; "configuration learnt from a peer");
+                info!(generation = newer.generation.0, waited_ms = clock::now().since(missing.since) / MILLISECOND; "configuration received from a peer");
                 shared.control.send(ConfigurationEvent::Offered(newer, ConfigurationSource::Peer));
             }
         });
@@ -185,8 +187,8 @@
         self.verify_followed(clock::now());
     }
 
-    /// A starting daemon knows the newest configuration when it has read the store, or, while the store is out, has caught up
-    /// with the peers that it has heard from.
+    /// Marks the configuration of a starting daemon as verified once it has read the store or, while the store is
+    /// unavailable, has caught up with the peers that have sent it messages.
     fn verify_followed(&mut self, now: Instant) {
         if self.is_verified() {
             return;
--- a/crates/seamhatchd/src/controllers/control_thread/instances.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/instances.rs
@@ -1,7 +1,7 @@
-//! The instance of the back end beside this daemon: its heartbeats, its goodbye, and its loss.
+//! The back end instance beside this daemon: heartbeats, announced departure, and loss.
 //!
-//! [`crate::server::instances`] owns which instance takes work; this file applies what follows from a change: the gate's slots, the
-//! connections to the back end, and what other daemons learn.
+//! [`crate::server::instances`] tracks which instance takes work; this file applies the consequences of a change to the gate's
+//! slots, the connections to the back end, and the state announced to other daemons.
 
 use super::ControlThread;
 use crate::base::clock;
@@ -17,11 +17,12 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// A cold back end starts with its slots divided by this.
+/// Divisor of the initial slots of a cold back end.
 const COLD_DIVISOR: u32 = 2;
-/// Pause between two looks whether a back end without a name, which leaves, has ended.
+/// Interval between two checks whether an unnamed back end that is leaving has exited.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// After this time, one that still listens gets calls again, and says itself whether it leaves.
+/// Time after which an unnamed back end that still listens receives calls again. Its answers then report whether it is
+/// leaving.
 const MAX_EXIT_WAIT: Microseconds = 60 * SECOND;
 
 impl ControlThread {
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Applies a heartbeat of the back end, and answers it once what it reports is remembered.
+    /// Applies a heartbeat of the back end. A heartbeat that reports draining is answered after the departure is recorded.
     fn heartbeat(&mut self, heartbeat: Heartbeat, reply: oneshot::Sender<InstanceAnswer>) {
         let instance = self.shared.server.instances.resolve(heartbeat.instance.clone());
         if heartbeat.state == InstanceState::Draining {
@@ -51,10 +52,10 @@
         if self.departures.settled || self.followed().is_none() {
             self.apply_heartbeat(heartbeat);
         } else {
-            // It may be of an instance that has departed: it counts once that is known.
+            // The instance may have departed before this start, so the heartbeat is kept until the departures are known.
             self.departures.early_heartbeat = Some(heartbeat);
         }
-        // The back end may have gone away.
+        // Fails if the back end has disconnected.
         let _ = reply.send(InstanceAnswer::Acknowledged);
     }
 
@@ -74,13 +75,14 @@
                 self.availability_changed();
             }
             HeartbeatVerdict::Stale => {
-                info!(instance = instance.as_str(), sequence = sequence; "stale heartbeat passed over");
+                info!(instance = instance.as_str(), sequence = sequence; "stale heartbeat ignored");
             }
             HeartbeatVerdict::Unchanged => self.warm_up(now),
         }
     }
 
-    /// Reports a crash where another instance than `before` was opened: one that leaves has ended as planned.
+    /// Records a crash of `before` if another instance has replaced it. An instance that was leaving has ended as planned
+    /// and is not a crash.
     fn note_replaced(&self, before: Option<InstanceId>) {
         let open = self.shared.server.instances.open().and_then(|open| open.id);
         let replaced = before.filter(|before| Some(before) != open.as_ref());
@@ -100,7 +102,7 @@
         self.availability_changed();
     }
 
-    /// Gives a back end that is no longer cold all its slots.
+    /// Raises the gate to all slots of a back end that is no longer cold.
     fn warm_up(&mut self, now: Instant) {
         if let Some((slots, warm_at)) = self.shared.server.instances.capacity()
             && warm_at <= now
@@ -113,17 +115,17 @@
     fn instance_departs(&mut self, instance: InstanceId, reply: oneshot::Sender<InstanceAnswer>) {
         let instance = self.departing_instance(instance);
         if self.shared.server.instances.depart([&instance]) {
-            info!(instance = instance.name.as_str(); "instance closed: it said goodbye");
+            info!(instance = instance.name.as_str(); "instance closed: it announced its departure");
             self.availability_changed();
         }
         self.remember(instance, reply);
     }
 
-    /// The back end has said in an answer that it leaves, and is closed already. Nobody waits for this to be remembered; the store is
-    /// asked until it does.
+    /// Handles an answer in which the back end reported that it is leaving; its instance is already closed. No caller waits
+    /// for the departure to be recorded; the write to the store is retried in the background.
     fn says_leaving(&mut self, instance: Option<InstanceId>) {
         let name = instance.as_ref().map_or("", |instance| instance.name.as_str());
-        info!(instance = name; "instance closed: its answers say that it leaves");
+        info!(instance = name; "instance closed: its answers report that it is leaving");
         self.availability_changed();
         match instance {
             Some(instance) => self.remember(instance, oneshot::channel().0),
@@ -131,7 +133,8 @@
         }
     }
 
-    /// Waits for the end of a back end without a name, which may be followed by another one. One that stays is asked again.
+    /// Waits until an unnamed back end has exited, for at most [`MAX_EXIT_WAIT`]. Another back end may follow it; one that
+    /// still listens after that receives calls again.
     fn wait_for_unnamed_exit(&self) {
         let shared = self.shared.clone();
         tokio::spawn(async move {
@@ -151,8 +154,9 @@
         }
     }
 
-    /// The instance that says goodbye. Where neither it nor the registered one gives a time of birth, every one of its name that has started
-    /// by now is meant: a heartbeat of it may still arrive, and a later instance may have its name.
+    /// Resolves the instance that announces its departure. If its start time is unknown and it isn't the registered instance,
+    /// the departure covers every instance of that name that has started by now: a heartbeat of it may still arrive, and a
+    /// later instance may have the same name.
     fn departing_instance(&self, instance: InstanceId) -> InstanceId {
         let instance = self.shared.server.instances.resolve(instance);
         let is_registered = self.shared.server.instances.current().as_ref() == Some(&instance);
@@ -160,7 +164,7 @@
         InstanceId { born, ..instance }
     }
 
-    /// The back end answered as another instance than the registered one.
+    /// Handles an answer of the back end that names another instance than the registered one.
     fn refute_instance(&mut self, instance: &InstanceId) {
         let opened = |instance: &InstanceId| self.shared.server.notices.note_open(Some(instance));
         let refutation = self.shared.server.instances.refute(instance, clock::now(), opened);
@@ -176,7 +180,7 @@
         }
     }
 
-    /// The back end could not be reached: it gets no new work until its next heartbeat.
+    /// Suspends an instance that could not be reached: it receives no new work until its next heartbeat.
     fn lost_instance(&mut self, instance: &InstanceId, why: &str) {
         if self.shared.server.instances.suspend(instance) {
             warn!(instance = instance.name.as_str(), why = why; "instance lost");
--- a/crates/seamhatchd/src/controllers/control_thread/members.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/members.rs
@@ -1,4 +1,4 @@
-//! Learning of other daemons: from the store's records, from connections, and from the platform's list of machines.
+//! Discovery of other daemons through the store's records, connections, and the platform's list of machines.
 
 use super::ControlThread;
 use crate::control::{Discovery, MemberEvent};
@@ -8,7 +8,7 @@
 use seamhatch_core::identity::Address;
 use seamhatch_core::membership::MemberRecord;
 
-/// Daemons that one that starts sends its record to at once; the others hear of it by gossip. Chosen, not measured.
+/// Number of daemons to which a starting daemon sends its record at once; the others receive it by gossip.
 const SYNC_FANOUT: usize = 6;
 
 impl ControlThread {
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Uses the records of all daemons that a starting daemon has read from the store.
+    /// Applies the records of all daemons that this daemon has read from the store at its start.
     fn discovered(&mut self, discovery: Discovery) {
         let Discovery { members, evidence, own_evidence, shards } = discovery;
         self.shared.suspects.merge(&evidence);
@@ -38,7 +38,8 @@
         self.membership.send_all(outgoing);
     }
 
-    /// A daemon has connected that may have restarted: it is greeted, so that membership learns of it at once.
+    /// Handles a connection from a daemon that may have restarted: starts a membership exchange with it at once if it isn't
+    /// known as live.
     fn connected(&mut self, gossip: Address) {
         if self.followed().is_none() || gossip == self.shared.settings.advertise.gossip {
             return;
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Reads the platform's list of machines, where there is one, as a watcher or while no other member is known.
+    /// Reads the platform's list of machines, if configured, on a watcher or while no other live member is known.
     pub(super) fn read_machines(&self) {
         let is_alone = self.membership.state.live_count() == 1;
         let Some(address) = self.shared.settings.machines else { return };
@@ -68,7 +69,7 @@
         let machines = match result {
             Ok(machines) => machines,
             Err(error) => {
-                debug!(error = error.to_string().as_str(); "the list of machines can't be read; it is tried again");
+                debug!(error = error.to_string().as_str(); "the list of machines can't be read; retrying");
                 return;
             }
         };
@@ -78,7 +79,8 @@
         }
     }
 
-    /// Marks the members on a leaving machine; seeds the member that is expected on a live one that has none.
+    /// Marks members on a leaving machine as leaving. For a live machine without a member, adds the expected address as a
+    /// seed.
     fn note_machine(&mut self, machine: &ListedMachine) {
         let state = &self.membership.state;
         let members: Vec<Address> = std::iter::once(state.me())
--- a/crates/seamhatchd/src/controllers/control_thread/mod.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/mod.rs
@@ -1,9 +1,9 @@
-//! The thread that owns the control state: membership, configuration, roster, and what is known of the back end's instances.
+//! The thread that owns the control state: membership, configuration, roster, and the back end's instances.
 //!
-//! [`ControlThread`] takes one event after the other from the queue of [`crate::control::ControlHandle`], datagrams from the gossip
-//! socket, and a tick each 100 ms. Whatever has to wait for the store or another daemon runs as a task of its own, which reports
-//! its result as an event. Decisions are published as a [`crate::snapshot::Snapshot`]. The files of this folder each handle
-//! one group of events.
+//! [`ControlThread`] processes events from the queue of [`crate::control::ControlHandle`] one at a time, datagrams from the
+//! gossip socket, and a tick every 100 ms. Work that waits for the store or another daemon runs as a separate task, which
+//! reports its result as an event. Decisions are published as a [`crate::snapshot::Snapshot`]. Each file of this folder
+//! handles one group of events.
 
 mod configuration;
 mod departures;
@@ -46,15 +46,14 @@
 use verification::Verification;
 use witnessed::StoreView;
 
-/// Time between two ticks.
 const TICK: Duration = Duration::from_millis(100);
-/// Time between two evaluations of the policy's `stop_sending`.
+/// Interval between two evaluations of the policy's `stop_sending`.
 const STOP_SENDING_INTERVAL: Microseconds = 500 * MILLISECOND;
-/// Time between two rounds of housekeeping, at which the coordinator also checks the roster.
+/// Interval of periodic maintenance, in which the coordinator also checks the roster.
 const HOUSEKEEPING_INTERVAL: Microseconds = SECOND;
-/// Share by which intervals vary, so that daemons don't act in step.
+/// Width of the random variation of intervals, as a fraction, so that daemons don't act in step.
 const JITTER: f64 = 0.25;
-/// Size in bytes of the buffer for a received datagram: the largest that UDP carries, so that none is cut.
+/// Size in bytes of the receive buffer: the maximum size of a UDP datagram, so that none is truncated.
 const RECEIVE_BUFFER: usize = 64 * 1024;
 const _: () = assert!(LARGEST_DATAGRAM <= RECEIVE_BUFFER);
 
@@ -68,7 +67,7 @@
     stop_sending: Instant,
 }
 
-/// All controllers, and the events that drive them.
+/// The controllers and the event sources that drive them.
 pub struct ControlThread {
     shared: Arc<Shared>,
     events: mpsc::UnboundedReceiver<ControlEvent>,
@@ -92,7 +91,7 @@
 }
 
 impl ControlThread {
-    /// Controllers that know nothing yet.
+    /// Creates the control thread with empty state.
     #[must_use]
     pub fn new(
         shared: Arc<Shared>,
@@ -152,7 +151,7 @@
 
     fn tick(&mut self) {
         if let Some(slept) = self.sleep_watch.note_resume() {
-            warn!(slept_ms = slept / MILLISECOND; "the machine has slept: what ends at an instant is looked at again");
+            warn!(slept_ms = slept / MILLISECOND; "the machine was suspended; rechecking deadlines");
         }
         let now = clock::now();
         self.membership.tick();
@@ -177,7 +176,7 @@
         match event {
             ControlEvent::Request(request, reply) => {
                 let answer = self.answer(request);
-                // The daemon that asked may have given up.
+                // Fails if the requesting daemon has stopped waiting.
                 let _ = reply.send(answer);
             }
             ControlEvent::Operator(event) => self.handle_operator(event),
@@ -195,7 +194,7 @@
     }
 }
 
-/// What the other members learn about this daemon.
+/// The record that this daemon announces to the other members.
 fn own_info(settings: &Settings) -> MemberInfo {
     MemberInfo {
         gossip: settings.advertise.gossip,
@@ -209,7 +208,7 @@
     }
 }
 
-/// An interval that varies by [`JITTER`].
+/// Applies random variation of total width [`JITTER`] to an interval.
 fn jittered(span: Microseconds) -> Microseconds {
     (span as f64 * (1.0 + JITTER * (rand::random::<f64>() - 0.5))) as Microseconds
 }
--- a/crates/seamhatchd/src/controllers/control_thread/publishing.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/publishing.rs
@@ -1,4 +1,4 @@
-//! Publishing snapshots to the threads that carry traffic, and metrics.
+//! Publishes snapshots to the threads that carry traffic, and updates metrics.
 
 use super::ControlThread;
 use crate::base::clock;
@@ -11,16 +11,16 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Shortest time between two snapshots that datagrams cause: a snapshot copies the name and addresses of each member, and a burst of records
-/// arrives in several datagrams.
+/// Minimum interval between two snapshots caused by datagrams. A snapshot copies the name and addresses of each member, and
+/// a burst of records arrives in several datagrams.
 const MIN_SNAPSHOT_INTERVAL: Microseconds = 20 * MILLISECOND;
 
-/// What the last snapshot was made from, and when.
+/// Inputs and time of the last published snapshot.
 #[derive(Debug, Default)]
 pub(super) struct Publication {
     /// Servers that the policy's `stop_sending` takes out of use, by their peer address.
     stopped: BTreeSet<Address>,
-    /// Count of membership changes in the snapshot; none before the first one.
+    /// Membership change counter at the last snapshot; none before the first one.
     member_changes: Option<u64>,
     at: Instant,
 }
@@ -30,7 +30,7 @@
         std::iter::once(self.membership.state.me()).chain(self.membership.state.others()).cloned().collect()
     }
 
-    /// Evaluates the policy's `stop_sending`.
+    /// Evaluates the policy's `stop_sending`, and publishes a snapshot if the result changed.
     pub(super) fn update_stopped(&mut self) {
         let Some((_, configuration)) = self.configuration.in_force() else { return };
         let stopped = publish::stopped_servers(&self.shared.pool, &configuration, &self.all_members());
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Publishes a change of the members at once where the last snapshot is old enough, else with the next
-    /// tick: a daemon that has just started refuses all calls until it knows a server.
+    /// Publishes a membership change at once if [`MIN_SNAPSHOT_INTERVAL`] has passed; otherwise the next tick publishes it.
+    /// The tick alone would be slow for a starting daemon, which refuses all calls until it knows a server.
     pub(super) fn publish_rate_limited(&mut self) {
         if clock::now().since(self.publication.at) >= MIN_SNAPSHOT_INTERVAL {
             self.publish_if_changed();
--- a/crates/seamhatchd/src/controllers/control_thread/quota_shards.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/quota_shards.rs
@@ -1,7 +1,8 @@
-//! Shards of the tenants' limits: which daemon holds which, and which this daemon may take.
+//! Shards of the tenants' limits: which daemon holds which shard, and which shards this daemon may take.
 //!
-//! [`crate::limits::quota`] owns the directory of holders; a task in `follow` takes and keeps shards by keys in the store. The order in
-//! which daemons try a vacant shard follows from the members that all know, so that few of them write at once.
+//! [`crate::limits::quota`] owns the directory of holders; a task in `follow` acquires and keeps shards through keys in the
+//! store. The order in which daemons try to take a vacant shard is derived from the shared membership, so that few of them
+//! write at once.
 
 use super::ControlThread;
 use crate::controllers::follow::holder_of;
@@ -13,19 +14,19 @@
 use seamhatch_core::quota::{ShardHolder, ShardNumber};
 use seamhatch_core::rendezvous;
 
-/// Seed of the order in which daemons may take shards. Any number will do that differs from the other seeds of rendezvous hashing.
+/// Rendezvous hashing seed for the order in which daemons may take shards. Must differ from the other seeds.
 const SHARD_SEED: u64 = 5;
-/// Daemons that may take a vacant shard, one after the other. Chosen, not measured.
+/// Number of daemons that may try to take a vacant shard, one after the other.
 const MAX_CONTENDERS: usize = 3;
-/// Places by which a daemon goes back in the order for each shard that it holds, so that one loss costs few shards. Chosen, not
-/// measured.
+/// Ranks that a daemon moves back in the order per shard that it holds, so that the loss of one daemon affects few shards.
 const RANKS_PER_SHARD: usize = 2;
-/// Age in microseconds from which a daemon may take shards: by then it knows the other members, by the store's records and their
-/// gossip. Chosen, not measured.
+/// Minimum age in microseconds at which a daemon may take shards. By then it knows the other members from the store's
+/// records and gossip.
 const MIN_AGE: Microseconds = 1_500 * MILLISECOND;
 
 impl ControlThread {
-    /// Uses the shards' records in the store. This daemon takes those that an earlier incarnation of it held.
+    /// Applies the shard records read from the store. Shards held by an earlier incarnation of this daemon are marked as
+    /// vacant with rank 0, so that this daemon takes them over.
     pub(super) fn learn_quota_shards(&mut self, shards: &[(ShardNumber, ShardRecord)]) {
         let (own, incarnation) = (self.shared.settings.advertise.gossip, self.shared.incarnation);
         for (shard, record) in shards {
@@ -35,14 +36,15 @@
         self.shared.limits.quota.directory.set_vacant(earlier.map(|(shard, _)| (*shard, 0)).collect());
     }
 
-    /// Announces the shards that this daemon holds now.
+    /// Announces the shards that this daemon currently holds.
     pub(super) fn quota_shards_changed(&mut self) {
         self.membership.state.set_quota_shards(self.shared.limits.quota.held.mask());
         self.announce();
         self.update_shard_holders();
     }
 
-    /// Finds the shards that no live member reports to hold, and this daemon's place in the order of those that may take them.
+    /// Updates the vacant shards that this daemon may take, with its rank for each. A shard is vacant if no live member
+    /// reports holding it.
     pub(super) fn update_vacant_shards(&mut self, now: Instant) {
         if !self.shared.limits.quota.is_needed() || now.since(self.started) < MIN_AGE {
             return;
@@ -57,7 +59,7 @@
         self.shared.limits.quota.directory.set_vacant(contended);
     }
 
-    /// This daemon's place in the order of those that may take a shard; zero is first.
+    /// This daemon's rank among the members that may take a shard; zero is first.
     fn rank_for(&self, shard: ShardNumber) -> usize {
         let weight = |member: Address| rendezvous::weight(SHARD_SEED, format!("{shard} {member}").as_bytes());
         let own = weight(self.shared.settings.advertise.gossip);
@@ -68,7 +70,7 @@
         self.membership.state.others().filter(is_before).count() + RANKS_PER_SHARD * held
     }
 
-    /// Shows the threads that carry traffic which live members report to hold which shards.
+    /// Publishes to the threads that carry traffic which live member holds which shard, as the members report it.
     fn update_shard_holders(&self) {
         let quota = &self.shared.limits.quota;
         let members = std::iter::once(self.membership.state.me()).chain(self.membership.state.others());
@@ -82,7 +84,7 @@
     }
 }
 
-/// Whether a member may take shards: one that stops leaves its own to others.
+/// Whether a member may take shards. A draining member hands over its shards and takes none.
 fn may_take_shards(record: &MemberRecord) -> bool {
     record.is_live() && record.lifecycle != Lifecycle::Draining
 }
--- a/crates/seamhatchd/src/controllers/control_thread/requests.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/requests.rs
@@ -1,4 +1,4 @@
-//! Answering the controllers of other daemons, and operators.
+//! Answers requests from other daemons' controllers and from operators.
 
 use super::ControlThread;
 use crate::control::{ConfigurationSource, OperatorEvent, StatusReport};
@@ -13,7 +13,7 @@
 use tokio::sync::oneshot;
 
 impl ControlThread {
-    /// Answers another daemon's controller.
+    /// Answers a request from another daemon's controller.
     pub(super) fn answer(&mut self, request: ControlRequest) -> ControlReply {
         match request {
             ControlRequest::GetConfiguration { have } => self.configuration_above(have),
@@ -51,7 +51,7 @@
                     None => ControlReply::Declined,
                 }
             }
-            // Answered by the thread that carries traffic.
+            // The threads that carry traffic answer this request.
             ControlRequest::GetTokens { .. } => ControlReply::Declined,
         }
     }
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Adopts a configuration that is in force at the daemon that sent it, or returns the newer one held here.
+    /// Adopts a configuration that is in force at the sending daemon, or returns the newer one held here.
     fn take_configuration(&mut self, stored: StoredConfiguration) -> ControlReply {
         match self.offer(stored, ConfigurationSource::Peer) {
             Offer::Stale => {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// As a witness, grants nothing more in an epoch and returns what it remembers.
+    /// As a witness, seals an epoch: grants no more claims in it, and returns the recorded claims.
     fn seal(&self, shard: u32, epoch: Epoch) -> ControlReply {
         let Some(claims) = self.shared.claims.witnesses.seal(shard, epoch) else {
             return ControlReply::Declined;
@@ -100,7 +100,7 @@
         ControlReply::Sealed { claims, held: self.configuration.highest().filter(|_| holds) }
     }
 
-    /// As a witness, begins to grant in an epoch, with what the witnesses of earlier epochs remembered.
+    /// As a witness, starts to grant claims in an epoch, with the claims recorded by the witnesses of earlier epochs.
     fn install(
         &mut self,
         shard: u32,
@@ -111,8 +111,8 @@
         if let Some(held) = held
             && !self.configuration.hold(&held)
         {
-            // What is held here stays, and is what daemons that ask are given.
-            debug!(generation = held.generation.0; "a change of witnesses brought a configuration that the one held here does not follow");
+            // The configuration held here is kept, and is returned to daemons that request it.
+            debug!(generation = held.generation.0; "a configuration received in a change of witnesses does not match the one held here");
         }
         done_or_declined(self.shared.claims.witnesses.install(shard, epoch, claims))
     }
@@ -122,18 +122,18 @@
             OperatorEvent::Submit(request, reply) => self.submit(request, reply),
             OperatorEvent::Status(reply) => self.report_status(reply),
             OperatorEvent::GetConfiguration(reply) => {
-                // The operator may have gone away.
+                // Fails if the operator has disconnected.
                 let _ = reply.send(self.configuration.newest().cloned());
             }
             OperatorEvent::Drain(target, reply) => {
-                // The drain goes on, also where the operator has gone away.
+                // The drain continues even if the operator has disconnected.
                 let _ = reply.send(self.drain(target));
             }
         }
     }
 
     fn report_status(&mut self, reply: oneshot::Sender<StatusReport>) {
-        // Operators are shown the state that traffic goes by.
+        // The report must match the snapshot that routes traffic.
         self.publish_if_changed();
         let input = StatusInput {
             me: self.membership.state.me().clone(),
@@ -143,7 +143,7 @@
         };
         let shared = self.shared.clone();
         tokio::spawn(async move {
-            // The operator may have gone away.
+            // Fails if the operator has disconnected.
             let _ = reply.send(status::report(shared, input).await);
         });
     }
--- a/crates/seamhatchd/src/controllers/control_thread/roster.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/roster.rs
@@ -1,4 +1,4 @@
-//! The roster of witnesses: looking after it as the coordinator, and learning of changes.
+//! The roster of witnesses: maintenance by the coordinator, and adoption of changes.
 
 use super::ControlThread;
 use super::configuration::FANOUT;
@@ -16,18 +16,18 @@
 use seamhatch_wire::{ControlReply, ControlRequest, SealedMemory};
 use std::collections::BTreeSet;
 
-/// Time between two checks of shards that are as they should be: finds a witness that restarted unnoticed.
+/// Interval between two checks of shards without pending changes, which detect a witness that restarted unnoticed.
 const ROSTER_RECHECK_INTERVAL: Microseconds = 30 * SECOND;
 
-/// Time after the start by which a daemon knows all members: a few exchanges of whole lists, one each second.
+/// Time after the start by which a daemon knows all members: a few exchanges of full member lists, one per second.
 const MEMBERSHIP_SETTLE_TIME: Microseconds = 5 * SECOND;
 
-/// What the coordinator has under way.
+/// Progress of the coordinator's maintenance of the roster.
 #[derive(Debug, Default)]
 pub(super) struct RosterMaintenance {
-    /// A changed roster is being written: what else has changed by then is written after it, at once.
+    /// Whether a changed roster is being written. Further changes are written immediately after it.
     writing: bool,
-    /// Count of membership changes that were looked at; none before the first one.
+    /// Membership change counter at the last check; none before the first check, or to force one.
     member_changes: Option<u64>,
 }
 
@@ -40,23 +40,24 @@
             RosterEvent::Transition(result) => self.finish_transition(&result),
             RosterEvent::WriteEnded => self.roster_maintenance.writing = false,
             RosterEvent::Duty(reply) => {
-                // The stop may have given up waiting.
+                // Fails if the stop sequence has stopped waiting.
                 let _ = reply.send(self.witness_duty());
             }
             RosterEvent::Retire(reply) => {
-                // Likewise.
+                // Fails if the stop sequence has stopped waiting.
                 let _ = reply.send(self.retire_if_needed());
             }
         }
     }
 
-    /// What this daemon still owes the others as a witness.
+    /// This daemon's remaining duty as a witness.
     fn witness_duty(&self) -> WitnessDuty {
         let witnesses = &self.shared.claims.witnesses;
         self.roster.duty(&self.own_witness(), |shard| witnesses.epoch(shard), &self.all_members())
     }
 
-    /// With the store at hand others will take over, and a witness that retired would hold them up.
+    /// Retires as a witness if the store is failing or no duty remains. While the store works, other witnesses will take
+    /// over, and a witness that has retired would delay them.
     fn retire_if_needed(&mut self) -> Option<Retirement> {
         if self.store_view.is_failing() || self.witness_duty() == WitnessDuty::Released {
             return Some(self.retire());
@@ -65,7 +66,7 @@
         None
     }
 
-    /// Retires as a witness, and returns what this daemon remembers and which others can hold that.
+    /// Retires as a witness. Returns the recorded claims and configuration, and the daemons that can hold them.
     fn retire(&self) -> Retirement {
         let claims = &self.shared.claims;
         let retired = claims.witnesses.retire();
@@ -86,7 +87,8 @@
         WitnessId { daemon: self.shared.settings.advertise.peer, incarnation: self.shared.incarnation }
     }
 
-    /// Looks after the roster at once where the members have changed: a witness that stops waits for others to take over.
+    /// Maintains the roster immediately if the membership has changed, since a stopping witness waits for others to take
+    /// over.
     pub(super) fn maintain_roster_on_member_change(&mut self, now: Instant) {
         let changes = self.membership.state.changes();
         if self.roster_maintenance.member_changes != Some(changes) {
@@ -95,7 +97,7 @@
         }
     }
 
-    /// As the coordinator, plans the next roster and carries out changes that are under way.
+    /// As the coordinator, plans the next roster and starts pending transitions.
     pub(super) fn maintain_roster(&mut self, now: Instant) {
         if !self.is_ready() || !self.membership.is_coordinator() {
             return;
@@ -113,8 +115,9 @@
         self.start_transitions(now);
     }
 
-    /// Writes a roster that lists the witnesses no more that are not needed, if there is one and none is being written: they may be waiting for
-    /// it. Other changes come with the next tick, so that two coordinators that know different members change nothing in turn all the time.
+    /// Writes a roster without the witnesses that are no longer needed, if there are any and no write is in progress: they
+    /// may be waiting for their release. Other changes follow on the next tick, so that two coordinators with different
+    /// views of the membership don't keep overwriting each other's rosters.
     fn release_witnesses(&mut self) {
         self.roster_maintenance.member_changes = None;
         if self.roster_maintenance.writing || !self.is_ready() || !self.membership.is_coordinator() {
@@ -145,14 +148,14 @@
     fn finish_transition(&mut self, result: &TransitionResult) {
         let now = clock::now();
         for epoch in self.roster.finish_transition(result, now) {
-            warn!(shard = result.shard, epoch = epoch.0; "claims may be lost: the shard waits");
+            warn!(shard = result.shard, epoch = epoch.0; "claims may be lost; the shard grants none until the waiting period ends");
         }
         if result.confirmed {
             self.release_witnesses();
         }
     }
 
-    /// Writes a planned roster, if the store still holds the one that it was planned from.
+    /// Writes a planned roster if the store still holds the version from which it was planned.
     fn write_roster(&mut self, next: Roster) {
         let Backing::Witnessed(store) = &self.backing else { return };
         let (store, control) = (store.clone(), self.shared.control.clone());
@@ -166,13 +169,13 @@
     }
 
     fn roster_read(&mut self, result: Result<Stored<Option<Roster>>, StoreError>) {
-        // A failure is reported with the configuration, which is read next.
+        // A failure is reported with the read of the configuration, which follows.
         if let Ok(Stored { value: Some(roster), .. }) = result {
             self.offer_roster(roster);
         }
     }
 
-    /// Adopts a roster if it is newer, and spreads it.
+    /// Adopts a roster if it is newer, and distributes it.
     pub(super) fn offer_roster(&mut self, roster: Roster) {
         let earlier_witnesses = self.roster.witnesses();
         if !self.roster.offer(roster) {
@@ -184,7 +187,7 @@
         let is_coordinator = self.is_ready() && self.membership.is_coordinator();
         let mut targets: BTreeSet<Address> = self.membership.random_peers(FANOUT).into_iter().collect();
         if is_coordinator {
-            // New witnesses are about to be installed, and those that were released wait for nothing else.
+            // New witnesses are about to be installed, and released witnesses wait only for this roster.
             targets.extend(self.roster.witnesses().into_iter().chain(earlier_witnesses));
             targets.remove(&self.shared.settings.advertise.peer);
         }
@@ -193,13 +196,13 @@
             self.send_to_peer(peer, request.clone());
         }
         if is_coordinator {
-            // No claim is granted in a changed shard until its new witnesses are installed.
+            // A changed shard grants no claims until its new witnesses are installed.
             self.start_transitions(clock::now());
             self.release_witnesses();
         }
     }
 
-    /// Asks a peer for its roster: one that is `ahead`, or a random one.
+    /// Requests the roster from the peer that reported a newer one, or from a random peer.
     pub(super) fn pull_roster(&self, reported_by: Option<Address>) {
         let peer = reported_by.or_else(|| self.membership.random_peers(1).first().copied());
         let Some(peer) = peer else { return };
@@ -213,7 +216,7 @@
     }
 }
 
-/// Writes a roster, if the store still holds none newer than `known_version`. Returns the newest that is known then.
+/// Writes a roster if the store holds none newer than `known_version`. Returns the newest roster known after that.
 async fn swap_roster(store: &StoreClient, known_version: u64, next: Roster) -> Option<Roster> {
     let stored = match store.read::<Roster>(ROSTER_KEY).await {
         Ok(stored) => stored,
@@ -231,10 +234,10 @@
             Some(next)
         }
         Ok(Swap::Refused) => {
-            debug!("another coordinator has changed the witness roster; it is read again");
+            debug!("another coordinator changed the witness roster; rereading it");
             None
         }
-        // Where the write was done all the same, the next read shows it.
+        // If the write took effect despite the error, the next read returns it.
         Err(error) => {
             log_write_failure(&error);
             None
@@ -243,5 +246,5 @@
 }
 
 fn log_write_failure(error: &StoreError) {
-    debug!(error = error.to_string().as_str(); "the witness roster was not written; it is tried again");
+    debug!(error = error.to_string().as_str(); "the witness roster was not written; retrying");
 }
--- a/crates/seamhatchd/src/controllers/control_thread/stopping.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/stopping.rs
@@ -1,4 +1,4 @@
-//! Telling the other members whether this daemon takes work, and draining it.
+//! Announces to the other members whether this daemon takes work, and drains it.
 
 use super::ControlThread;
 use crate::control::DrainTarget;
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 
 impl ControlThread {
-    /// Reacts to a back end that started or stopped taking work: peers learn it at once.
+    /// Handles a change in whether the back end takes work, and notifies peers at once.
     pub(super) fn availability_changed(&mut self) {
         if !self.shared.server.instances.is_open() {
             self.shared.server.gate.close();
@@ -16,7 +16,7 @@
         self.update_lifecycle();
     }
 
-    /// Announces where this daemon is between start and end, if that has changed.
+    /// Announces this daemon's lifecycle state if it has changed.
     fn update_lifecycle(&mut self) {
         let lifecycle = if self.shared.takes_work() {
             Lifecycle::Ready
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Drains this daemon, or has another one drain; false when the member isn't known.
+    /// Drains this daemon, or marks another member as leaving so that it drains. Returns false for an unknown member.
     pub(super) fn drain(&mut self, target: DrainTarget) -> bool {
         match target {
             DrainTarget::Own => self.start_drain(),
@@ -51,11 +51,12 @@
     }
 
     pub(super) fn start_drain(&mut self) {
-        info!("draining: new work is taken only where no other daemon can");
+        info!("draining: new work is accepted only if no other daemon can take it");
         self.shared.lifecycle.start_draining();
         self.shared.limits.quota.start_handover();
         self.availability_changed();
-        // From now on no other daemon chooses this one as a witness; what was chosen before has to be known before it may end.
+        // No other daemon chooses this one as a witness from now on. Earlier choices must be known before it may end, so
+        // the roster is read from the store.
         self.read_store();
     }
 
@@ -63,7 +64,7 @@
     pub(super) fn leave(&mut self, reply: oneshot::Sender<()>) {
         self.membership.state.set_lifecycle(Lifecycle::Left);
         self.announce();
-        // The stop sequence may have given up waiting.
+        // Fails if the stop sequence has stopped waiting.
         let _ = reply.send(());
     }
 
--- a/crates/seamhatchd/src/controllers/control_thread/suspects.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/suspects.rs
@@ -1,9 +1,9 @@
-//! Spreading which requests were at work when servers crashed.
+//! Disseminates which requests were running when servers crashed.
 //!
-//! News goes at once to the live members that need it, in datagrams, and a second time a little later, as some are lost. What is missed
-//! all the same arrives with the exchanges of member lists, and a starting daemon asks for one before it serves. The evidence
-//! itself is owned by [`crate::server::crashes::SuspectRegistry`]; this file owns only what is due
-//! a second time, and the way to the task that keeps evidence in the store.
+//! Each update is sent in datagrams to the live members that need it, at once and a second time shortly after, since
+//! datagrams get lost. Updates that are still missed arrive with the exchanges of member lists; a starting daemon requests
+//! one before it serves. [`crate::server::crashes::SuspectRegistry`] owns the evidence; this file owns only the pending
+//! resends and the channel to the task that keeps evidence in the store.
 
 use super::ControlThread;
 use crate::base::clock;
@@ -15,16 +15,16 @@
 use seamhatch_core::membership::{GossipBody, GossipMessage, SUSPECTS_PER_MESSAGE};
 use tokio::sync::mpsc;
 
-/// Time until news is sent a second time: whatever made a link lose the first may be over by then.
+/// Delay before an update is sent a second time. The cause of a loss on the link may be over by then.
 const RESEND_DELAY: Microseconds = 300 * MILLISECOND;
-/// Datagrams of suspects that answer an exchange of member lists.
+/// Maximum number of suspect datagrams sent in answer to an exchange of member lists.
 const DATAGRAMS_PER_EXCHANGE: usize = 8;
-/// Records that an exchange of member lists brings, those with the most crashes.
+/// Maximum number of records sent in answer to an exchange of member lists, those with the most crashes first.
 const RECORDS_PER_EXCHANGE: usize = DATAGRAMS_PER_EXCHANGE * SUSPECTS_PER_MESSAGE;
-/// Time between two searches for records that are too old to count.
+/// Interval between two removals of expired records.
 const FORGET_INTERVAL: Microseconds = 10 * SECOND;
 
-/// What is due to be sent a second time and when, and the task that keeps evidence in the store.
+/// Pending resends with their due times, and the channel to the task that keeps evidence in the store.
 #[derive(Debug, Default)]
 pub(super) struct SuspectUpdates {
     resends: Vec<(Instant, Vec<RequestDigest>)>,
@@ -38,10 +38,10 @@
         self.suspect_updates.resends.push((clock::now().plus(RESEND_DELAY), requests));
     }
 
-    /// Has the store remember, where one is followed, what speaks against requests.
+    /// Passes an update to the task that keeps evidence in the store, if a store is followed.
     pub(super) fn remember_evidence(&self, update: EvidenceUpdate) {
         if let Some(keeper) = &self.suspect_updates.keeper {
-            // The task ends with the process.
+            // Fails only while the process ends: the task runs until then.
             let _ = keeper.send(update);
         }
     }
@@ -55,7 +55,7 @@
         tokio::spawn(keep_evidence(EvidenceKeeper::new(followed, gossip, suspects, metrics, updates)));
     }
 
-    /// Sends what is due a second time, and forgets records that are too old.
+    /// Sends the updates whose resend is due, and removes expired records.
     pub(super) fn resend_suspects(&mut self, now: Instant) {
         let due: Vec<_> = self.suspect_updates.resends.extract_if(.., |(at, _)| *at <= now).collect();
         for (_, requests) in due {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Merges the evidence in a datagram, and answers an exchange of member lists with what is known here.
+    /// Merges the evidence in a datagram, and answers an exchange of member lists with the evidence known here.
     pub(super) fn note_suspects(&mut self, message: &GossipMessage) {
         match &message.body {
             GossipBody::Suspects(reports) => self.shared.suspects.merge(reports),
--- a/crates/seamhatchd/src/controllers/control_thread/verification.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/verification.rs
@@ -1,7 +1,8 @@
-//! How a starting daemon verifies that it knows the newest accepted configuration, and becomes ready.
+//! Verifies on startup that this daemon knows the newest accepted configuration, and makes it ready.
 //!
-//! Where daemons accept configurations, it asks a majority of the witnesses; where a store is followed, `followed` reads it. A daemon
-//! that is verified stays so: from then on it learns of each newer configuration as all daemons do.
+//! In deployments where daemons accept configurations, the daemon asks a majority of the witnesses; where a store is
+//! followed, `followed` reads the store. Verification happens once per process: afterwards the daemon receives newer
+//! configurations like all other daemons.
 
 use super::ControlThread;
 use crate::base::clock;
@@ -15,14 +16,14 @@
 use seamhatch_policy::StoredConfiguration;
 use std::sync::Arc;
 
-/// How long a starting daemon asks the witnesses before the store alone is enough.
+/// Time during which a starting daemon asks the witnesses before the content of the store alone is accepted.
 const WITNESS_TIMEOUT: Microseconds = 10 * SECOND;
 
-/// How long a starting daemon waits for another's list of members: without one, its back end's calls find no server. In a deployment of
-/// one there is none.
+/// Maximum time that a starting daemon waits for the member list of another daemon. Without a list, calls of its back end
+/// find no server; in a deployment of a single daemon no list ever arrives.
 const MEMBER_LIST_TIMEOUT: Microseconds = 600 * MILLISECOND;
 
-/// How far this daemon has verified that it knows the newest accepted configuration.
+/// State of the verification that this daemon knows the newest accepted configuration.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum Verification {
     /// Not verified, and no witness is being asked.
@@ -30,7 +31,7 @@
     Pending,
     /// A task is asking the witnesses.
     AskingWitnesses,
-    /// Verified, for the rest of the process.
+    /// Verified, until the process ends.
     Done,
 }
 
@@ -38,15 +39,16 @@
 struct VerificationAttempt {
     shared: Arc<Shared>,
     in_store: Option<StoredConfiguration>,
-    /// The store was read and there is no roster: no configuration was ever accepted by witnesses.
+    /// The store was read and no roster exists, so witnesses have never accepted a configuration.
     first_start: bool,
-    /// The store was read and the witnesses were asked for long enough.
+    /// The store was read and [`WITNESS_TIMEOUT`] has passed.
     store_is_enough: bool,
 }
 
 impl ControlThread {
-    /// Starts an attempt to learn the newest of what the store has and a majority of the witnesses holds. Without
-    /// the store, the witnesses are enough; without the witnesses, the store is after [`WITNESS_TIMEOUT`].
+    /// Starts an attempt to find the newest of the store's configuration and the one that a majority of the witnesses holds.
+    /// If the store is unavailable, the witnesses suffice; if the witnesses are unavailable, the store suffices after
+    /// [`WITNESS_TIMEOUT`].
     pub(super) fn verify(&mut self, now: Instant) {
         if self.verification != Verification::Pending {
             return;
@@ -83,13 +85,14 @@
         self.shared.lifecycle.is_ready()
     }
 
-    /// Whether another daemon has sent its list of members, or none does. A followed store has the daemons' records.
+    /// Whether another daemon has sent its member list, or [`MEMBER_LIST_TIMEOUT`] has passed. Always true with a followed
+    /// store, which has the daemons' records.
     fn knows_members(&self) -> bool {
         let waited = clock::now().since(self.started) >= MEMBER_LIST_TIMEOUT;
         self.followed().is_some() || self.membership.state.has_received_list() || waited
     }
 
-    /// Lets work in once the newest configuration is known and can be used, and other members are known.
+    /// Makes the daemon ready once the newest configuration is known and usable, and other members are known.
     pub(super) fn become_ready_if_verified(&mut self) {
         let has_configuration = self.configuration.in_force().is_some();
         let may_begin = self.is_verified() && has_configuration && self.knows_members();
--- a/crates/seamhatchd/src/controllers/control_thread/witnessed.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/witnessed.rs
@@ -1,7 +1,8 @@
-//! Deployments in which daemons accept configurations: reading the store, restoring it, and registering what it has.
+//! Deployments in which daemons accept configurations: reads the store, restores it, and registers its configuration with the
+//! witnesses.
 //!
-//! The store may go back in time, so a configuration is brought into force only once a majority of the witnesses holds it, and an
-//! older copy in the store is overwritten. Only a few members, the watchers, read the store.
+//! The store may revert to an older state. A configuration therefore takes effect only after a majority of the witnesses
+//! holds it, and an older copy in the store is overwritten. Only a few members, the watchers, read the store.
 
 use super::{ControlThread, HOUSEKEEPING_INTERVAL, jittered};
 use crate::base::clock;
@@ -14,17 +15,17 @@
 use seamhatch_core::clock::{MILLISECOND, Microseconds, SECOND};
 use seamhatch_policy::StoredConfiguration;
 
-/// Time between two reads of the store, or of the platform's list of machines, by a watcher: an accepted change is known to its zone within
-/// this time also where it is not spread.
+/// Interval between two reads of the store, or of the platform's list of machines, by a watcher. An accepted change reaches
+/// the watcher's zone within this time even if it is not forwarded.
 const WATCHER_INTERVAL: Microseconds = 2 * SECOND;
-/// Time between two reads of the store while this daemon isn't ready yet.
+/// Interval between two reads of the store while this daemon isn't ready.
 const STARTUP_INTERVAL: Microseconds = 500 * MILLISECOND;
 
 /// The store's configuration as it was last read, and whether a read is in progress.
 #[derive(Debug, Default)]
 pub(super) struct StoreView {
     reading: bool,
-    /// The last read has failed.
+    /// Whether the last read failed.
     failing: bool,
     content: StoreContent,
 }
@@ -36,12 +37,12 @@
     Unread,
     /// The store had no configuration.
     Empty,
-    /// It had this one.
+    /// The store had this configuration.
     Configuration(StoredConfiguration),
 }
 
 impl StoreView {
-    /// Begins a read; false when one is in progress.
+    /// Marks a read as started. Returns false when one is already in progress.
     fn begin_read(&mut self) -> bool {
         !std::mem::replace(&mut self.reading, true)
     }
@@ -51,7 +52,6 @@
         self.failing = has_failed;
     }
 
-    /// Whether the last read has failed.
     pub(super) fn is_failing(&self) -> bool {
         self.failing
     }
@@ -90,7 +90,7 @@
         if now >= self.schedule.housekeeping {
             self.schedule.housekeeping = now.plus(jittered(HOUSEKEEPING_INTERVAL));
             self.maintain_roster(now);
-            // The daemon that wanted it in force may be gone.
+            // The daemon that accepted this configuration may have ended before it took effect.
             if let Some(held) = self.configuration.held_not_in_force().cloned() {
                 self.register(held);
             }
@@ -125,7 +125,8 @@
         }
         self.store_view.update(stored.value);
         if !self.is_verified() {
-            // Not only with the next read: this one may have brought the roster, and the witnesses answer within milliseconds.
+            // Verification doesn't wait for the next read: this one may have returned the roster, and the witnesses answer
+            // within milliseconds.
             self.verify(clock::now());
         }
         if let (true, Some(found)) = (self.is_verified(), self.store_view.configuration().cloned()) {
@@ -136,11 +137,11 @@
     fn record_read_failure(&self, error: &StoreError) {
         self.shared.metrics.store_failures.inc();
         if !self.is_ready() {
-            warn!(error = error.to_string().as_str(); "the store can't be read at the start");
+            warn!(error = error.to_string().as_str(); "the store can't be read during startup");
         }
     }
 
-    /// Writes the newest accepted configuration over an older copy with which the store came back.
+    /// Overwrites an older copy, with which the store came back, with the newest accepted configuration.
     fn restore_store(&self, revision: u64) {
         let Some(newest) = self.configuration.newest().cloned() else { return };
         warn!(generation = newest.generation.0; "the store holds an older configuration; restoring the newest");
@@ -149,16 +150,16 @@
         tokio::spawn(async move {
             match store.swap(CONFIGURATION_KEY, revision, &newest).await {
                 Ok(Swap::Written) => {}
-                // The next read shows what the store has, and the write is tried again.
-                Ok(Swap::Refused) => debug!("the store changed before it was restored; it is read again"),
+                // The next read returns the store's content, and the write is retried if needed.
+                Ok(Swap::Refused) => debug!("the store changed before it was restored; rereading it"),
                 Err(error) => {
-                    debug!(error = error.to_string().as_str(); "the store was not restored; it is tried again")
+                    debug!(error = error.to_string().as_str(); "the store was not restored; retrying")
                 }
             }
         });
     }
 
-    /// Brings an accepted configuration into force once a majority of the witnesses holds it.
+    /// Registers an accepted configuration with the witnesses, and applies it once a majority holds it.
     fn register(&mut self, stored: StoredConfiguration) {
         let is_newer = stored.generation > self.configuration.generation();
         if !is_newer || !self.exchanges.begin_registration(stored.generation) {
