--- a/crates/seamhatchd/src/controllers/follow/configuration.rs
+++ b/crates/seamhatchd/src/controllers/follow/configuration.rs
@@ -1,4 +1,4 @@
-//! Watching the operators' configuration in the store.
+//! Watches the operators' configuration in the store.
 
 use super::store_calls::{Backoff, call_store};
 use crate::base::clock;
@@ -14,31 +14,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long one watch waits. Each renewal is a call to the store; a connection that falls silent meanwhile is found by
-/// TCP keep-alive probes, which cost none.
+/// Maximum duration of one watch. Each renewal is a call to the store; a connection that fails in the meantime is detected
+/// by TCP keep-alive probes, which need no call.
 const WATCH_WAIT: Duration = Duration::from_secs(25);
-/// A watch that is silent for this much longer is lost: the store acknowledges probes but doesn't answer.
+/// Time past [`WATCH_WAIT`] after which a watch is treated as lost: the store acknowledges probes but doesn't answer.
 const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_secs(3);
-/// A watch that ends sooner is followed by a pause in any case, in microseconds.
+/// Minimum duration of a watch in microseconds; a shorter one is always followed by a backoff pause.
 const MIN_WATCH: Microseconds = SECOND;
-/// A watch that has not brought a configuration which has been in force here for this long has fallen silent.
+/// Time after which a watch counts as silent if it has not delivered a configuration that is already in force here.
 const SILENT_WATCH_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause after a change before the next watch, so that changes in quick succession arrive in one answer.
+/// Pause after a change before the next watch, so that changes in quick succession arrive in one response.
 const COALESCING_PAUSE: Duration = Duration::from_millis(250);
 
-/// One daemon's watch of the configuration.
+/// State of this daemon's watch of the configuration.
 struct Follower {
     followed: FollowedStore,
     documents: Arc<dyn DocumentFormat>,
     control: ControlHandle,
     metrics: Arc<Metrics>,
-    /// The last call was answered; a loss is logged once.
+    /// Whether the last call was answered, so that a loss is logged only once.
     reachable: bool,
-    /// The newest configuration that its own calls have brought.
+    /// The newest generation that this task's own calls have returned.
     newest: Generation,
 }
 
-/// Follows the configuration until the process ends, and offers each one found to the control thread.
+/// Follows the configuration until the process ends, and sends each version found to the control thread.
 pub async fn follow_configuration(
     followed: FollowedStore,
     documents: Arc<dyn DocumentFormat>,
@@ -59,7 +59,7 @@
         };
         follower.note_failure(&failure);
         let is_renewed = matches!(failure, StoreError::HistoryLost | StoreError::WatchSilent);
-        // A store that has no history at all ends each watch at once.
+        // A store without any history ends each watch at once, so a short watch also needs the pause.
         if !is_renewed || clock::now().since(began) < MIN_WATCH {
             backoff.pause().await;
         }
@@ -67,7 +67,7 @@
 }
 
 impl Follower {
-    /// Reads the configuration as it is now. Returns the revision that it was read at.
+    /// Reads the current configuration. Returns the store revision of the read.
     async fn read(&mut self) -> Result<Revision, StoreError> {
         let sent = clock::now();
         let reading = self.followed.store.get(&self.followed.configuration_key);
@@ -83,7 +83,7 @@
         Ok(reading.at)
     }
 
-    /// Watches from a revision on, until that fails.
+    /// Watches for changes after a revision until the watch fails. Returns the failure.
     async fn watch_from(&mut self, mut after: Revision) -> StoreError {
         loop {
             self.metrics.store_requests.inc();
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The configuration that a change has put, where it is one and can be read.
+    /// Returns the configuration that a change has written, if the change is of the configuration and readable.
     fn changed(&self, change: &Change) -> Option<StoredConfiguration> {
         match change {
             Change::Put(item) if item.key == self.followed.configuration_key => self.parse(item),
--- a/crates/seamhatchd/src/controllers/follow/departures.rs
+++ b/crates/seamhatchd/src/controllers/follow/departures.rs
@@ -1,7 +1,7 @@
-//! Having the departure of an instance remembered, and asking other daemons for departures.
+//! Records the departure of an instance in the store and at other daemons, and queries other daemons for departures.
 //!
-//! This daemon may restart and then receive a late heartbeat of that instance. So the store or another daemon remembers a departure
-//! before it is acknowledged, and a starting daemon asks both.
+//! This daemon may restart and then receive a late heartbeat of a departed instance. The store or another daemon therefore
+//! records a departure before it is acknowledged, and a starting daemon asks both.
 
 use super::own_record::change_own_record;
 use crate::base::metrics::Metrics;
@@ -17,15 +17,15 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Longest wait for the store or another daemon to remember a departure: an acknowledgement that arrives after a second counts as none on
-/// the users' platform, and 0.2 s are left for its way.
+/// Maximum wait for the store or another daemon to record a departure. The users' platform treats an acknowledgement after
+/// 1 s as missing; the remaining 0.2 s are for its delivery.
 const REMEMBER_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long a starting daemon waits for each daemon that may hold its departures. Chosen, not measured; a start is delayed by it where
-/// one of them can't be reached.
+/// Maximum wait of a starting daemon for each daemon that may hold its departures. An unreachable one delays the start by
+/// this time.
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Has the store and `peers` remember that an instance of this daemon's back end has departed. True when the
-/// store or at least one peer has done so in time. The write to the store goes on all the same until it has succeeded.
+/// Records in the store and at `peers` that an instance of this daemon's back end has departed. Returns true if the store or
+/// at least one peer did so within [`REMEMBER_TIMEOUT`]. The write to the store is retried beyond that.
 ///
 /// `gossip` is this daemon's gossip address.
 pub async fn remember_departure(
@@ -41,7 +41,7 @@
     let stored = tokio::time::timeout(REMEMBER_TIMEOUT, written);
     let held = tokio::time::timeout(REMEMBER_TIMEOUT, ask_to_hold(&pool, gossip, &instance, peers));
     tokio::pin!(stored, held);
-    // Whichever succeeds first is enough; where it fails, the other one decides. A time-out counts as a failure.
+    // The first success suffices; after a failure the other result decides. A time-out counts as a failure.
     tokio::select! {
         done = &mut stored => matches!(done, Ok(Ok(()))) || held.await.unwrap_or(false),
         done = &mut held => done.unwrap_or(false) || matches!(stored.await, Ok(Ok(()))),
@@ -57,14 +57,14 @@
 ) {
     let change = |record: &mut DaemonRecord| record.departures.add(&instance);
     if change_own_record(&metrics, &followed, gossip, change).await {
-        // Nobody waits any more where other daemons hold it.
+        // Fails if the caller no longer waits because another daemon holds the departure.
         let _ = done.send(());
     } else {
-        warn!(instance = instance.name.as_str(); "the store could not be told of a departure; other daemons hold it");
+        warn!(instance = instance.name.as_str(); "departure could not be written to the store; only other daemons may hold it");
     }
 }
 
-/// Asks `peers` to hold a departure; true when at least one does.
+/// Asks `peers` to hold a departure. Returns true if at least one does.
 async fn ask_to_hold(
     pool: &Arc<PeerPool>,
     gossip: Address,
@@ -76,8 +76,8 @@
     replies.contains(&Some(ControlReply::Done))
 }
 
-/// Asks `peers` which instances of the back end of this daemon, which has the gossip address `gossip`, have departed. None when no peer
-/// answers.
+/// Queries `peers` for the departed instances of this daemon's back end. `gossip` is this daemon's gossip address. Returns none
+/// if no peer answers.
 pub async fn ask_departures(
     pool: Arc<PeerPool>,
     gossip: Address,
--- a/crates/seamhatchd/src/controllers/follow/discovery.rs
+++ b/crates/seamhatchd/src/controllers/follow/discovery.rs
@@ -1,7 +1,7 @@
-//! Registering this daemon in the store, and reading which other daemons are there.
+//! Registers this daemon in the store, and reads the records of the other daemons.
 //!
-//! Each daemon has one key, whose value is its [`DaemonRecord`]. It writes its key before it reads all others, so that of two daemons
-//! that start together at least one sees the other.
+//! Each daemon has one key, whose value is its [`DaemonRecord`]. It writes its own key before it reads all others, so that of
+//! two daemons starting together at least one sees the other.
 
 use super::store_calls::{Backoff, call_store};
 use crate::base::clock::unix_milliseconds;
@@ -14,7 +14,7 @@
 use seamhatch_core::identity::Address;
 use std::sync::Arc;
 
-/// Registers this daemon and reads the records of all daemons, each until it has succeeded once.
+/// Registers this daemon, then reads the records of all daemons. Retries each step until it succeeds.
 pub async fn discover(
     followed: FollowedStore,
     gossip: Address,
@@ -27,7 +27,7 @@
             Ok(departures) => break departures,
             Err(error) => {
                 metrics.store_failures.inc();
-                warn!(error = error.to_string().as_str(); "this daemon can't be registered in the store yet");
+                warn!(error = error.to_string().as_str(); "this daemon can't be registered in the store; retrying");
                 backoff.pause().await;
             }
         }
@@ -39,14 +39,14 @@
             Ok(discovery) => return control.send(MemberEvent::Discovered(discovery)),
             Err(error) => {
                 metrics.store_failures.inc();
-                warn!(error = error.to_string().as_str(); "the daemons' records can't be read yet");
+                warn!(error = error.to_string().as_str(); "the daemons' records can't be read; retrying");
                 backoff.pause().await;
             }
         }
     }
 }
 
-/// Makes this daemon's record unless an earlier incarnation has. Returns the departures in it.
+/// Creates this daemon's record unless an earlier incarnation has done so. Returns the departures in the record.
 async fn register(
     followed: &FollowedStore,
     gossip: Address,
@@ -61,7 +61,7 @@
     match call_store(metrics, followed.store.write(&write)).await? {
         WriteOutcome::Done(_) => Ok(DepartureRecord::default()),
         WriteOutcome::Refused(items) => {
-            // A store that refuses a write returns the item that was there; without one there is nothing to remember.
+            // A store that refuses a write returns the existing item; without one there are no departures.
             let own = items.first().map(|item| DaemonRecord::read(item).departures);
             Ok(own.unwrap_or_default())
         }
--- a/crates/seamhatchd/src/controllers/follow/evidence.rs
+++ b/crates/seamhatchd/src/controllers/follow/evidence.rs
@@ -1,9 +1,10 @@
-//! Having the store remember, beyond the end of all daemons, which requests crash servers.
+//! Persists in the store which requests crash servers, so that the evidence outlives all daemons.
 //!
-//! The daemon beside a crashed server notes the evidence against what ran there in its own record, as far as the request ran in
-//! several crashes: dozens run in one by accident. It looks again from time to time whether the store still has that, as an outage
-//! may outlast any number of attempts and a store may come back from a copy, and whether the request has been cleared since.
-//! [`SuspectRegistry`] owns the evidence; this task owns only which requests it has noted.
+//! The daemon beside a crashed server writes evidence against the requests that ran there into its own record. Only requests
+//! that ran in several crashes are recorded, since dozens run in a single crash by coincidence. The task periodically checks
+//! whether the store still has the evidence, since an outage may outlast any number of attempts and a store may be restored
+//! from an older copy, and whether the request has been cleared. [`SuspectRegistry`] owns the evidence; this task owns only
+//! the set of recorded requests.
 
 use super::store_calls::{Backoff, STORE_TIMEOUT};
 use crate::base::clock::unix_milliseconds;
@@ -19,41 +20,41 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Requests that the record of one daemon has room for; those that were cleared, and then the oldest, are dropped.
+/// Maximum number of requests in the record of one daemon. Beyond it, cleared requests are dropped first, then the oldest.
 const MAX_NOTED: usize = 32;
-/// Time between two looks whether the store still has what was noted.
+/// Interval between two checks whether the store still has the recorded evidence.
 const CHECK_INTERVAL: Duration = Duration::from_secs(10);
-/// Time after a crash until its requests are looked at again: crashes elsewhere in the same moment are known here by then.
+/// Delay after a crash until its requests are checked again. Simultaneous crashes elsewhere are known here by then.
 const RECHECK_DELAY: Duration = Duration::from_secs(1);
 
-/// Requests that may be worth noting.
+/// Requests whose evidence may have to be recorded in the store.
 #[derive(Debug)]
 pub enum EvidenceUpdate {
-    /// They ran in a crash of this daemon's back end.
+    /// The requests ran in a crash of this daemon's back end.
     CrashedHere(Vec<RequestDigest>),
-    /// This daemon's record in the store holds them.
+    /// This daemon's record in the store contains the requests.
     InOwnRecord(Vec<RequestDigest>),
 }
 
-/// What this task uses.
+/// State and dependencies of the task that records evidence in the store.
 pub struct EvidenceKeeper {
     followed: FollowedStore,
     gossip: Address,
     suspects: Arc<SuspectRegistry>,
     metrics: Arc<Metrics>,
     updates: mpsc::UnboundedReceiver<EvidenceUpdate>,
-    /// Requests of crashes here that may turn out to have run in others too.
+    /// Requests of recent crashes here, which may turn out to have run in other crashes as well.
     recent: BTreeSet<RequestDigest>,
     noted: BTreeSet<RequestDigest>,
 }
 
-/// Notes evidence in the store, and sees to it that it stays there, until the process ends.
+/// Records evidence in the store, and restores it there when missing, until the process ends.
 pub async fn keep_evidence(mut keeper: EvidenceKeeper) {
     let mut backoff = Backoff::default();
     while keeper.wait_until_due().await {
         while let Err(error) = keeper.step().await {
             keeper.metrics.store_failures.inc();
-            debug!(error = error.to_string().as_str(); "evidence can't be noted in the store yet");
+            debug!(error = error.to_string().as_str(); "evidence can't be recorded in the store; retrying");
             backoff.pause().await;
         }
         backoff.succeeded();
@@ -61,7 +62,8 @@
 }
 
 impl EvidenceKeeper {
-    /// Has noted nothing yet. `gossip` is this daemon's gossip address; `updates` brings what may be worth noting.
+    /// Creates a keeper with no recorded requests. `gossip` is this daemon's gossip address; `updates` delivers requests whose
+    /// evidence may have to be recorded.
     pub fn new(
         followed: FollowedStore,
         gossip: Address,
@@ -73,7 +75,7 @@
         Self { followed, gossip, suspects, metrics, updates, recent, noted }
     }
 
-    /// Waits until there is something to look at. False when nothing will come any more.
+    /// Waits for an update or the next check. Returns false when the channel is closed.
     async fn wait_until_due(&mut self) -> bool {
         let pause = match (self.recent.is_empty(), self.noted.is_empty()) {
             (false, _) => RECHECK_DELAY,
@@ -85,7 +87,7 @@
                 Some(update) => self.apply_update(update),
                 None => return false,
             },
-            // The second look is the last one.
+            // Recent requests are checked once more, then dropped.
             () = tokio::time::sleep(pause) => {
                 self.note_repeated();
                 self.recent.clear();
@@ -101,13 +103,13 @@
         }
     }
 
-    /// Adds those recent requests that ran in several crashes to what is noted.
+    /// Adds the recent requests that ran in several crashes to the recorded ones.
     fn note_repeated(&mut self) {
         let repeated = self.recent.iter().filter(|request| self.suspects.is_repeat_suspect(**request));
         self.noted.extend(repeated);
     }
 
-    /// Brings this daemon's record up to what is known of the requests that it holds.
+    /// Updates this daemon's record with the current evidence on its requests.
     async fn step(&mut self) -> Result<(), StoreError> {
         while let Ok(update) = self.updates.try_recv() {
             self.apply_update(update);
@@ -115,21 +117,21 @@
         self.note_repeated();
         let noted: Vec<RequestDigest> = self.noted.iter().copied().collect();
         let reports = self.suspects.reports(&noted);
-        // What is no longer known was cleared or has lapsed.
+        // Requests without a report were cleared or have expired.
         self.noted.retain(|request| reports.iter().any(|report| report.record.request == *request));
         while !reports.is_empty() {
-            // One time-out for the read and the write together.
+            // The time-out covers the read and the write together.
             let written = tokio::time::timeout(STORE_TIMEOUT, self.write(&reports)).await;
             match written.unwrap_or_else(|_| Err(StoreError::timed_out()))? {
                 WriteOutcome::Done(_) => return Ok(()),
-                // Another write came in between: the record is read again at once.
+                // A concurrent write changed the record; it is reread at once.
                 WriteOutcome::Refused(_) => {}
             }
         }
         Ok(())
     }
 
-    /// Writes what this daemon's record lacks.
+    /// Adds the missing evidence to this daemon's record in the store.
     async fn write(&self, reports: &[SuspectReport]) -> Result<WriteOutcome, StoreError> {
         let key = DaemonRecord::key(&self.followed.member_prefix, self.gossip);
         let reading = self.metrics.time_store_call(self.followed.store.get(&key)).await?;
@@ -145,13 +147,13 @@
         };
         let outcome = self.metrics.time_store_call(self.followed.store.write(&write)).await?;
         if matches!(outcome, WriteOutcome::Done(_)) {
-            info!(requests = reports.len(); "evidence against requests noted in the store");
+            info!(requests = reports.len(); "evidence against requests recorded in the store");
         }
         Ok(outcome)
     }
 }
 
-/// Adds to a record what it lacks of the reports. True when it lacked anything.
+/// Adds the missing parts of the reports to a record. Returns true if the record changed.
 fn add(record: &mut DaemonRecord, reports: &[SuspectReport]) -> bool {
     let now = unix_milliseconds();
     let mut changed = false;
@@ -170,7 +172,7 @@
         changed = true;
     }
     let dropped = record.condemned.len().saturating_sub(MAX_NOTED);
-    // The order among those of a kind stays: the oldest come first.
+    // The stable sort keeps the oldest first within each kind.
     record.condemned.sort_by_key(|known| known.record.open_crashes() > 0);
     record.condemned.drain(..dropped);
     changed
--- a/crates/seamhatchd/src/controllers/follow/freshness.rs
+++ b/crates/seamhatchd/src/controllers/follow/freshness.rs
@@ -1,13 +1,14 @@
-//! Asking the store whether the configuration in force is still the newest.
+//! Asks the store whether the configuration in force is still the newest.
 //!
-//! A watch that hears nothing proves nothing: its connection may pass nothing on, and its other end still acknowledge. So each daemon
-//! that follows a store keeps a proof, and asks the store itself where the proof grows too old. What such a read finds is offered to the
-//! control thread as the watch's answers are.
+//! A silent watch proves nothing: its connection may deliver no data while its other end still acknowledges. Each daemon that
+//! follows a store therefore keeps a freshness proof, and reads the store itself when the proof becomes too old. The result
+//! of the read is sent to the control thread like the changes of the watch.
 //!
-//! The daemons' heartbeats carry the proofs, so that few daemons have to ask: the first in an order that all members know, and each later
-//! one if it has received no recent proof by then. A daemon whose own calls bring it no proof opens a connection to the member above it
-//! in that order. No daemon has to know which one is the first, and the next in the order stands in for one that the store refuses
-//! or that is cut off from the others. [`crate::limits::freshness`] owns the proof.
+//! The daemons' heartbeats carry the proofs, so that few daemons have to ask: the first in an order that all members derive
+//! from the membership, and each later one only if it has received no recent proof by then. A daemon whose proof becomes too
+//! old opens a connection to its upstream member in that order. No daemon has to know which one is the first, and the next
+//! in the order replaces one that the store refuses or that is cut off from the others. [`crate::limits::freshness`] owns the
+//! proof.
 
 use super::store_calls::{Backoff, call_store};
 use crate::base::clock;
@@ -25,28 +26,30 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Pause between two checks of the age of the proof.
+/// Interval between two checks of the age of the proof.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Age of its proof at which a daemon asks, in microseconds, by its place in the order; all later ones ask at the last.
+/// Age of the proof in microseconds at which a daemon asks the store, by its rank; all further ranks use the last value.
 ///
-/// A configuration is to be in force 2 s after it was accepted: the last age leaves 0.7 s for the poll, the read and the compiler. A proof
-/// reaches a direct peer of the first within the age at which that one asks, a poll and a heartbeat: 0.9 s.
+/// A configuration must be in force 2 s after it was accepted: the last age leaves 0.7 s for the poll, the read and the
+/// compilation. A proof reaches a direct peer of the first daemon within the age at which the first one asks, a poll and a
+/// heartbeat: 0.9 s.
 const REFRESH_AGES: [Microseconds; 4] =
     [400 * MILLISECOND, 1050 * MILLISECOND, 1150 * MILLISECOND, 1200 * MILLISECOND];
-/// Age of its proof at which a daemon sees to a connection to the member above it, in microseconds: just above what a working one allows.
+/// Age of the proof in microseconds at which a daemon opens a connection to its upstream member: just above the age that a
+/// working connection allows.
 const CONNECT_AGE: Microseconds = 950 * MILLISECOND;
-/// Time between two attempts to do so, in microseconds.
+/// Interval in microseconds between two attempts to connect to the upstream member.
 const CONNECT_INTERVAL: Microseconds = 500 * MILLISECOND;
-/// Places in the order that try again at short, even pauses: after an outage the others receive the proof from them.
+/// Number of first ranks that retry at short fixed pauses. After an outage the other daemons receive the proof from them.
 const FIXED_PAUSE_RANKS: usize = 3;
 
-/// What this task uses.
+/// Dependencies of the task that keeps the freshness proof recent.
 pub struct ProofKeeper {
     /// The store to ask.
     pub followed: FollowedStore,
     /// Reads the configuration in it.
     pub documents: Arc<dyn DocumentFormat>,
-    /// Holds the proof, and this daemon's place in the order.
+    /// Holds the proof, and this daemon's rank in the order.
     pub limits: Arc<SharedLimits>,
     /// Receives proofs.
     pub control: ControlHandle,
@@ -60,7 +63,7 @@
 pub async fn keep_proof_fresh(keeper: ProofKeeper) {
     let freshness = &keeper.limits.freshness;
     let mut backoff = Backoff::default();
-    // The watch begins with a read, which is a proof.
+    // The watch starts with a read, which yields a proof.
     let mut asked = clock::now();
     let mut connected = clock::now();
     loop {
@@ -78,7 +81,7 @@
             Ok(()) => backoff.succeeded(),
             Err(error) => {
                 keeper.metrics.store_failures.inc();
-                debug!(error = error.to_string().as_str(); "the store does not tell whether the configuration is the newest");
+                debug!(error = error.to_string().as_str(); "the store can't be asked whether the configuration is the newest");
                 if freshness.relay_position().rank < FIXED_PAUSE_RANKS {
                     backoff.fixed_pause().await;
                 } else {
@@ -89,7 +92,8 @@
     }
 }
 
-/// Whether neither a proof nor an attempt to get one is young enough. An attempt may bring none, as without a configuration.
+/// Whether both the proof and the last attempt to get one are too old. An attempt may yield no proof, for example if the
+/// store has no configuration.
 fn is_due(freshness: &Freshness, asked: Instant, now: Instant) -> bool {
     let refresh_age = REFRESH_AGES[freshness.relay_position().rank.min(REFRESH_AGES.len() - 1)];
     now.since(asked) >= refresh_age && is_older(freshness, refresh_age, now)
@@ -100,11 +104,11 @@
 }
 
 impl ProofKeeper {
-    /// Opens a connection to the member above this one unless there is one: the first heartbeat on it brings that one's proof.
+    /// Opens a connection to the upstream member if there is none. Its first heartbeat carries that member's proof.
     fn connect_upstream(&self) {
         let Some(upstream) = self.limits.freshness.relay_position().upstream else { return };
         let pool = self.pool.clone();
-        // Where it fails, this daemon asks the store itself.
+        // If this fails, the daemon asks the store itself.
         tokio::spawn(async move { drop(pool.get(upstream).await) });
     }
 
@@ -112,7 +116,7 @@
         let sent = clock::now();
         let reading = self.followed.store.get(&self.followed.configuration_key);
         let Some(item) = call_store(&self.metrics, reading).await?.found else { return Ok(()) };
-        // One that can't be read is logged by the watch, and proves nothing.
+        // The watch logs an unreadable configuration, which proves nothing.
         let Ok(stored) = self.documents.read(&item.value) else { return Ok(()) };
         let proof = FreshnessProof { generation: stored.generation, at: sent };
         self.control.send(ConfigurationEvent::Offered(stored, ConfigurationSource::Store));
--- a/crates/seamhatchd/src/controllers/follow/mod.rs
+++ b/crates/seamhatchd/src/controllers/follow/mod.rs
@@ -1,8 +1,9 @@
-//! Following a store that keeps what it acknowledged.
+//! Tasks that follow a durable store.
 //!
-//! Tasks that run beside the control thread: they read and watch the configuration, prove that it is the newest, take shards of the tenants'
-//! limits, and have the store remember departures and the requests that crash servers. They own no state that outlives a failure; what they
-//! find goes to the control thread as events, which decides. `control_thread::followed` starts them.
+//! They run beside the control thread: they read and watch the configuration, prove that it is the newest, take shards of the
+//! tenants' limits, and record departures and requests that crash servers in the store. They own no state that outlives a
+//! failure. Results go as events to the control thread, which makes the decisions. `control_thread::followed` starts the
+//! tasks.
 
 mod configuration;
 mod departures;
--- a/crates/seamhatchd/src/controllers/follow/own_record.rs
+++ b/crates/seamhatchd/src/controllers/follow/own_record.rs
@@ -1,7 +1,7 @@
-//! Writing this daemon's record in the followed store.
+//! Writes this daemon's record in the followed store.
 //!
-//! A write adds to the record in the store and is bound to its revision: a late write of an earlier incarnation may still
-//! arrive, and a daemon that has just started may not know yet what earlier incarnations have written.
+//! A write adds to the record in the store and is conditional on its revision: a late write of an earlier incarnation may
+//! still arrive, and a starting daemon may not know yet what earlier incarnations have written.
 
 use super::store_calls::{Backoff, STORE_TIMEOUT};
 use crate::base::metrics::Metrics;
@@ -10,12 +10,12 @@
 use log::debug;
 use seamhatch_core::identity::Address;
 
-/// Attempts to write a record that other daemons know already. With the longest pauses they span an outage of about 20 s. Chosen, not
-/// measured.
+/// Number of attempts to write a record whose content other daemons already hold. With the longest pauses, the attempts span
+/// an outage of about 20 s.
 const WRITE_ATTEMPTS: u32 = 20;
 
-/// Changes the record of this daemon, which has the gossip address `gossip`, in the store, in up to [`WRITE_ATTEMPTS`] attempts.
-/// False when none succeeded.
+/// Changes this daemon's record in the store, with up to [`WRITE_ATTEMPTS`] attempts. `gossip` is this daemon's gossip
+/// address. Returns false if no attempt succeeded.
 pub async fn change_own_record(
     metrics: &Metrics,
     followed: &FollowedStore,
@@ -24,15 +24,15 @@
 ) -> bool {
     let mut backoff = Backoff::default();
     for _attempt in 0..WRITE_ATTEMPTS {
-        // One time-out for the read and the write together.
+        // The time-out covers the read and the write together.
         let attempt = tokio::time::timeout(STORE_TIMEOUT, write(metrics, followed, gossip, &change)).await;
         match attempt.unwrap_or_else(|_| Err(StoreError::timed_out())) {
             Ok(WriteOutcome::Done(_)) => return true,
-            // Another write came in between: the record is read again at once.
+            // A concurrent write changed the record; it is reread at once.
             Ok(WriteOutcome::Refused(_)) => {}
             Err(error) => {
                 metrics.store_failures.inc();
-                debug!(error = error.to_string().as_str(); "this daemon's record can't be written yet");
+                debug!(error = error.to_string().as_str(); "this daemon's record can't be written; retrying");
                 backoff.pause().await;
             }
         }
--- a/crates/seamhatchd/src/controllers/follow/quota_shards.rs
+++ b/crates/seamhatchd/src/controllers/follow/quota_shards.rs
@@ -1,10 +1,10 @@
-//! Taking and keeping shards of the tenants' limits, by keys in the store that go with a lease.
+//! Acquires and keeps shards of the tenants' limits through keys in the store that are bound to a lease.
 //!
-//! The control thread finds the shards that no daemon seems to hold, and this daemon's place in the order of those that may take
-//! them; the store lets only one have each. A daemon that has restarted takes over at once what its earlier incarnation held; one that stops
-//! leaves its shards to others.
-//! [`crate::limits::quota::HeldShards`] owns what is held; a lease counts there from when the call that made or renewed it was sent, in the
-//! store from its arrival, so this daemon always stops first.
+//! The control thread finds the shards that no daemon seems to hold, and this daemon's rank among those that may take them;
+//! the store grants each shard to one daemon only. A restarted daemon takes over the shards of its earlier incarnation at
+//! once; a stopping one hands its shards over to others. [`crate::limits::quota::HeldShards`] owns the set of held shards. It
+//! counts a lease from the time at which the call that made or renewed it was sent, the store from the arrival of that call,
+//! so this daemon always stops using a shard before the store frees it.
 
 use super::store_calls::{Backoff, call_store};
 use crate::base::clock;
@@ -23,28 +23,29 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Pause between two checks of which shards to take or keep.
+/// Interval between two checks of which shards to take or keep.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a lease lasts without renewal: a shard whose holder is lost is free after that.
+/// Duration of a lease without renewal. The shards of a lost holder become free after it.
 ///
-/// It outlasts an outage of the store for which proofs of freshness stay recent enough, five seconds or so, with the last renewal before it
-/// and the first one after it: else all limits are gone until all shards are taken again. Longer, the shards of a lost daemon are missing for longer.
+/// The lease must cover a store outage during which freshness proofs stay recent enough, about 5 s, plus the last renewal
+/// before and the first one after it; otherwise no limit is enforceable until all shards are taken again. A longer lease
+/// leaves the shards of a lost daemon unavailable for longer.
 const LEASE_DURATION: Duration = Duration::from_secs(8);
-/// Time between two renewals, in microseconds: each costs the store a tenth of a read.
+/// Interval between two lease renewals in microseconds. A renewal costs the store a tenth of a read.
 const RENEWAL_INTERVAL: Microseconds = SECOND;
-/// A daemon whose lease was renewed longer ago than this doesn't reach the store, in microseconds.
+/// Maximum age in microseconds of the last renewal; beyond it the store counts as unreachable.
 const MAX_RENEWAL_AGE: Microseconds = 2 * RENEWAL_INTERVAL;
-/// How much later each next one in the order tries to take a shard, in microseconds.
+/// Delay in microseconds per rank before a daemon tries to take a vacant shard.
 const ATTEMPT_STAGGER: Microseconds = 300 * MILLISECOND;
-/// Pause in microseconds after another daemon was found to hold a shard that seemed vacant.
+/// Pause in microseconds before the next attempt on a seemingly vacant shard that another daemon turned out to hold.
 const HELD_ELSEWHERE_PAUSE: Microseconds = 500 * MILLISECOND;
 
-/// Where the holder of a shard is.
+/// Returns the peer address and zone of the holder in a shard's record.
 pub fn holder_of(record: &ShardRecord) -> ShardHolder {
     ShardHolder { peer: record.peer, zone: record.zone.clone() }
 }
 
-/// The daemon that takes shards, as its records in the store name it.
+/// Identity of the daemon that takes shards, as written into its records in the store.
 pub struct ShardOwner {
     /// Its gossip address.
     pub gossip: Address,
@@ -52,11 +53,11 @@
     pub peer: Address,
     /// Its zone.
     pub zone: String,
-    /// This run of the process.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
 }
 
-/// What this task uses.
+/// State and dependencies of the task that acquires and keeps shards.
 pub struct ShardKeeper {
     owner: ShardOwner,
     followed: FollowedStore,
@@ -66,7 +67,7 @@
     lease: Option<LeaseId>,
     /// When the call that made or last renewed the lease was sent.
     renewed: Instant,
-    /// Shards that seem vacant, each with the instant at which this daemon may try next.
+    /// Seemingly vacant shards, each with the earliest time of this daemon's next attempt.
     next_attempts: BTreeMap<ShardNumber, Instant>,
     /// The shards of the lease, with the revisions of their records.
     records: BTreeMap<ShardNumber, Revision>,
@@ -89,7 +90,7 @@
                 keeper.metrics.store_failures.inc();
                 debug!(error = error.to_string().as_str(); "shards can't be taken or kept");
                 if keeper.lease.is_some() {
-                    // Few daemons hold shards, and their leases run out.
+                    // Few daemons hold shards, so short pauses cost the store little, and the leases are about to expire.
                     backoff.fixed_pause().await;
                 } else {
                     backoff.pause().await;
@@ -100,7 +101,7 @@
 }
 
 impl ShardKeeper {
-    /// Holds nothing yet; `limits` shows which shards may be taken, and `control` learns of those that are.
+    /// Creates a keeper without shards. `limits` shows which shards may be taken; `control` is notified of acquired ones.
     pub fn new(
         owner: ShardOwner,
         followed: FollowedStore,
@@ -121,8 +122,8 @@
         }
     }
 
-    /// Hands out nothing more and removes this daemon's records, so that others can take its shards at once. Where the store seems to be out, it keeps them until
-    /// the lease ends.
+    /// Releases all shards and removes their records, so that other daemons can take them at once. If the store seems
+    /// unavailable, this daemon keeps the shards until the lease expires.
     async fn hand_over(&mut self) {
         let is_out = clock::now().since(self.renewed) > MAX_RENEWAL_AGE;
         if self.records.is_empty() || is_out {
@@ -137,20 +138,22 @@
         };
         match self.call(self.followed.store.write(&write)).await {
             Ok(WriteOutcome::Done(_)) => {
-                info!(shards = self.records.len(); "this daemon leaves its shards of the tenants' limits");
+                info!(shards = self.records.len(); "released this daemon's shards of the tenants' limits");
             }
             Ok(WriteOutcome::Refused(_)) => {
-                warn!("records of this daemon's shards have changed; they are free when their leases end");
+                warn!(
+                    "records of this daemon's shards have changed; the shards become free when their leases expire"
+                );
             }
             Err(error) => {
                 self.metrics.store_failures.inc();
-                warn!(error = error.to_string().as_str(); "this daemon's shards are free when its lease ends");
+                warn!(error = error.to_string().as_str(); "this daemon's shards could not be released; they become free when its lease expires");
             }
         }
         self.control.send(ControlEvent::QuotaShardsChanged);
     }
 
-    /// Renews the lease and tries the shards that are due.
+    /// Renews the lease, and tries to acquire the vacant shards that are due.
     async fn step(&mut self) -> Result<(), StoreError> {
         self.drop_expired_lease();
         self.renew().await?;
@@ -169,11 +172,11 @@
         Ok(())
     }
 
-    /// Gives up all shards where the lease has ended.
+    /// Releases all shards if the lease has expired.
     fn drop_expired_lease(&mut self) {
         let held = &self.limits.quota.held;
         if self.lease.is_some() && !held.has_lease() {
-            warn!(shards = held.mask().count_ones(); "the lease of this daemon's shards has ended");
+            warn!(shards = held.mask().count_ones(); "the lease of this daemon's shards has expired");
             self.lease = None;
             self.records.clear();
             held.release_all();
@@ -198,7 +201,7 @@
         Ok(())
     }
 
-    /// The lease of this daemon's shards, made where there is none.
+    /// Returns the lease of this daemon's shards, and creates one if there is none.
     async fn lease(&mut self) -> Result<LeaseId, StoreError> {
         if let Some(lease) = self.lease {
             return Ok(lease);
@@ -216,21 +219,21 @@
         let Some(found) = self.write(shard, Revision(0), lease).await? else { return Ok(()) };
         let record = ShardRecord::read(&self.followed.member_prefix, &found).map(|(_, record)| record);
         match record {
-            // The answer to an earlier attempt was lost.
+            // The response to an earlier attempt was lost.
             Some(record) if record == self.record(lease) => self.record_acquired(shard, found.revision),
             Some(record) if record.is_of_earlier_incarnation(self.owner.gossip, self.owner.incarnation) => {
                 self.write(shard, found.revision, lease).await?;
             }
             Some(record) => self.defer_held_shard(shard, &record),
             None => {
-                warn!(shard = shard; "a shard's record in the store can't be read, so it is nobody's");
+                warn!(shard = shard; "a shard's record in the store can't be read; treating the shard as vacant");
                 self.write(shard, found.revision, lease).await?;
             }
         }
         Ok(())
     }
 
-    /// Writes this daemon's record for a shard, where the key is at `revision`. Returns the item there where it isn't.
+    /// Writes this daemon's record for a shard if the key is at `revision`. Otherwise returns the existing item.
     async fn write(
         &mut self,
         shard: ShardNumber,
@@ -266,13 +269,13 @@
     }
 
     fn record_acquired(&mut self, shard: ShardNumber, revision: Revision) {
-        info!(shard = shard; "this daemon holds a shard of the tenants' limits");
+        info!(shard = shard; "acquired a shard of the tenants' limits");
         self.records.insert(shard, revision);
         self.limits.quota.held.add(shard);
         self.control.send(ControlEvent::QuotaShardsChanged);
     }
 
-    /// Leaves a shard that another daemon holds alone for a while.
+    /// Records the holder of a shard, and defers the next attempt by [`HELD_ELSEWHERE_PAUSE`].
     fn defer_held_shard(&mut self, shard: ShardNumber, record: &ShardRecord) {
         self.limits.quota.directory.set_holder(shard, holder_of(record));
         self.next_attempts.insert(shard, clock::now().plus(HELD_ELSEWHERE_PAUSE));
