--- a/crates/seamhatchd/src/controllers/ask.rs
+++ b/crates/seamhatchd/src/controllers/ask.rs
@@ -1,4 +1,4 @@
-//! Questions to other daemons' controllers that several controllers ask. The time-out is [`PeerPool::ask`]'s.
+//! Requests to other daemons' controllers that are shared by several callers. [`PeerPool::ask`] applies the time-out.
 
 use crate::peer::PeerPool;
 use futures_util::future::join_all;
@@ -8,12 +8,14 @@
 use seamhatch_wire::{ControlReply, ControlRequest, HOLDS_SEALED};
 use std::sync::Arc;
 
-/// Asks a daemon for its configuration if that is above `have`; none when it can't be reached or does not answer in time.
+/// Requests the configuration of a daemon if it is newer than `have`. Returns none if the daemon is unreachable or does not
+/// answer in time.
 pub async fn ask_generation(pool: &Arc<PeerPool>, daemon: Address, have: Generation) -> Option<ControlReply> {
     pool.ask(daemon, ControlRequest::GetConfiguration { have }).await
 }
 
-/// Asks several witnesses at once. Their answers in the same order; none for one of which this very incarnation does not answer in time.
+/// Asks several witnesses concurrently, and returns their answers in the same order. The answer is none for a witness whose
+/// requested incarnation does not answer in time.
 pub async fn ask_witnesses(
     pool: &Arc<PeerPool>,
     witnesses: &[WitnessId],
@@ -22,7 +24,8 @@
     join_all(witnesses.iter().map(|witness| pool.ask_witness(*witness, request.clone()))).await
 }
 
-/// Asks a daemon about memories of retired witnesses; none when it is of a release before them, can't be reached or does not answer in time.
+/// Asks a daemon about the records of retired witnesses. Returns none if its release does not support them, or if it is
+/// unreachable or does not answer in time.
 pub async fn ask_holder(
     pool: &Arc<PeerPool>,
     daemon: Address,
--- a/crates/seamhatchd/src/controllers/configuration.rs
+++ b/crates/seamhatchd/src/controllers/configuration.rs
@@ -1,7 +1,7 @@
-//! The configuration that this daemon holds. It only moves forward.
+//! The configuration that this daemon holds. Its generation never decreases.
 //!
-//! [`ConfigurationController`] owns it for the control thread, which offers what it learns from the store, from other daemons and from
-//! submissions. A daemon that is a witness also holds here what may soon be in force.
+//! [`ConfigurationController`] owns it for the control thread, which offers it the configurations received from the store,
+//! other daemons and submissions. On a witness it also holds a configuration that may soon be in force.
 
 use crate::control::ConfigurationSource;
 use crate::controllers::registration::newer;
@@ -11,22 +11,22 @@
 use seamhatch_policy::{Configuration, StoredConfiguration};
 use std::sync::Arc;
 
-/// What becomes of an accepted configuration that can't be compiled here.
+/// Handling of an accepted configuration that can't be compiled here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnusableRule {
-    /// It is held and passed on: its submitter's daemon could compile it, so this one is another version of the program.
+    /// Hold and forward it: the submitter's daemon could compile it, so this daemon runs another version of the program.
     Hold,
-    /// It is refused whole: nobody has checked it, and no daemon is better off with it.
+    /// Refuse it: no daemon has checked it before, and holding it benefits none.
     Refuse,
 }
 
-/// Holds the configuration in force, the newest one that may be in force (they differ only where this version of the daemon
-/// can't compile it), and, as a witness, what may soon be in force.
+/// Holds the configuration in force, the newest one that may be in force (the two differ only if this version of the daemon
+/// can't compile the newest), and, on a witness, one that may soon be in force.
 #[derive(Debug)]
 pub struct ConfigurationController {
     documents: Arc<dyn DocumentFormat>,
     unusable: UnusableRule,
-    /// The newest version that was refused.
+    /// The last version that was refused.
     refused: Option<Version>,
     held: Option<StoredConfiguration>,
     newest: Option<StoredConfiguration>,
@@ -34,12 +34,12 @@
 }
 
 impl ConfigurationController {
-    /// Holds nothing yet; documents are compiled by `documents`.
+    /// Creates a controller without a configuration; `documents` compiles documents.
     pub fn new(documents: Arc<dyn DocumentFormat>, unusable: UnusableRule) -> Self {
         Self { documents, unusable, refused: None, held: None, newest: None, in_force: None }
     }
 
-    /// What reads and compiles documents.
+    /// The format that reads and compiles documents.
     pub fn documents(&self) -> &Arc<dyn DocumentFormat> {
         &self.documents
     }
@@ -54,17 +54,17 @@
         self.newest.as_ref().map(|stored| stored.generation).unwrap_or_default()
     }
 
-    /// The newest accepted configuration that is known, in force or held as a witness.
+    /// The newest known accepted configuration, whether in force or held as a witness.
     pub fn highest(&self) -> Option<StoredConfiguration> {
         newer(self.newest.clone(), self.held.clone())
     }
 
-    /// What is held as a witness and not in force yet.
+    /// The configuration held as a witness, if it is not in force yet.
     pub fn held_not_in_force(&self) -> Option<&StoredConfiguration> {
         self.held.as_ref().filter(|held| held.generation > self.generation())
     }
 
-    /// Holds a configuration as a witness. False when what is held contradicts it.
+    /// Holds a configuration as a witness. Returns false if it conflicts with the configuration already held.
     pub fn hold(&mut self, stored: &StoredConfiguration) -> bool {
         let highest = self.highest();
         if highest.as_ref().is_none_or(|highest| highest.generation < stored.generation) {
@@ -74,12 +74,12 @@
         highest.is_some_and(|highest| highest.includes(stored))
     }
 
-    /// The configuration that decides now, and its generation.
+    /// The configuration in force, and its generation.
     pub fn in_force(&self) -> Option<(Generation, Arc<Configuration>)> {
         self.in_force.clone()
     }
 
-    /// Generation of the configuration that decides now; zero for none.
+    /// Generation of the configuration in force; zero for none.
     pub fn generation_in_force(&self) -> Generation {
         self.in_force.as_ref().map(|(generation, _)| *generation).unwrap_or_default()
     }
@@ -95,24 +95,24 @@
             Offer::Adopt => return self.adopt(stored, source),
             Offer::Conflict => error!(
                 generation = stored.generation.0;
-                "another configuration of the same generation was offered and refused: the store went back in time"
+                "refused another configuration of the same generation: the store has reverted to an older state"
             ),
             Offer::Same | Offer::Stale => {}
         }
         offer
     }
 
-    /// Whether this version was refused as it can't be used.
+    /// Whether this version was refused because it can't be compiled.
     pub fn has_refused(&self, version: Version) -> bool {
         self.refused == Some(version)
     }
 
-    /// Generation of the newest configuration that was offered, whether or not it can be used; zero for none.
+    /// Generation of the newest offered configuration, whether or not it is usable; zero for none.
     pub fn newest_offered(&self) -> Generation {
         self.refused.map_or(self.generation(), |refused| refused.generation.max(self.generation()))
     }
 
-    /// Brings a newer configuration into force; one that can't be compiled is held or refused.
+    /// Applies a newer configuration. One that can't be compiled is held or refused, according to [`UnusableRule`].
     fn adopt(&mut self, stored: StoredConfiguration, source: ConfigurationSource) -> Offer {
         match self.documents.compile(&stored.document) {
             Ok(configuration) => {
--- a/crates/seamhatchd/src/controllers/membership.rs
+++ b/crates/seamhatchd/src/controllers/membership.rs
@@ -1,6 +1,6 @@
-//! Membership on the wire: datagrams in and out, and which members do common work.
+//! Membership on the network: sends and receives datagrams, and selects members for shared tasks.
 //!
-//! [`MembershipController`] owns the protocol's state ([`Membership`]) and the gossip socket for the control thread.
+//! [`MembershipController`] owns the protocol state ([`Membership`]) and the gossip socket for the control thread.
 
 use crate::base::clock;
 use crate::base::metrics::{BadInput, Metrics};
@@ -13,17 +13,18 @@
 use std::sync::Arc;
 use tokio::net::UdpSocket;
 
-/// Watchers of the store and of the list of machines in each zone: two, so that one may be lost unnoticed.
+/// Number of watchers of the store and of the list of machines per zone. With two, the zone tolerates the unnoticed loss of
+/// one.
 const WATCHERS_PER_ZONE: usize = 2;
-/// Seed of the choice of watchers. Any number will do that differs from the other seeds of rendezvous
-/// hashing, so that one daemon isn't chosen for everything.
+/// Rendezvous hashing seed for the choice of watchers. Must differ from the other seeds, so that no single daemon is chosen
+/// for every task.
 const WATCHER_SEED: u64 = 1;
-/// Seed of the choice of the coordinator, as above.
+/// Rendezvous hashing seed for the choice of the coordinator. Must differ from the other seeds for the same reason.
 const COORDINATOR_SEED: u64 = 2;
 
-/// Membership with its socket.
+/// The membership protocol and its socket.
 pub struct MembershipController {
-    /// The protocol.
+    /// State of the protocol.
     pub state: Membership,
     socket: Arc<UdpSocket>,
     metrics: Arc<Metrics>,
@@ -40,13 +41,13 @@
         self.socket.clone()
     }
 
-    /// Lets the protocol act on the time that has passed.
+    /// Advances the protocol to the current time, and sends the resulting messages.
     pub fn tick(&mut self) {
         let outgoing = self.state.tick(clock::now(), |below| rand::random_range(0..below));
         self.send_all(outgoing);
     }
 
-    /// Processes a datagram. Returns the message in it; none where it can't be decoded.
+    /// Processes a datagram. Returns its message, or none if it can't be decoded.
     pub fn datagram(&mut self, bytes: &[u8], from: SocketAddr) -> Option<GossipMessage> {
         self.metrics.gossip_received_bytes.inc_by(bytes.len() as u64);
         let message = match decode_datagram(bytes) {
@@ -62,7 +63,7 @@
         Some(message)
     }
 
-    /// Sends messages. The protocol expects losses, so one that can't be sent is not sent again.
+    /// Sends messages. The protocol tolerates losses, so failed sends are not retried.
     pub fn send_all(&self, outgoing: Vec<Outgoing>) {
         for (target, message) in outgoing {
             match encode_datagram(&message) {
@@ -85,8 +86,8 @@
         self.is_chosen(WATCHER_SEED, live, WATCHERS_PER_ZONE)
     }
 
-    /// Whether this daemon looks after the roster of witnesses: one that takes work, as long as there is any, since one that is only starting
-    /// can't yet.
+    /// Whether this daemon coordinates the roster of witnesses. Ready members are preferred, since a starting daemon can't
+    /// maintain the roster yet.
     pub fn is_coordinator(&self) -> bool {
         let is_ready = |record: &&MemberRecord| record.lifecycle == Lifecycle::Ready;
         if self.candidates().any(|record| is_ready(&record)) {
@@ -95,7 +96,7 @@
         self.is_chosen(COORDINATOR_SEED, self.candidates(), 1)
     }
 
-    /// Live members that may be chosen for common work, this one included.
+    /// Live members that may be chosen for shared tasks, including this one.
     fn candidates(&self) -> impl Iterator<Item = &MemberRecord> {
         std::iter::once(self.state.me())
             .chain(self.state.others())
--- a/crates/seamhatchd/src/controllers/mod.rs
+++ b/crates/seamhatchd/src/controllers/mod.rs
@@ -1,8 +1,8 @@
-//! The controllers of the daemon's state, on a thread of their own.
+//! The controllers of the daemon's state, which run on a separate thread.
 //!
-//! [`ControlThread`] owns them all and feeds them events; their decisions are published as a snapshot. Threads that carry traffic
-//! reach it through a [`crate::control::ControlHandle`] and never wait for it on a request's path. Nothing below this layer
-//! names a controller.
+//! [`ControlThread`] owns all controllers and passes them events; their decisions are published as a snapshot. Threads that
+//! carry traffic reach it through a [`crate::control::ControlHandle`] and never wait for it on a request's path. Lower layers
+//! do not refer to controllers.
 
 pub mod ask;
 mod configuration;
--- a/crates/seamhatchd/src/controllers/publish.rs
+++ b/crates/seamhatchd/src/controllers/publish.rs
@@ -1,6 +1,6 @@
-//! What a snapshot contains: the servers that may be given work, and those that the policy takes out of use.
+//! Contents of a snapshot: the servers that may receive work, without those that the policy takes out of use.
 //!
-//! Pure functions over the controllers' state, called by the control thread.
+//! The control thread calls these functions with the controllers' state; they keep no state of their own.
 
 use crate::base::clock;
 use crate::peer::PeerPool;
@@ -13,7 +13,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// The snapshot of what the controllers know now.
+/// Creates a snapshot of the controllers' current state.
 pub fn snapshot<'a>(
     configuration: Option<(Generation, Arc<Configuration>)>,
     members: impl Iterator<Item = &'a MemberRecord>,
@@ -41,8 +41,8 @@
     stopped: Vec<Address>,
 }
 
-/// Servers that the policy's `stop_sending` takes out of use, by their peer address. A service keeps at least half of its servers,
-/// whatever the policy says.
+/// Servers that the policy's `stop_sending` takes out of use, by peer address. A service keeps at least half of its servers,
+/// regardless of the policy.
 pub fn stopped_servers(
     pool: &PeerPool,
     configuration: &Configuration,
@@ -62,7 +62,7 @@
     by_service.into_values().flat_map(at_most_half).collect()
 }
 
-/// What the policy sees of a server; none where its daemon isn't connected or is silent.
+/// The policy's view of a server; none if its daemon isn't connected or should be avoided because it is silent.
 fn server_view(pool: &PeerPool, record: &MemberRecord) -> Option<ServerView> {
     let connection = pool.existing(record.info.peer)?;
     let view = connection.view();
--- a/crates/seamhatchd/src/controllers/registration.rs
+++ b/crates/seamhatchd/src/controllers/registration.rs
@@ -1,7 +1,8 @@
-//! Registering a configuration with the witnesses of one shard, and asking them for the newest.
+//! Registers a configuration with the witnesses of one shard, and queries them for the newest.
 //!
-//! A majority holds a configuration before it is in force anywhere, and a starting daemon asks a majority, so that it can't go
-//! back behind what is in force, also where the store is out. Two majorities of one epoch share a witness.
+//! A majority of the witnesses holds a configuration before it is in force anywhere, and a starting daemon asks a majority.
+//! Since any two majorities of an epoch share a witness, a daemon can't revert to an older configuration than the one in
+//! force, even if the store is unavailable.
 
 use super::ask::ask_witnesses;
 use crate::shared::Shared;
@@ -12,7 +13,7 @@
 use seamhatch_wire::{ControlReply, ControlRequest};
 use std::sync::Arc;
 
-/// The newer of two configurations.
+/// Returns the newer of two configurations.
 pub fn newer(
     left: Option<StoredConfiguration>,
     right: Option<StoredConfiguration>,
@@ -20,15 +21,15 @@
     left.into_iter().chain(right).max_by_key(|stored| stored.generation)
 }
 
-/// The witnesses that hold the configuration; none before the first roster.
+/// Returns the current witnesses of the configuration's shard; none before the first roster.
 fn holders(shared: &Shared) -> Option<Assignment> {
     let snapshot = shared.snapshot();
     snapshot.roster.shards.get(CONFIGURATION_SHARD).map(|shard| shard.current.clone())
 }
 
-/// Has a majority of the witnesses hold a configuration; true when it does.
+/// Registers a configuration with the witnesses. Returns true if a majority holds it.
 ///
-/// Before the first roster there is no earlier configuration to go back to.
+/// Succeeds without witnesses before the first roster, when there is no earlier configuration to revert to.
 pub async fn register(shared: &Arc<Shared>, stored: &StoredConfiguration) -> bool {
     let Some(assignment) = holders(shared) else { return true };
     let request = ControlRequest::HoldConfiguration { epoch: assignment.epoch, stored: stored.clone() };
@@ -41,18 +42,18 @@
     true
 }
 
-/// What a majority of the witnesses holds.
+/// Result of a query to the witnesses for the newest configuration.
 #[derive(Debug)]
 pub enum Held {
-    /// There is no roster known yet.
+    /// No roster is known yet.
     NoRoster,
     /// No majority answered.
     NoMajority,
-    /// The newest that a majority holds, if it is above what the asking daemon has.
+    /// The newest configuration held by a majority, if it is newer than that of the asking daemon.
     Newest(Option<StoredConfiguration>),
 }
 
-/// Asks the witnesses for the newest accepted configuration above `have`.
+/// Queries the witnesses for the newest accepted configuration above `have`.
 pub async fn ask_held(shared: &Arc<Shared>, have: Generation) -> Held {
     let Some(assignment) = holders(shared) else { return Held::NoRoster };
     let request = ControlRequest::GetHeld { epoch: assignment.epoch, have };
--- a/crates/seamhatchd/src/controllers/roster.rs
+++ b/crates/seamhatchd/src/controllers/roster.rs
@@ -1,7 +1,7 @@
-//! The witness roster that this daemon knows, and how far the coordinator has carried out its changes.
+//! The witness roster known to this daemon, and the coordinator's progress in carrying out its changes.
 //!
-//! [`RosterController`] owns both for the control thread. What each shard should become is decided by [`seamhatch_core::roster`];
-//! a [`super::roster_change::Transition`] carries it out.
+//! [`RosterController`] owns both for the control thread. [`seamhatch_core::roster`] decides the next state of each shard; a
+//! [`super::roster_change::Transition`] carries it out.
 
 use crate::control::TransitionResult;
 use seamhatch_core::Instant;
@@ -16,32 +16,31 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// Holds the newest roster that was seen, and, on the coordinator, which
-/// epochs are known to be installed.
+/// Holds the newest roster seen, and, on the coordinator, the epochs known to be installed.
 #[derive(Debug, Default)]
 pub struct RosterController {
     roster: Arc<Roster>,
-    /// By shard: the epoch that this coordinator has checked.
+    /// Epoch that this coordinator has checked, by shard.
     checked: BTreeMap<usize, Epoch>,
-    /// By shard: the epoch that is installed at a majority.
+    /// Epoch that is installed at a majority of the witnesses, by shard.
     confirmed: BTreeMap<usize, Epoch>,
-    /// By shard: the epoch that is installed at all witnesses.
+    /// Epoch that is installed at all witnesses, by shard.
     complete: BTreeMap<usize, Epoch>,
     /// Shards with a transition in progress.
     running: BTreeSet<usize>,
     loss_waits: ClaimLossWaits,
-    /// Machines that were listed and are no longer.
+    /// Machines that are no longer in the platform's list.
     removed_machines: BTreeSet<IpAddr>,
     listed_machines: BTreeSet<IpAddr>,
 }
 
 impl RosterController {
-    /// The newest roster that was seen.
+    /// The newest roster seen.
     pub fn roster(&self) -> &Arc<Roster> {
         &self.roster
     }
 
-    /// Adopts a roster; false when it isn't newer.
+    /// Adopts a roster. Returns false if it isn't newer.
     pub fn offer(&mut self, roster: Roster) -> bool {
         if roster.version <= self.roster.version {
             return false;
@@ -50,8 +49,8 @@
         true
     }
 
-    /// What this daemon, as the witness `own`, still owes the others before it may end; `installed` is the last epoch of a shard that was
-    /// installed at it. A shard that has lost claims waits whatever this daemon does.
+    /// Remaining duty of this daemon, as the witness `own`, before it may end. `installed` returns the last epoch of a shard that
+    /// was installed at this daemon. Shards that have lost claims don't count: they wait regardless of this daemon.
     pub fn duty(
         &self,
         own: &WitnessId,
@@ -70,14 +69,14 @@
         WitnessDuty::Held { shards }
     }
 
-    /// Peer addresses of all witnesses of this roster, present and earlier.
+    /// Peer addresses of all current and earlier witnesses in the roster.
     pub fn witnesses(&self) -> BTreeSet<Address> {
         let assignments =
             self.roster.shards.iter().flat_map(|shard| shard.previous.iter().chain([&shard.current]));
         assignments.flat_map(|assignment| &assignment.witnesses).map(|id| id.daemon).collect()
     }
 
-    /// Compares the platform's list of machines with the one before: those that are no longer listed are gone.
+    /// Applies the platform's list of machines. Machines missing from it that were in the previous list count as removed.
     pub fn update_machines(&mut self, listed: BTreeSet<IpAddr>) {
         let vanished: Vec<IpAddr> = self.listed_machines.difference(&listed).copied().collect();
         self.removed_machines.extend(vanished);
@@ -85,8 +84,8 @@
         self.listed_machines = listed;
     }
 
-    /// The roster that should follow, or none while all shards are as they should be. `knows_all_members` says that a witness without a record in
-    /// `members` is one that has gone.
+    /// Plans the next roster; none if no shard needs a change. `knows_all_members` means that a witness without a record in
+    /// `members` is unreachable; otherwise its health is unknown.
     pub fn plan(&self, members: &[MemberRecord], knows_all_members: bool) -> Option<Roster> {
         let candidates = candidates(members);
         if candidates.is_empty() {
@@ -104,12 +103,13 @@
         self.next_roster(|index, shard| self.plan_shard(index, shard, health, &candidates))
     }
 
-    /// The roster without the assignments that need no sealing any more, as their successors are confirmed; none where there are none.
+    /// Plans a roster without the earlier assignments that need no sealing because their successors are confirmed; none if
+    /// there are none.
     pub fn plan_releases(&self) -> Option<Roster> {
         self.next_roster(|index, shard| self.without_previous(index, shard))
     }
 
-    /// The roster with some shards changed; none where no shard is.
+    /// Returns the next roster with `change` applied to each shard; none if no shard changes.
     fn next_roster(&self, change: impl Fn(usize, &ShardRoster) -> Option<ShardRoster>) -> Option<Roster> {
         let mut shards = self.roster.shards.clone();
         let mut changed = false;
@@ -127,9 +127,8 @@
         is_over.then(|| ShardRoster { previous: Vec::new(), ..shard.clone() })
     }
 
-    /// What one shard should become. Only a shard that this coordinator has checked is changed: a coordinator
-    /// that was just chosen does not know yet whether the present epoch was installed, and would seal
-    /// epochs again that ended long ago.
+    /// Plans the next state of a shard. Only a shard that this coordinator has checked is changed: a newly chosen coordinator
+    /// does not know yet whether the current epoch was installed, and would seal epochs again that ended long ago.
     fn plan_shard(
         &self,
         index: usize,
@@ -145,8 +144,8 @@
         change.or_else(|| self.without_previous(index, shard))
     }
 
-    /// Shards whose present epoch isn't yet installed at all its witnesses and that have no transition in progress;
-    /// they are marked as having one.
+    /// Returns the shards whose current epoch isn't installed at all witnesses and that have no transition in progress, and
+    /// marks their transitions as in progress.
     pub fn start_transitions(&mut self) -> Vec<(usize, ShardRoster)> {
         let pending: Vec<(usize, ShardRoster)> = self
             .roster
@@ -161,7 +160,7 @@
         pending
     }
 
-    /// Records how far a transition came. Returns the epochs that turned out to have ended with a loss.
+    /// Records the result of a transition. Returns the epochs newly found to have ended with a loss of claims.
     pub fn finish_transition(&mut self, result: &TransitionResult, now: Instant) -> Vec<Epoch> {
         self.running.remove(&result.shard);
         self.checked.insert(result.shard, result.epoch);
@@ -178,24 +177,24 @@
         lossy.filter(|epoch| self.loss_waits.note(result.shard, *epoch, now)).collect()
     }
 
-    /// Epochs of a shard that ended with a loss and have been waited out.
+    /// Epochs of a shard that ended with a loss of claims and whose waiting period has elapsed.
     pub fn waited_out(&self, shard: usize, now: Instant) -> BTreeSet<Epoch> {
         self.loss_waits.elapsed(shard, now)
     }
 
-    /// Has every shard checked again: for a coordinator that has just been chosen, and from time to time.
+    /// Schedules a check of every shard, for a newly chosen coordinator and at regular intervals.
     pub fn recheck(&mut self) {
         self.complete.clear();
     }
 
-    /// Witnesses of a shard, present and earlier, that are known to have ended.
+    /// Current and earlier witnesses of a shard that are known to have ended.
     pub fn ended(&self, shard: &ShardRoster, members: &[MemberRecord]) -> BTreeSet<WitnessId> {
         let earlier = shard.previous.iter().flat_map(|assignment| assignment.witnesses.iter());
         let all = earlier.chain(shard.current.witnesses.iter());
         all.copied().filter(|id| self.health(id, members) == WitnessHealth::Ended).collect()
     }
 
-    /// Whether the witnesses of one of the listed assignments have ended with what only they remembered.
+    /// Whether claims of one of the shard's assignments are lost because the witnesses that recorded them have ended.
     fn has_lost_claims(&self, shard: &ShardRoster, members: &[MemberRecord]) -> bool {
         let has_ended = |id: &WitnessId| self.health(id, members) == WitnessHealth::Ended;
         let mut listed = shard.previous.iter().chain([&shard.current]);
@@ -231,7 +230,7 @@
     }
 }
 
-/// Members that can be witnesses.
+/// Members eligible as witnesses.
 pub fn candidates(members: &[MemberRecord]) -> Vec<WitnessCandidate> {
     members
         .iter()
--- a/crates/seamhatchd/src/controllers/roster_change.rs
+++ b/crates/seamhatchd/src/controllers/roster_change.rs
@@ -1,7 +1,7 @@
-//! Carrying out a shard's change of witnesses: seal the earlier epochs, unite their claims, install the new epoch.
+//! Carries out a shard's change of witnesses: seals the earlier epochs, merges their claims, and installs the new epoch.
 //!
-//! A [`Transition`] is a task of the coordinator. It keeps no state between attempts, so that it can be repeated by any daemon
-//! and from any point; [`super::roster::RosterController`] records how far each shard came.
+//! A [`Transition`] is a task of the coordinator. It keeps no state between attempts, so that any daemon can repeat it from any
+//! point; [`super::roster::RosterController`] records the progress of each shard.
 
 use crate::control::TransitionResult;
 use crate::controllers::ask::{ask_holder, ask_witnesses};
@@ -20,26 +20,26 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// One shard's change in progress.
+/// A change of witnesses of one shard.
 pub struct Transition {
-    /// Links to the witnesses.
+    /// Connections to the witnesses.
     pub pool: Arc<PeerPool>,
     /// Number of the shard.
     pub shard: usize,
-    /// What it is to become, and what came before.
+    /// Target state of the shard, including the earlier assignments.
     pub target: ShardRoster,
     /// Witnesses that are known to have ended.
     pub ended: BTreeSet<WitnessId>,
-    /// Epochs that ended with a loss and have been waited out.
+    /// Epochs that ended with a loss of claims and whose waiting period has elapsed.
     pub waited_out: BTreeSet<Epoch>,
-    /// Peer addresses of the daemons that may hold what retired witnesses remembered.
+    /// Peer addresses of the daemons that may hold the records of retired witnesses.
     pub holders: Vec<Address>,
     /// The newest accepted configuration that this daemon knows.
     pub newest: Option<StoredConfiguration>,
 }
 
 impl Transition {
-    /// Carries the change as far as it goes now; safe to repeat.
+    /// Carries out the change as far as currently possible. Idempotent.
     pub async fn run(self) -> TransitionResult {
         let missing = self.missing_witnesses().await;
         let mut result = self.result(missing.len());
@@ -47,7 +47,7 @@
             return result;
         }
         let sealed = if result.confirmed {
-            // A majority has the claims of earlier epochs; a late witness may start without them.
+            // A majority has the claims of earlier epochs, so a late witness may start without them.
             Sealed { claims: Vec::new(), held: self.newest.clone(), lossy: Vec::new() }
         } else {
             match self.seal_previous().await {
@@ -85,7 +85,8 @@
         pairs.filter(|(_, reply)| *reply != serving).map(|(id, _)| *id).collect()
     }
 
-    /// Seals every earlier assignment and unites what their witnesses remember; none while one of them may still grant.
+    /// Seals every earlier assignment and merges the records of their witnesses. Returns none while one of the assignments may
+    /// still grant claims.
     async fn seal_previous(&self) -> Option<Sealed> {
         let mut claims = Vec::new();
         let mut held = self.newest.clone();
@@ -119,7 +120,7 @@
             .collect()
     }
 
-    /// Adds what other daemons hold of witnesses that have retired, where no majority of the witnesses themselves answers.
+    /// Adds the records of retired witnesses that other daemons hold, if no majority of the witnesses themselves answers.
     async fn add_held(&self, assignment: &Assignment, replies: &mut BTreeMap<WitnessId, WitnessMemory>) {
         if seal_progress(assignment, |id| replies.contains_key(id), |_| false) == SealProgress::Complete {
             return;
@@ -133,7 +134,7 @@
         }
     }
 
-    /// What any other daemon holds of a retired witness.
+    /// Returns the records of a retired witness from the first daemon that holds them.
     async fn held_of(&self, witness: WitnessId) -> Option<WitnessMemory> {
         let request = ControlRequest::GetSealed { shard: self.shard as u32, witness };
         let asking = self.holders.iter().map(|holder| ask_holder(&self.pool, *holder, request.clone()));
@@ -158,17 +159,17 @@
     }
 }
 
-/// What one sealed witness remembers.
+/// Records of one sealed witness.
 struct WitnessMemory {
     claims: Vec<Claim>,
-    /// The newest configuration that it holds.
+    /// The newest configuration that the witness holds.
     held: Option<StoredConfiguration>,
 }
 
-/// What the witnesses of all earlier epochs remember together.
+/// Merged records of the witnesses of all earlier epochs.
 struct Sealed {
     claims: Vec<Claim>,
     held: Option<StoredConfiguration>,
-    /// Epochs that are over and whose claims may be lost.
+    /// Epochs that have ended and whose claims may be lost.
     lossy: Vec<Epoch>,
 }
--- a/crates/seamhatchd/src/controllers/status.rs
+++ b/crates/seamhatchd/src/controllers/status.rs
@@ -1,6 +1,6 @@
-//! Making the report on the deployment for operators: what this daemon knows, and what it asks of each live member.
+//! Creates the status report of the deployment for operators, from this daemon's state and queries to each live member.
 //!
-//! A task of the control thread, as it waits for other daemons. It keeps nothing.
+//! Runs as a task that the control thread starts, since it waits for other daemons. It keeps no state.
 
 use crate::control::{CostStatus, MemberStatus, ShardStatus, StatusReport};
 use crate::controllers::ask::ask_generation;
@@ -17,25 +17,25 @@
 use seamhatch_wire::{ControlReply, ControlRequest};
 use std::sync::Arc;
 
-/// Members that are asked at the same time.
+/// Maximum number of members queried concurrently.
 const CONCURRENT_QUERIES: usize = 32;
 
-/// Costs that are shown at most, the dearest ones.
+/// Maximum number of costs shown, the highest first.
 const MAX_COSTS: usize = 32;
 
-/// What the control thread knows for the report.
+/// State of the control thread that the report is made from.
 pub struct StatusInput {
     /// This daemon's record.
     pub me: MemberRecord,
-    /// All others.
+    /// Records of all other members.
     pub others: Vec<MemberRecord>,
     /// The roster.
     pub roster: Arc<Roster>,
-    /// Configuration held.
+    /// Generation of the configuration in force.
     pub generation: Generation,
 }
 
-/// Makes the report. Each live member is asked for its generation, and each witness for its epoch.
+/// Creates the report. Queries each live member for its generation, and each witness for its epoch.
 pub async fn report(shared: Arc<Shared>, input: StatusInput) -> StatusReport {
     let own = MemberStatus {
         rate_millis: shared.server.notices.named_rate().map(RequestRate::as_thousandths),
--- a/crates/seamhatchd/src/controllers/submission.rs
+++ b/crates/seamhatchd/src/controllers/submission.rs
@@ -1,8 +1,9 @@
-//! Accepting an operator's configuration, in deployments where daemons accept them.
+//! Accepts an operator's configuration, in deployments where daemons accept configurations.
 //!
-//! A [`Submission`] writes it into the store by compare-and-swap, finds out what became of a write whose answer was lost, and has a majority of
-//! witnesses hold it before the operator is answered. Each next step is decided by [`seamhatch_core::generation::submission_step`]. It is
-//! a task that the control thread starts; it owns nothing beyond its own attempt.
+//! A [`Submission`] writes the configuration into the store by compare-and-swap, determines the outcome of a write whose
+//! response was lost, and registers the configuration with a majority of the witnesses before the operator receives an
+//! answer. [`seamhatch_core::generation::submission_step`] decides each step. A submission is a task that the control thread
+//! starts; it owns only the state of its own attempt.
 
 use crate::base::clock;
 use crate::control::{SubmitError, SubmitRequest};
@@ -16,15 +17,16 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a submission tries before the operator is told that it is unavailable or unknown. Chosen, not measured.
+/// Maximum duration of a submission before the operator is told that the service is unavailable or the outcome unknown.
 const MAX_SUBMISSION_TIME: Duration = Duration::from_secs(15);
-/// Pause after a failure of the store or a lost compare-and-swap: even, as an operator waits. Chosen, not measured.
+/// Pause after a failure of the store or a lost compare-and-swap. It is constant, without backoff, because an operator is
+/// waiting.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// A submission that the store has.
+/// A submission that the store contains.
 #[derive(Debug)]
 pub struct AcceptedSubmission {
-    /// The generation it made.
+    /// The generation that the submission created.
     pub generation: Generation,
     /// The store's newest configuration, of this generation or a later one.
     pub newest: StoredConfiguration,
@@ -37,19 +39,19 @@
     request: SubmitRequest,
     /// The newest accepted configuration that this daemon knows.
     known: Option<StoredConfiguration>,
-    /// Generation that the write replaces; none before the store was read.
+    /// Generation that the write replaces; none before the first read of the store.
     based_on: Option<Generation>,
-    /// A write may have been done.
+    /// Whether a write may have taken effect.
     may_be_written: bool,
 }
 
 impl Submission {
-    /// A checked submission.
+    /// Creates a submission after checking that its document compiles.
     ///
-    /// `known` is the newest configuration of this daemon.
+    /// `known` is the newest configuration known to this daemon.
     ///
     /// # Errors
-    /// [`SubmitError::Invalid`].
+    /// [`SubmitError::Invalid`] if the document does not compile.
     pub fn new(
         shared: Arc<Shared>,
         store: StoreClient,
@@ -60,7 +62,7 @@
         Ok(Self { shared, store, request, known, based_on: None, may_be_written: false })
     }
 
-    /// Carries the submission out, for at most [`MAX_SUBMISSION_TIME`].
+    /// Carries out the submission, for at most [`MAX_SUBMISSION_TIME`].
     ///
     /// # Errors
     /// [`SubmitError`].
@@ -74,7 +76,8 @@
         }
         loop {
             let detail = match self.step().await {
-                // Before the operator is answered: a store that goes back in time must not undo it.
+                // The witnesses hold the configuration before the operator receives an answer, so that a store that reverts
+                // to an older state can't undo it.
                 Ok(Some(accepted)) if register(&self.shared, &accepted.newest).await => return Ok(accepted),
                 Ok(Some(_)) => {
                     self.may_be_written = true;
@@ -102,7 +105,7 @@
         }
     }
 
-    /// Reads the store and takes the next step.
+    /// Reads the store and carries out the next step.
     async fn step(&mut self) -> Result<Option<AcceptedSubmission>, StepError> {
         let stored = self.store.read::<StoredConfiguration>(CONFIGURATION_KEY).await?;
         let generation = stored.value.as_ref().map(|stored| stored.generation).unwrap_or_default();
@@ -132,8 +135,8 @@
         }
     }
 
-    /// Writes the successor of what was read. A repeat of a lost write carries
-    /// the same revision, so that at most one of them lands.
+    /// Writes the successor of the configuration that was read. A repeat of a write whose response was lost has the same
+    /// revision, so that at most one of them takes effect.
     async fn write(
         &mut self,
         stored: Stored<Option<StoredConfiguration>>,
@@ -167,7 +170,7 @@
         StepError::Final(SubmitError::Conflict { id: self.request.id.0, expected, actual, by })
     }
 
-    /// Writes the newest accepted configuration over an older copy with which the store came back.
+    /// Overwrites an older copy, with which the store came back, with the newest accepted configuration.
     async fn restore(&self, stored: &Stored<Option<StoredConfiguration>>) -> Result<(), StepError> {
         let Some(known) = &self.known else { return Ok(()) };
         warn!(generation = known.generation.0; "the store holds an older configuration; restoring the newest");
@@ -175,7 +178,7 @@
         Ok(())
     }
 
-    /// Learns the newest configuration that a majority of the witnesses holds: this daemon may have missed it.
+    /// Queries the witnesses for the newest configuration held by a majority, which this daemon may have missed.
     async fn ask_witnesses(&mut self) -> Result<(), SubmitError> {
         let have = self.known.as_ref().map(|known| known.generation).unwrap_or_default();
         match ask_held(&self.shared, have).await {
