--- a/crates/seamhatchd/src/controllers/control_thread/followed.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/followed.rs
@@ -1,15 +1,15 @@
-//! Deployments in which operators write into a store that keeps what it acknowledged, and all daemons follow it.
+//! Deployments in which operators write into a durable store that all daemons follow.
 //!
-//! Starts the tasks that follow the store and does their share of the housekeeping. The store's configuration is expected to
-//! arrive by its watch; one that only peers report is asked for after a short wait, so that a daemon that is cut off from the
-//! store doesn't fall behind.
+//! Starts the tasks that follow the store and runs their periodic work. Configurations normally arrive through the watch of
+//! the store. A generation that only peers report is requested from a peer after a short delay, so that a daemon that is cut
+//! off from the store doesn't fall behind.
 
 use super::{ControlThread, HOUSEKEEPING_INTERVAL};
 use crate::base::clock;
 use crate::control::{ConfigurationEvent, ConfigurationSource};
 use crate::controllers::ask::ask_generation;
 use crate::controllers::follow::{
-    ProofKeeper, ShardKeeper, ShardOwner, discover, follow_configuration, keep_fresh, keep_quota_shards,
+    ProofKeeper, ShardKeeper, ShardOwner, discover, follow_configuration, keep_proof_fresh, keep_quota_shards,
 };
 use crate::limits::freshness::ProofRelayPosition;
 use crate::ports::{Backing, FollowedStore};
@@ -23,31 +23,32 @@
 use seamhatch_wire::ControlReply;
 use std::cmp::Reverse;
 
-/// How long the watch of the store may take before a generation that peers reported is asked for.
-const PULL_PATIENCE: Microseconds = 300 * MILLISECOND;
-/// Time between two attempts to get a generation that peers reported.
+/// Delay before a generation reported by peers is requested from a peer, to let the watch of the store deliver it first.
+const PULL_DELAY: Microseconds = 300 * MILLISECOND;
+/// Interval between two requests for a generation reported by peers.
 const PULL_INTERVAL: Microseconds = 400 * MILLISECOND;
-/// Members to which one passes its proofs on: with 570 members all others are one or two heartbeats from the first.
+/// Number of members to which each member relays its freshness proofs. With 570 members, each is at most two heartbeats
+/// from the first.
 const PROOF_FANOUT: usize = 32;
-/// Seed of the order in which daemons ask the store whether the configuration is the newest. Any number will do that differs from the
-/// other seeds of rendezvous hashing, so that one daemon isn't first everywhere.
-const ASKING_SEED: u64 = 4;
+/// Rendezvous hashing seed for the order in which daemons ask the store whether the configuration is the newest. Must differ
+/// from the other seeds, so that no single daemon is first in every order.
+const RELAY_SEED: u64 = 4;
 
-/// A generation that peers have and this daemon has not.
+/// A generation that peers have and this daemon lacks.
 #[derive(Debug, Clone, Copy)]
 struct MissingGeneration {
-    /// Peer that reported it; none where that isn't known, or it was asked already.
+    /// Peer that reported the generation; none if unknown or already asked.
     peer: Option<Address>,
     generation: Generation,
-    /// When the first such generation was reported.
+    /// When a missing generation was first reported.
     since: Instant,
     next_pull: Instant,
 }
 
-/// How far the configuration in the followed store is known.
+/// What this daemon knows of the configuration in the followed store.
 #[derive(Debug, Default)]
-pub(super) struct Following {
-    /// The store has returned its configuration to this process, or that there is none.
+pub(super) struct FollowState {
+    /// Whether the store has returned its configuration to this process, or reported that there is none.
     configuration_read: bool,
     missing: Option<MissingGeneration>,
 }
@@ -60,11 +61,11 @@
         }
     }
 
-    /// Starts to follow the store, where there is one to follow.
+    /// Starts the tasks that follow the store, if the deployment has a followed store.
     pub(super) fn start_following(&mut self) {
         let Some(followed) = self.followed().cloned() else { return };
         if self.shared.settings.first_start {
-            // No daemon of this deployment can have seen a departure.
+            // On the first start of a deployment, no daemon can have recorded a departure.
             self.departures.settled = true;
         }
         let documents = self.configuration.documents().clone();
@@ -76,7 +77,7 @@
             control.clone(),
             metrics.clone(),
         ));
-        tokio::spawn(keep_fresh(ProofKeeper {
+        tokio::spawn(keep_proof_fresh(ProofKeeper {
             followed: followed.clone(),
             documents,
             limits: self.shared.limits.clone(),
@@ -96,7 +97,7 @@
         tokio::spawn(discover(followed, gossip, control, metrics));
     }
 
-    /// This daemon as the holder of shards.
+    /// This daemon's identity as a holder of shards.
     fn shard_owner(&self) -> ShardOwner {
         let settings = &self.shared.settings;
         ShardOwner {
@@ -115,15 +116,16 @@
         if now >= self.schedule.housekeeping {
             self.schedule.housekeeping = now.plus(HOUSEKEEPING_INTERVAL);
             self.update_metrics();
-            self.update_asking_order();
+            self.update_relay_position();
             self.update_vacant_shards(now);
             self.shared.limits.quota.forget_old();
         }
     }
 
-    /// Finds this daemon's place in the order in which live members ask the store whether the configuration is the newest.
-    fn update_asking_order(&self) {
-        let weight = |member: Address| rendezvous::weight(ASKING_SEED, member.to_string().as_bytes());
+    /// Updates this daemon's rank, and its upstream member, in the order in which live members ask the store whether the
+    /// configuration is the newest.
+    fn update_relay_position(&self) {
+        let weight = |member: Address| rendezvous::weight(RELAY_SEED, member.to_string().as_bytes());
         let own = weight(self.shared.settings.advertise.gossip);
         let live = self.membership.state.others().filter(|record| record.is_live());
         let mut before: Vec<(u64, Address)> = live
@@ -136,30 +138,31 @@
         self.shared.limits.freshness.set_relay_position(ProofRelayPosition { rank, upstream });
     }
 
-    /// Records a generation that a peer reported. The store is expected to return it too.
-    pub(super) fn note_ahead(&mut self, peer: Option<Address>, generation: Generation) {
+    /// Records a generation reported by a peer. The store is expected to deliver it as well.
+    pub(super) fn record_newer_generation(&mut self, peer: Option<Address>, generation: Generation) {
         if generation <= self.configuration.generation() {
             return;
         }
         let now = clock::now();
-        match &mut self.following.missing {
+        match &mut self.follow_state.missing {
             Some(missing) if generation > missing.generation => {
                 missing.generation = generation;
                 missing.peer = peer.or(missing.peer);
             }
             Some(_) => {}
             None => {
-                let next_pull = now.plus(if self.is_ready() { PULL_PATIENCE } else { 0 });
-                self.following.missing = Some(MissingGeneration { peer, generation, since: now, next_pull });
+                let next_pull = now.plus(if self.is_ready() { PULL_DELAY } else { 0 });
+                self.follow_state.missing =
+                    Some(MissingGeneration { peer, generation, since: now, next_pull });
             }
         }
     }
 
-    /// Asks the peer that reported a missing generation for it, then others at random.
+    /// Requests a missing generation from the peer that reported it, later from random peers.
     fn pull_missing(&mut self, now: Instant) {
-        let Some(mut missing) = self.following.missing else { return };
+        let Some(mut missing) = self.follow_state.missing else { return };
         if missing.generation <= self.configuration.generation() {
-            self.following.missing = None;
+            self.follow_state.missing = None;
             return;
         }
         if now < missing.next_pull {
@@ -168,31 +171,31 @@
         missing.next_pull = now.plus(PULL_INTERVAL);
         let random = self.membership.random_peers(1).first().copied();
         let Some(peer) = missing.peer.take().or(random) else { return };
-        self.following.missing = Some(missing);
+        self.follow_state.missing = Some(missing);
         let have = self.configuration.generation();
         let shared = self.shared.clone();
         tokio::spawn(async move {
             if let Some(ControlReply::Configuration(newer)) = ask_generation(&shared.pool, peer, have).await {
-                info!(generation = newer.generation.0, waited_ms = clock::now().since(missing.since) / MILLISECOND; "configuration learnt from a peer");
+                info!(generation = newer.generation.0, waited_ms = clock::now().since(missing.since) / MILLISECOND; "configuration received from a peer");
                 shared.control.send(ConfigurationEvent::Offered(newer, ConfigurationSource::Peer));
             }
         });
     }
 
     pub(super) fn followed_store_read(&mut self) {
-        self.following.configuration_read = true;
+        self.follow_state.configuration_read = true;
         self.verify_followed(clock::now());
     }
 
-    /// A starting daemon knows the newest configuration when it has read the store, or, while the store is out, has caught up
-    /// with the peers that it has heard from.
+    /// Marks the configuration of a starting daemon as verified once it has read the store or, while the store is
+    /// unavailable, has caught up with the peers that have sent it messages.
     fn verify_followed(&mut self, now: Instant) {
         if self.is_verified() {
             return;
         }
         let waited_for_store = now.since(self.started) >= STORE_ANSWER_TIMEOUT;
-        let caught_up = self.following.missing.is_none() && self.configuration.in_force().is_some();
-        if self.following.configuration_read || (waited_for_store && caught_up) {
+        let caught_up = self.follow_state.missing.is_none() && self.configuration.in_force().is_some();
+        if self.follow_state.configuration_read || (waited_for_store && caught_up) {
             self.verified();
         }
     }
--- a/crates/seamhatchd/src/controllers/control_thread/members.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/members.rs
@@ -1,15 +1,15 @@
-//! Learning of other daemons: from the store's records, from connections, and from the platform's list of machines.
+//! Discovery of other daemons through the store's records, connections, and the platform's list of machines.
 
 use super::ControlThread;
 use crate::control::{Discovery, MemberEvent};
-use crate::controllers::follow::EvidenceNews;
+use crate::controllers::follow::EvidenceUpdate;
 use crate::store::{ListedMachine, MachineState, StoreError, read_machines};
 use log::{debug, info};
 use seamhatch_core::identity::Address;
 use seamhatch_core::membership::MemberRecord;
 
-/// Daemons that one that starts sends its record to at once; the others hear of it by gossip. Chosen, not measured.
-const GREETED: usize = 6;
+/// Number of daemons to which a starting daemon sends its record at once; the others receive it by gossip.
+const SYNC_FANOUT: usize = 6;
 
 impl ControlThread {
     pub(super) fn handle_member(&mut self, event: MemberEvent) {
@@ -20,25 +20,26 @@
         }
     }
 
-    /// Uses the records of all daemons that a starting daemon has read from the store.
+    /// Applies the records of all daemons that this daemon has read from the store at its start.
     fn discovered(&mut self, discovery: Discovery) {
         let Discovery { members, evidence, own_evidence, shards } = discovery;
         self.shared.suspects.merge(&evidence);
-        self.remember_evidence(EvidenceNews::InOwnRecord(own_evidence));
+        self.remember_evidence(EvidenceUpdate::InOwnRecord(own_evidence));
         self.learn_quota_shards(&shards);
         info!(members = members.len(); "read the daemons' records");
         let own = self.shared.settings.advertise.gossip;
         let mut others: Vec<Address> = members.iter().copied().filter(|member| *member != own).collect();
-        let mut greeted: Vec<Address> = Vec::new();
-        while greeted.len() < GREETED && !others.is_empty() {
-            greeted.push(others.swap_remove(rand::random_range(0..others.len())));
+        let mut sync_targets: Vec<Address> = Vec::new();
+        while sync_targets.len() < SYNC_FANOUT && !others.is_empty() {
+            sync_targets.push(others.swap_remove(rand::random_range(0..others.len())));
         }
         self.membership.state.add_seeds(members);
-        let outgoing = self.membership.state.sync_with(&greeted);
+        let outgoing = self.membership.state.sync_with(&sync_targets);
         self.membership.send_all(outgoing);
     }
 
-    /// A daemon has connected that may have restarted: it is greeted, so that membership learns of it at once.
+    /// Handles a connection from a daemon that may have restarted: starts a membership exchange with it at once if it isn't
+    /// known as live.
     fn connected(&mut self, gossip: Address) {
         if self.followed().is_none() || gossip == self.shared.settings.advertise.gossip {
             return;
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Reads the platform's list of machines, where there is one, as a watcher or while no other member is known.
+    /// Reads the platform's list of machines, if configured, on a watcher or while no other live member is known.
     pub(super) fn read_machines(&self) {
         let is_alone = self.membership.state.live_count() == 1;
         let Some(address) = self.shared.settings.machines else { return };
@@ -68,17 +69,18 @@
         let machines = match result {
             Ok(machines) => machines,
             Err(error) => {
-                debug!(error = error.to_string().as_str(); "the list of machines can't be read; it is tried again");
+                debug!(error = error.to_string().as_str(); "the list of machines can't be read; retrying");
                 return;
             }
         };
-        self.roster.take_machines(machines.iter().map(|machine| machine.address).collect());
+        self.roster.update_machines(machines.iter().map(|machine| machine.address).collect());
         for machine in &machines {
             self.note_machine(machine);
         }
     }
 
-    /// Marks the members on a leaving machine; seeds the member that is expected on a live one that has none.
+    /// Marks members on a leaving machine as leaving. For a live machine without a member, adds the expected address as a
+    /// seed.
     fn note_machine(&mut self, machine: &ListedMachine) {
         let state = &self.membership.state;
         let members: Vec<Address> = std::iter::once(state.me())
