--- a/crates/seamhatchd/src/listeners/proxy.rs
+++ b/crates/seamhatchd/src/listeners/proxy.rs
@@ -62,7 +62,7 @@
     /// Waits until there is a configuration and a server for each of its services, at most for `longest`.
     pub async fn until_can_route(&self, longest: Duration) {
         let end = tokio::time::Instant::now() + longest;
-        while !self.shared.snapshot().is_decidable() && tokio::time::Instant::now() < end {
+        while !self.shared.snapshot().has_servers_for_all_services() && tokio::time::Instant::now() < end {
             tokio::time::sleep(START_POLL).await;
         }
     }
--- a/crates/seamhatchd/src/snapshot.rs
+++ b/crates/seamhatchd/src/snapshot.rs
@@ -61,7 +61,7 @@
 
     /// Whether there is a configuration, and a server for each of its services.
     #[must_use]
-    pub fn is_decidable(&self) -> bool {
+    pub fn has_servers_for_all_services(&self) -> bool {
         let known = |service: &str| self.servers.get(service).is_some_and(|servers| !servers.is_empty());
         self.configuration().is_some_and(|configuration| configuration.services().all(known))
     }
