--- a/crates/seamhatchd/src/peer_server/mod.rs
+++ b/crates/seamhatchd/src/peer_server/mod.rs
@@ -64,7 +64,7 @@
     shared.control.daemon_connected(hello.gossip);
     // Before any call is handled on this connection, and before any state is reported on it.
     if let Some(notice) = &hello.handed_back {
-        shared.take_back(notice);
+        shared.restore_notice(notice);
     }
     let (outbox, messages) = Outbox::new(shared.unwritten.clone());
     // A new outbox can't be closed.
--- a/crates/seamhatchd/src/shared.rs
+++ b/crates/seamhatchd/src/shared.rs
@@ -149,7 +149,7 @@
     }
 
     /// Another daemon hands back what the back end said before this process started.
-    pub fn take_back(&self, notice: &BackEndNotice) {
+    pub fn restore_notice(&self, notice: &BackEndNotice) {
         if let Some(rate) = notice.rate {
             self.server.notices.hand_back_rate(notice.instance.as_ref(), rate);
         }
