--- a/crates/seamhatchd/src/controllers/control_thread/stopping.rs
+++ b/crates/seamhatchd/src/controllers/control_thread/stopping.rs
@@ -18,7 +18,7 @@
 
     /// Announces where this daemon is between start and end, if that has changed.
     fn update_lifecycle(&mut self) {
-        let lifecycle = if self.shared.takes_work() {
+        let lifecycle = if self.shared.accepts_work() {
             Lifecycle::Ready
         } else if self.shared.is_draining() {
             Lifecycle::Draining
--- a/crates/seamhatchd/src/controllers/status.rs
+++ b/crates/seamhatchd/src/controllers/status.rs
@@ -50,7 +50,7 @@
     let floor: AdmissionFloor = shared.server.gate.report().floor;
     StatusReport {
         member: input.me.info.gossip.to_string(),
-        ready: shared.takes_work(),
+        ready: shared.accepts_work(),
         draining: shared.is_draining(),
         in_flight: shared.intake.count(),
         generation: input.generation.0,
--- a/crates/seamhatchd/src/lifecycle.rs
+++ b/crates/seamhatchd/src/lifecycle.rs
@@ -58,7 +58,7 @@
 
     /// Whether callers are welcome at this daemon.
     #[must_use]
-    pub fn serves_callers(&self) -> bool {
+    pub fn accepts_callers(&self) -> bool {
         self.is_ready() && !self.is_draining()
     }
 
--- a/crates/seamhatchd/src/listeners/admin.rs
+++ b/crates/seamhatchd/src/listeners/admin.rs
@@ -120,7 +120,7 @@
 }
 
 fn readiness(shared: &Shared) -> WebResponse {
-    if shared.serves_callers() {
+    if shared.accepts_callers() {
         with_media_type(StatusCode::OK, "text/plain", b"ready\n".to_vec())
     } else {
         if shared.is_draining() {
--- a/crates/seamhatchd/src/peer_server/call/mod.rs
+++ b/crates/seamhatchd/src/peer_server/call/mod.rs
@@ -165,7 +165,7 @@
         match self.shared.call_intake() {
             CallIntake::Open => Ok(()),
             CallIntake::FallbackOnly { .. } if self.can_finish(running) => Ok(()),
-            CallIntake::Closed if self.shared.serves_callers() => Err(Reason::NoInstance),
+            CallIntake::Closed if self.shared.accepts_callers() => Err(Reason::NoInstance),
             CallIntake::FallbackOnly { .. } | CallIntake::Closed => Err(Reason::Draining),
         }
     }
--- a/crates/seamhatchd/src/shared.rs
+++ b/crates/seamhatchd/src/shared.rs
@@ -173,14 +173,14 @@
 
     /// Whether the server beside this daemon takes new work.
     #[must_use]
-    pub fn takes_work(&self) -> bool {
-        self.serves_callers() && self.server.instances.is_open()
+    pub fn accepts_work(&self) -> bool {
+        self.accepts_callers() && self.server.instances.is_open()
     }
 
     /// Whether callers are welcome at this daemon.
     #[must_use]
-    pub fn serves_callers(&self) -> bool {
-        self.lifecycle.serves_callers()
+    pub fn accepts_callers(&self) -> bool {
+        self.lifecycle.accepts_callers()
     }
 
     /// A number for a new call.
