--- a/crates/seamhatch-lab/src/conventions.rs
+++ b/crates/seamhatch-lab/src/conventions.rs
@@ -9,7 +9,7 @@
 use seamhatch_core::notice::AnswerNotice;
 use seamhatch_wire::HeaderField;
 use seamhatchd::conventions::{
-    AnswerMark, AnswerVerdict, BackEndCall, CallerTerms, HttpConventions, OwnAnswer, OwnConventions,
+    AnswerClassification, AnswerMark, BackEndCall, CallerTerms, HttpConventions, OwnAnswer, OwnConventions,
     field_text, text,
 };
 use seamhatchd::ports::Ports;
@@ -56,12 +56,17 @@
         OwnConventions.back_end_fields(call)
     }
 
-    fn judge(&self, call: &BackEndCall<'_>, status: StatusCode, headers: &HeaderMap) -> AnswerVerdict {
-        OwnConventions.judge(call, status, headers)
+    fn classify_answer(
+        &self,
+        call: &BackEndCall<'_>,
+        status: StatusCode,
+        headers: &HeaderMap,
+    ) -> AnswerClassification {
+        OwnConventions.classify_answer(call, status, headers)
     }
 
-    fn notice(&self, verdict: &AnswerVerdict, headers: &HeaderMap) -> AnswerNotice {
-        OwnConventions.notice(verdict, headers)
+    fn notice(&self, classification: &AnswerClassification, headers: &HeaderMap) -> AnswerNotice {
+        OwnConventions.notice(classification, headers)
     }
 
     fn back_end_load(&self, headers: &HeaderMap) -> Option<BackEndLoad> {
--- a/crates/seamhatchd/src/conventions/mod.rs
+++ b/crates/seamhatchd/src/conventions/mod.rs
@@ -91,7 +91,7 @@
 
 /// What the head of a back end's answer says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AnswerVerdict {
+pub enum AnswerClassification {
     /// It is the back end's answer to this call.
     Answer,
     /// The back end says that it did not run the call.
@@ -151,10 +151,15 @@
     fn back_end_fields(&self, call: &BackEndCall<'_>) -> Vec<HeaderField>;
 
     /// What the head of a back end's answer says: an answer to the call, a refusal, or neither.
-    fn judge(&self, call: &BackEndCall<'_>, status: StatusCode, headers: &HeaderMap) -> AnswerVerdict;
+    fn classify_answer(
+        &self,
+        call: &BackEndCall<'_>,
+        status: StatusCode,
+        headers: &HeaderMap,
+    ) -> AnswerClassification;
 
     /// What an answer that was judged so says of its back end. One that is not to this call says nothing.
-    fn notice(&self, verdict: &AnswerVerdict, headers: &HeaderMap) -> AnswerNotice;
+    fn notice(&self, classification: &AnswerClassification, headers: &HeaderMap) -> AnswerNotice;
 
     /// The load that a back end reports beside an answer; none where it reports nothing that can be read.
     fn back_end_load(&self, headers: &HeaderMap) -> Option<BackEndLoad>;
--- a/crates/seamhatchd/src/conventions/own.rs
+++ b/crates/seamhatchd/src/conventions/own.rs
@@ -1,8 +1,8 @@
 //! The product's own conventions: `Seamhatch-*` header fields, and problems as JSON.
 
 use super::{
-    AnswerMark, AnswerVerdict, BackEndCall, CallerCredential, CallerTerms, HttpConventions, OwnAnswer, field,
-    named_rate, says_yes, text,
+    AnswerClassification, AnswerMark, BackEndCall, CallerCredential, CallerTerms, HttpConventions, OwnAnswer,
+    field, named_rate, says_yes, text,
 };
 use crate::conventions::headers;
 use bytes::Bytes;
@@ -60,11 +60,16 @@
         vec![field(headers::CONTEXT, call.context), field(headers::DEADLINE, call.expiry.0.to_string())]
     }
 
-    fn judge(&self, _call: &BackEndCall<'_>, _status: StatusCode, _headers: &HeaderMap) -> AnswerVerdict {
-        AnswerVerdict::Answer
+    fn classify_answer(
+        &self,
+        _call: &BackEndCall<'_>,
+        _status: StatusCode,
+        _headers: &HeaderMap,
+    ) -> AnswerClassification {
+        AnswerClassification::Answer
     }
 
-    fn notice(&self, _verdict: &AnswerVerdict, headers: &HeaderMap) -> AnswerNotice {
+    fn notice(&self, _classification: &AnswerClassification, headers: &HeaderMap) -> AnswerNotice {
         AnswerNotice {
             rate: named_rate(headers, headers::BACKEND_RATE),
             leaving: says_yes(headers, headers::BACKEND_LEAVING),
--- a/crates/seamhatchd/src/server/backend/mod.rs
+++ b/crates/seamhatchd/src/server/backend/mod.rs
@@ -20,7 +20,7 @@
 use crate::base::clock;
 use crate::base::keepalive::SilenceCheck;
 use crate::base::metrics::{Metrics, OpenCause};
-use crate::conventions::{AnswerVerdict, BackEndCall, HttpConventions};
+use crate::conventions::{AnswerClassification, BackEndCall, HttpConventions};
 use body::HttpRequestBody;
 use bytes::Bytes;
 use connections::{Connection, Connections, idle_timeout};
@@ -97,10 +97,10 @@
         request_written: Arc<AtomicBool>,
     ) -> Result<BackendAnswer, BackendError> {
         let (parts, body) = response.into_parts();
-        let verdict = self.conventions.judge(call, parts.status, &parts.headers);
-        let notice = self.conventions.notice(&verdict, &parts.headers);
-        match verdict {
-            AnswerVerdict::Answer => Ok(BackendAnswer {
+        let classification = self.conventions.classify_answer(call, parts.status, &parts.headers);
+        let notice = self.conventions.notice(&classification, &parts.headers);
+        match classification {
+            AnswerClassification::Answer => Ok(BackendAnswer {
                 notice,
                 idle_timeout: idle_timeout(&parts.headers),
                 status: parts.status,
@@ -109,12 +109,12 @@
                 connection: Some(connection),
                 request_written,
             }),
-            AnswerVerdict::NotRun(reason) => {
+            AnswerClassification::NotRun(reason) => {
                 let detail = format!("status {}", parts.status);
                 discard(connection, body, idle_timeout(&parts.headers), request_written);
                 Err(BackendError::NotRun { reason, detail, notice })
             }
-            AnswerVerdict::Unusable(why) => {
+            AnswerClassification::Unusable(why) => {
                 // The sender is not the back end or has mixed up its answers, so nothing more may
                 // be read from this connection.
                 connection.close(OpenCause::UnusableAnswer);
--- a/crates/seamhatchd/tests/backend_connections.rs
+++ b/crates/seamhatchd/tests/backend_connections.rs
@@ -11,7 +11,7 @@
 use seamhatchd::base::clock;
 use seamhatchd::base::metrics::Metrics;
 use seamhatchd::conventions::{
-    AnswerMark, AnswerVerdict, BackEndCall, CallerTerms, HttpConventions, OwnAnswer, OwnConventions,
+    AnswerClassification, AnswerMark, BackEndCall, CallerTerms, HttpConventions, OwnAnswer, OwnConventions,
 };
 use seamhatchd::server::backend::{
     Backend, BackendAnswer, BackendError, BackendRequest, RequestBody, no_body, request_body,
@@ -30,11 +30,16 @@
 struct Judging(OwnConventions);
 
 impl HttpConventions for Judging {
-    fn judge(&self, _call: &BackEndCall<'_>, status: StatusCode, _headers: &HeaderMap) -> AnswerVerdict {
+    fn classify_answer(
+        &self,
+        _call: &BackEndCall<'_>,
+        status: StatusCode,
+        _headers: &HeaderMap,
+    ) -> AnswerClassification {
         match status.as_u16() {
-            503 => AnswerVerdict::NotRun(Reason::QueueFull),
-            500 => AnswerVerdict::Unusable("not the back end's"),
-            _ => AnswerVerdict::Answer,
+            503 => AnswerClassification::NotRun(Reason::QueueFull),
+            500 => AnswerClassification::Unusable("not the back end's"),
+            _ => AnswerClassification::Answer,
         }
     }
 
@@ -66,8 +71,8 @@
         self.0.back_end_fields(call)
     }
 
-    fn notice(&self, verdict: &AnswerVerdict, headers: &HeaderMap) -> AnswerNotice {
-        self.0.notice(verdict, headers)
+    fn notice(&self, classification: &AnswerClassification, headers: &HeaderMap) -> AnswerNotice {
+        self.0.notice(classification, headers)
     }
 
     fn back_end_load(&self, headers: &HeaderMap) -> Option<BackEndLoad> {
