--- a/crates/seamhatchd/src/conventions/mod.rs
+++ b/crates/seamhatchd/src/conventions/mod.rs
@@ -189,7 +189,7 @@
 
 /// The span in `Retry-After`, in seconds, fractions too; none where there is none, or a date.
 #[must_use]
-pub fn stated_return(headers: &HeaderMap) -> Option<Microseconds> {
+pub fn retry_after_span(headers: &HeaderMap) -> Option<Microseconds> {
     let seconds = plain_number(headers, RETRY_AFTER.as_str())?;
     // The conversion saturates.
     Some((seconds * SECOND as f64) as Microseconds)
@@ -208,7 +208,7 @@
 
 /// Whether a field says yes: a single `1`.
 #[must_use]
-pub fn says_yes(headers: &HeaderMap, name: &str) -> bool {
+pub fn is_flag_set(headers: &HeaderMap, name: &str) -> bool {
     let mut values = headers.get_all(name).iter();
     values.next().is_some_and(|value| value.as_bytes().trim_ascii() == b"1") && values.next().is_none()
 }
--- a/crates/seamhatchd/src/conventions/own.rs
+++ b/crates/seamhatchd/src/conventions/own.rs
@@ -2,7 +2,7 @@
 
 use super::{
     AnswerClassification, AnswerMark, BackEndCall, CallerCredential, CallerTerms, HttpConventions, OwnAnswer,
-    field, named_rate, says_yes, text,
+    field, is_flag_set, named_rate, text,
 };
 use crate::conventions::headers;
 use bytes::Bytes;
@@ -72,7 +72,7 @@
     fn notice(&self, _classification: &AnswerClassification, headers: &HeaderMap) -> AnswerNotice {
         AnswerNotice {
             rate: named_rate(headers, headers::BACKEND_RATE),
-            leaving: says_yes(headers, headers::BACKEND_LEAVING),
+            leaving: is_flag_set(headers, headers::BACKEND_LEAVING),
             proven: true,
             // Its own refusals are answers here, which go on to the caller as they are.
             return_after: None,
