--- a/crates/seamhatchd/src/dispatch/attempt.rs
+++ b/crates/seamhatchd/src/dispatch/attempt.rs
@@ -89,7 +89,7 @@
     }
 
     fn call_head(&mut self, connection: &PeerConnection) -> CallHead {
-        let expiry = self.shared.bounded(self.parent.expiry).minus(EXPIRY_MARGIN);
+        let expiry = self.shared.capped_expiry(self.parent.expiry).minus(EXPIRY_MARGIN);
         let context = CallContext {
             root: self.request.root,
             priority: self.parent.priority,
--- a/crates/seamhatchd/src/peer_server/call/execute.rs
+++ b/crates/seamhatchd/src/peer_server/call/execute.rs
@@ -129,7 +129,7 @@
             path: &self.head.path,
             headers: &self.head.headers,
             context,
-            expiry: self.shared.bounded(running.expiry),
+            expiry: self.shared.capped_expiry(running.expiry),
             instance: run.instance.as_ref(),
         };
         let answered = self.shared.server.backend.send(&request, body).await;
--- a/crates/seamhatchd/src/peer_server/mod.rs
+++ b/crates/seamhatchd/src/peer_server/mod.rs
@@ -72,7 +72,7 @@
     let writing = AbortOnDrop(tokio::spawn(link::write_messages(writer, messages)));
     let (calls, peer_clock) = (IncomingCalls::default(), SenderClock::new(hello.clock));
     let heartbeats = spawn_heartbeats(shared, hello.peer, &outbox, &calls, &peer_clock);
-    let shutdown_ack = shared.farewells.begin();
+    let shutdown_ack = shared.shutdown_acks.begin();
     let session = Session { shared: shared.clone(), outbox, hello, calls, peer_clock, shutdown_ack };
     let result = session.run(frames).await;
     drop((writing, heartbeats));
--- a/crates/seamhatchd/src/shared.rs
+++ b/crates/seamhatchd/src/shared.rs
@@ -48,7 +48,7 @@
     /// Messages to other daemons that are not written yet.
     pub unwritten: UnwrittenMessages,
     /// Daemons that may send calls here and have not heard that this one ends.
-    pub farewells: ShutdownAcks,
+    pub shutdown_acks: ShutdownAcks,
     /// Connections to other daemons.
     pub pool: Arc<PeerPool>,
     /// Claims, as a witness and as a claimant.
@@ -117,7 +117,7 @@
     /// Whether callers that come now are refused, as the process is about to end. Until then they are served,
     /// as they may not have learnt yet that it leaves.
     #[must_use]
-    pub fn is_too_late_for_callers(&self) -> bool {
+    pub fn refuses_callers(&self) -> bool {
         self.stop_state().refuses_callers()
     }
 
@@ -167,7 +167,7 @@
 
     /// The deadline with which work that is due by `expiry` is sent on now.
     #[must_use]
-    pub fn bounded(&self, expiry: Instant) -> Instant {
+    pub fn capped_expiry(&self, expiry: Instant) -> Instant {
         self.stop_state().cap_expiry(expiry, clock::now())
     }
 
--- a/crates/seamhatchd/src/startup.rs
+++ b/crates/seamhatchd/src/startup.rs
@@ -188,7 +188,7 @@
         lifecycle: DaemonLifecycle::starting(settings.grace),
         intake: Arc::default(),
         unwritten: UnwrittenMessages::default(),
-        farewells: ShutdownAcks::default(),
+        shutdown_acks: ShutdownAcks::default(),
         next_call: AtomicU64::new(1),
         metrics,
         settings,
--- a/crates/seamhatchd/src/stop/mod.rs
+++ b/crates/seamhatchd/src/stop/mod.rs
@@ -122,7 +122,7 @@
 /// sent before have arrived. Returns at the latest when `longest` has passed since `started`.
 async fn until_peers_acknowledge(shared: &Shared, started: Instant, longest: Duration) {
     let due = longest.min(elapsed_since(started) + SHUTDOWN_ACK_TIMEOUT);
-    while shared.farewells.pending() > 0 && elapsed_since(started) < due {
+    while shared.shutdown_acks.pending() > 0 && elapsed_since(started) < due {
         tokio::time::sleep(DRAIN_POLL).await;
     }
 }
