--- a/crates/seamhatchd/src/claims/claimant/answers.rs
+++ b/crates/seamhatchd/src/claims/claimant/answers.rs
@@ -1,4 +1,5 @@
-//! Where the answer to a claimed call is asked for: at the daemon that made the claim, and once that has ended at those that hold its answers.
+//! Looks up the answer to a claimed call: at the daemon that made the claim and, after that daemon has ended, at the daemons that
+//! hold its answers.
 
 use super::Claimant;
 use crate::snapshot::Server;
@@ -7,14 +8,15 @@
 use seamhatch_core::rendezvous;
 use seamhatch_wire::{ControlReply, ControlRequest, RecordedState};
 
-/// Daemons that are asked for the answer of one that has ended: more than hold it, as members may have come and gone since.
-const ASKED_FOR_ANSWERS: usize = 4;
+/// Maximum number of daemons asked for an answer of a daemon that has ended. More than the number that hold it, since members may
+/// have joined or left in the meantime.
+const MAX_ANSWER_HOLDERS: usize = 4;
 
 impl Claimant {
-    /// Asks the daemon that holds a claim what became of it, and where that has ended those that may hold its answer.
+    /// Asks the holder of a claim for its state and, if that is unknown there, the daemons that may hold the answer.
     pub(super) async fn ask_holder(&self, held: &Claim) -> RecordedState {
         let mut known = self.ask_recorded(held.holder.daemon, held).await;
-        for daemon in self.answer_holders(held.key, held.holder.daemon, ASKED_FOR_ANSWERS) {
+        for daemon in self.answer_holders(held.key, held.holder.daemon, MAX_ANSWER_HOLDERS) {
             if known != RecordedState::Forgotten {
                 break;
             }
@@ -30,12 +32,12 @@
         let request = ControlRequest::GetRecorded { key: held.key, holder: held.holder };
         match self.pool.ask(daemon, request).await {
             Some(ControlReply::Recorded(state)) => state,
-            // Without an answer the earlier attempt counts as one that may have run.
+            // Without a reply the earlier attempt is treated as one that may have run.
             _ => RecordedState::Forgotten,
         }
     }
 
-    /// The daemons that hold answers to this key of a daemon that has ended, in the order in which they are chosen.
+    /// The daemons that hold the answers for this key of a daemon that has ended, in rendezvous order.
     #[must_use]
     pub fn answer_holders(&self, key: ClaimKey, ended: Address, count: usize) -> Vec<Address> {
         let snapshot = self.published.load();
--- a/crates/seamhatchd/src/claims/claimant/mod.rs
+++ b/crates/seamhatchd/src/claims/claimant/mod.rs
@@ -1,8 +1,8 @@
-//! Claiming the key of a call that is not repeatable, before it is dispatched.
+//! Claims the key of a non-repeatable call before the call is dispatched.
 //!
-//! A claim is won when a majority of the witnesses of the key's shard grants it; when another attempt holds the key, this one
-//! is a duplicate, whose answer is asked for as [`answers`] says. Owns the numbers of this daemon's attempts. Relies on the
-//! published roster for the witnesses and on the pool for connections. Used by dispatch.
+//! A claim is won when a majority of the witnesses of the key's shard grants it. If another attempt holds the key, this one is a
+//! duplicate, and [`answers`] looks up the answer of the earlier attempt. This module owns the attempt numbers of the daemon; it takes
+//! the witnesses from the published roster and connections from the pool. Dispatch is its only user.
 
 mod answers;
 
@@ -22,12 +22,11 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Longest wait for a witness, the connection to it included.
+/// Timeout for the reply of a witness, including the time to connect to it.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Rounds that are tried while a shard changes its witnesses. With the pauses between them a claim lasts through 0.36 s
-/// of that.
-const MOST_ROUNDS: u32 = 4;
-/// Pause after the first round; after the second it is twice as long, and so on.
+/// Maximum number of rounds while a shard changes its witnesses. Including the pauses, a claim survives 0.36 s of such a change.
+const MAX_ROUNDS: u32 = 4;
+/// Pause after the first round; it grows linearly, so it is twice as long after the second round.
 const ROUND_PAUSE: Duration = Duration::from_millis(60);
 
 /// Why a call may not be dispatched.
@@ -35,9 +34,9 @@
 pub enum ClaimRefused {
     /// The key was used with another request.
     KeyMismatch,
-    /// Nothing was or will be dispatched for this attempt; whether an earlier one with the same key was is not known.
+    /// Nothing was or will be dispatched for this attempt. Whether an earlier attempt with the same key was dispatched is unknown.
     Undecided(Reason),
-    /// An earlier attempt of the same request holds the key; its answer, if known.
+    /// An earlier attempt of the same request holds the key. Contains its answer, if known.
     Duplicate(Option<RecordedAnswer>),
 }
 
@@ -53,7 +52,7 @@
     next_attempt: AtomicU64,
 }
 
-/// A claim that was won. Dropping it before [`Claimed::dispatched`] gives it up.
+/// A claim that was won. Dropping it before [`Claimed::dispatched`] releases the claim.
 #[derive(Debug)]
 pub struct Claimed {
     claimant: Arc<Claimant>,
@@ -66,17 +65,17 @@
 }
 
 impl Claimed {
-    /// The call is about to be sent: from now on it may run.
+    /// Marks the call as about to be sent: from now on it may run.
     pub fn dispatched(&mut self) {
         self.may_have_run = true;
     }
 
-    /// The call was proven not run after all.
+    /// Marks the call as proven not to have run.
     pub fn not_run(&mut self) {
         self.may_have_run = false;
     }
 
-    /// The call was answered.
+    /// Records the answer to the call.
     pub fn answered(&self, answer: RecordedAnswer) {
         self.claimant.claims.records.set(self.key, self.holder, RecordedState::Answered(answer));
     }
@@ -114,7 +113,7 @@
 }
 
 impl Claimant {
-    /// Makes claims as `daemon` in this incarnation.
+    /// A claimant for `daemon` in this incarnation.
     #[must_use]
     pub fn new(
         daemon: Address,
@@ -152,7 +151,7 @@
         }
     }
 
-    /// Tries again while there is no majority: a shard that changes its witnesses grants nothing for a moment.
+    /// Retries while there is no majority: a shard grants no claims while it changes its witnesses.
     async fn claim_in_rounds(
         self: &Arc<Self>,
         key: ClaimKey,
@@ -161,7 +160,7 @@
         let mut round = 1;
         loop {
             match self.claim_in_round(key, request).await {
-                Err(RoundError::NoMajority) if round < MOST_ROUNDS => {
+                Err(RoundError::NoMajority) if round < MAX_ROUNDS => {
                     tokio::time::sleep(ROUND_PAUSE * round).await;
                     round += 1;
                 }
@@ -170,7 +169,7 @@
         }
     }
 
-    /// Asks all witnesses once, as an attempt of its own.
+    /// Asks all witnesses once, under a new attempt number.
     async fn claim_in_round(
         self: &Arc<Self>,
         key: ClaimKey,
@@ -181,7 +180,7 @@
         let holder = self.new_holder();
         let claim = Claim { key, request, holder };
         self.claims.records.begin(key, holder);
-        // Made before the witnesses are asked: dropping it gives up whatever they grant, unless the round is won.
+        // Created before the witnesses are asked, so that dropping it releases whatever they grant unless the round is won.
         let claimed = Claimed {
             claimant: self.clone(),
             key,
@@ -191,12 +190,12 @@
             witnesses: view.witnesses.to_vec(),
             may_have_run: false,
         };
-        let (verdict, ahead) = self.ask_witnesses(&view, claim).await;
+        let (verdict, newer_witness) = self.ask_witnesses(&view, claim).await;
         match verdict {
             ClaimVerdict::Won => Ok(claimed),
             ClaimVerdict::Held(held) => Err(RoundError::Held(held)),
             ClaimVerdict::NoMajority => {
-                self.control.check_roster(ahead);
+                self.control.check_roster(newer_witness);
                 Err(RoundError::NoMajority)
             }
         }
@@ -210,31 +209,32 @@
         }
     }
 
-    /// Asks all witnesses at once; done as soon as their replies decide. Also returns a witness that knows a later epoch.
+    /// Asks all witnesses concurrently and returns as soon as their replies decide the round. Also returns a witness that knows a
+    /// later epoch.
     async fn ask_witnesses(
         self: &Arc<Self>,
         view: &ShardView<'_>,
         claim: Claim,
     ) -> (ClaimVerdict, Option<Address>) {
         let mut round = ClaimRound::new(view.witnesses.len());
-        let mut ahead = None;
+        let mut newer_witness = None;
         let ask = async |witness: WitnessId| {
             (witness.daemon, self.ask_witness(witness, view.shard, view.epoch, claim).await)
         };
         let mut replies: FuturesUnordered<_> = view.witnesses.iter().copied().map(ask).collect();
         while let Some((daemon, reply)) = replies.next().await {
             if matches!(reply, Some(ClaimReply::NotServing { epoch }) if epoch > view.epoch) {
-                ahead = Some(daemon);
+                newer_witness = Some(daemon);
             }
             round.reply(reply);
             if let Some(verdict) = round.verdict() {
-                return (verdict, ahead);
+                return (verdict, newer_witness);
             }
         }
-        (ClaimVerdict::NoMajority, ahead)
+        (ClaimVerdict::NoMajority, newer_witness)
     }
 
-    /// A witness's reply; none when it can't be reached or doesn't answer in time, which the round counts.
+    /// The reply of a witness; `None` when it can't be reached or doesn't answer in time, which the round counts.
     async fn ask_witness(
         &self,
         witness: WitnessId,
@@ -249,7 +249,7 @@
         tokio::time::timeout(CLAIM_TIMEOUT, asking).await.ok().flatten()
     }
 
-    /// Releases a claim whose holder said that it gave it up, as the holder's own release may be lost.
+    /// Releases a claim that its holder reports as given up, since the release message of the holder may be lost.
     fn release_for(&self, held: &Claim) {
         let snapshot = self.published.load();
         let Some(view) = snapshot.shard_of(held.key) else { return };
@@ -262,7 +262,7 @@
         self.send_to_witnesses(view.witnesses, &release);
     }
 
-    /// Sends a message to the witnesses that this daemon is connected to.
+    /// Sends a message to those witnesses to which a connection exists.
     fn send_to_witnesses(&self, witnesses: &[WitnessId], message: &PeerMessage) {
         for witness in witnesses {
             if let Some(connection) = self.pool.existing(witness.daemon) {
--- a/crates/seamhatchd/src/claims/mod.rs
+++ b/crates/seamhatchd/src/claims/mod.rs
@@ -1,8 +1,8 @@
-//! At most once: this daemon's part as a witness, the claims that it makes for its calls, and what became of them.
+//! At-most-once execution: this daemon's role as a witness, the claims that it makes for its calls, and the results of those claims.
 //!
-//! [`Claimant`] claims before dispatch; [`Witnesses`] grant claims of other daemons; [`ClaimRecords`] answer repeats of a
-//! request. All state is in memory: a daemon that restarts is another witness, and its claims can't be asked about. What one remembers that stops in
-//! order, others may hold ([`SealedMemories`]).
+//! [`Claimant`] claims before dispatch, [`Witnesses`] grant claims of other daemons, and [`ClaimRecords`] supply the answers for
+//! repeated requests. All state is in memory: a restarted daemon counts as a new witness, and its earlier claims can't be looked up.
+//! When a daemon stops in an orderly way, other daemons may hold its state ([`SealedMemories`]).
 
 mod claimant;
 mod records;
@@ -14,13 +14,13 @@
 pub use sealed::SealedMemories;
 pub use witnesses::Witnesses;
 
-/// Claims of calls that are not repeatable, as all threads share them.
+/// Claims of non-repeatable calls, shared by all threads.
 #[derive(Debug, Default)]
 pub struct ClaimState {
-    /// This daemon's part as a witness.
+    /// This daemon's role as a witness.
     pub witnesses: Witnesses,
-    /// What witnesses remember that have retired.
+    /// Claims granted by witnesses that have retired.
     pub sealed: SealedMemories,
-    /// Claims that this daemon made, and what became of them.
+    /// Claims that this daemon made, with their results.
     pub records: ClaimRecords,
 }
--- a/crates/seamhatchd/src/claims/records.rs
+++ b/crates/seamhatchd/src/claims/records.rs
@@ -1,7 +1,7 @@
-//! What became of the claims that this daemon made, for repeats of the same request.
+//! Results of the claims that this daemon made, looked up when the same request is repeated.
 //!
-//! Written by the claimant, read by other daemons' claimants through control requests, and trimmed by the control thread. Answers of daemons that have stopped
-//! are held here, too.
+//! The claimant writes the records, claimants of other daemons read them through control requests, and the control thread removes
+//! old ones. Answers recorded by daemons that have stopped are held here, too.
 
 use crate::base::clock;
 use crate::base::lock::lock;
@@ -11,11 +11,11 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Mutex, MutexGuard};
 
-/// Bytes of recorded answers that are kept; the oldest go first.
-const LARGEST_TOTAL: usize = 8 * 1024 * 1024;
+/// Maximum size of all recorded answer bodies; the oldest records are evicted first.
+const MAX_RECORDED_BYTES: usize = 8 * 1024 * 1024;
 
-/// Claims that are remembered at most; the oldest go first.
-const MOST_RECORDS: usize = 100_000;
+/// Maximum number of records; the oldest are evicted first.
+const MAX_RECORDS: usize = 100_000;
 
 #[derive(Debug)]
 struct Record {
@@ -30,7 +30,7 @@
     bytes: usize,
 }
 
-/// The claims of this daemon's attempts.
+/// Results of the claims made by this daemon's attempts.
 #[derive(Debug, Default)]
 pub struct ClaimRecords(Mutex<Records>);
 
@@ -40,12 +40,12 @@
         self.lock().begin(key, holder);
     }
 
-    /// Records what became of a claim, unless it was forgotten.
+    /// Sets the state of a claim, unless its record was evicted.
     pub fn set(&self, key: ClaimKey, holder: ClaimHolder, state: RecordedState) {
         self.lock().set(key, holder, state);
     }
 
-    /// Holds the answer of another daemon's claim, unless it does already.
+    /// Stores the answer to another daemon's claim, unless a record of that claim exists.
     pub fn hold(&self, key: ClaimKey, holder: ClaimHolder, answer: RecordedAnswer) {
         let mut records = self.lock();
         if !records.by_claim.contains_key(&(key, holder)) {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The claims whose answers are known, the latest first.
+    /// The claims with a recorded answer, newest first.
     #[must_use]
     pub fn answered(&self) -> Vec<(ClaimKey, ClaimHolder)> {
         let records = self.lock();
@@ -65,14 +65,14 @@
         records.order.iter().rev().filter(is_answered).copied().collect()
     }
 
-    /// What became of a claim.
+    /// The state of a claim; [`RecordedState::Forgotten`] without a record.
     #[must_use]
     pub fn get(&self, key: ClaimKey, holder: ClaimHolder) -> RecordedState {
         let records = self.lock();
         records.by_claim.get(&(key, holder)).map_or(RecordedState::Forgotten, |record| record.state.clone())
     }
 
-    /// Forgets claims that are older than [`CLAIM_RETENTION`].
+    /// Removes records that are older than [`CLAIM_RETENTION`].
     pub fn forget_old(&self) {
         let now = clock::now();
         let mut records = self.lock();
@@ -109,7 +109,7 @@
     }
 
     fn is_full(&self) -> bool {
-        self.bytes > LARGEST_TOTAL || self.order.len() > MOST_RECORDS
+        self.bytes > MAX_RECORDED_BYTES || self.order.len() > MAX_RECORDS
     }
 
     fn oldest_age(&self, now: Instant) -> Option<u64> {
--- a/crates/seamhatchd/src/claims/sealed.rs
+++ b/crates/seamhatchd/src/claims/sealed.rs
@@ -1,6 +1,7 @@
-//! What witnesses remember that have retired: this daemon holds it until others have taken over their shards.
+//! Sealed state of retired witnesses, which this daemon holds until other witnesses have taken over their shards.
 //!
-//! Such a memory is final, whoever holds it. Written and read by the controllers of other daemons; handed on where this daemon ends itself.
+//! Sealed state never changes, whichever daemon holds it. The controllers of other daemons write and read it; a daemon that stops
+//! hands it on to others.
 
 use crate::base::clock;
 use crate::base::lock::lock;
@@ -13,29 +14,29 @@
 
 type Memories = BTreeMap<(u32, WitnessId), (SealedMemory, Instant)>;
 
-/// Memories of retired witnesses.
+/// Sealed state of retired witnesses, by shard and witness.
 #[derive(Debug, Default)]
 pub struct SealedMemories(Mutex<Memories>);
 
 impl SealedMemories {
-    /// Holds one.
+    /// Stores the sealed state of one witness for one shard, replacing an earlier one.
     pub fn hold(&self, memory: SealedMemory) {
         self.lock().insert((memory.shard, memory.witness), (memory, clock::now()));
     }
 
-    /// What a witness remembered in a shard.
+    /// The sealed state of a witness for a shard.
     #[must_use]
     pub fn get(&self, shard: u32, witness: WitnessId) -> Option<SealedMemory> {
         self.lock().get(&(shard, witness)).map(|(memory, _)| memory.clone())
     }
 
-    /// All that are held.
+    /// All sealed states held here.
     #[must_use]
     pub fn all(&self) -> Vec<SealedMemory> {
         self.lock().values().map(|(memory, _)| memory.clone()).collect()
     }
 
-    /// Forgets those whose claims are older than [`CLAIM_RETENTION`].
+    /// Removes entries that were stored more than [`CLAIM_RETENTION`] ago.
     pub fn forget_old(&self) {
         let now = clock::now();
         self.lock().retain(|_, (_, since)| now.since(*since) <= CLAIM_RETENTION);
--- a/crates/seamhatchd/src/claims/witnesses.rs
+++ b/crates/seamhatchd/src/claims/witnesses.rs
@@ -1,7 +1,7 @@
-//! This daemon's witnesses, one for each shard, in memory only.
+//! This daemon's witnesses, one per shard, in memory only.
 //!
-//! Sessions pass on the claims of other daemons; the control thread seals and installs epochs. The rules are
-//! [`seamhatch_core::claims`].
+//! Peer sessions forward the claims of other daemons; the control thread seals and installs epochs. [`seamhatch_core::claims`]
+//! defines the rules.
 
 use crate::base::clock;
 use crate::base::lock::lock;
@@ -9,7 +9,7 @@
 use seamhatch_core::roster::SHARDS;
 use std::sync::{Mutex, MutexGuard};
 
-/// All shards' witnesses of one daemon.
+/// The witnesses of one daemon, indexed by shard.
 #[derive(Debug)]
 pub struct Witnesses(Mutex<Vec<Witness>>);
 
@@ -20,7 +20,7 @@
 }
 
 impl Witnesses {
-    /// Decides a claim.
+    /// Grants or denies a claim.
     #[must_use]
     pub fn claim(&self, shard: u32, epoch: Epoch, claim: Claim) -> ClaimReply {
         match self.lock().get_mut(shard as usize) {
@@ -29,20 +29,20 @@
         }
     }
 
-    /// Releases a claim that its holder gave up.
+    /// Releases a claim that its holder has given up.
     pub fn release(&self, shard: u32, epoch: Epoch, key: ClaimKey, holder: ClaimHolder) {
         if let Some(witness) = self.lock().get_mut(shard as usize) {
             witness.release(epoch, key, holder);
         }
     }
 
-    /// Ends an epoch. Returns the claims that are remembered, none for an unknown shard.
+    /// Seals an epoch: no more claims are granted in it. Returns the remembered claims; `None` for an unknown shard.
     #[must_use]
     pub fn seal(&self, shard: u32, epoch: Epoch) -> Option<Vec<Claim>> {
         self.lock().get_mut(shard as usize).map(|witness| witness.seal(epoch))
     }
 
-    /// Grants nothing more for ever. Returns the claims that are remembered, by shard.
+    /// Permanently stops granting claims. Returns the remembered claims by shard.
     #[must_use]
     pub fn retire(&self) -> Vec<(u32, Vec<Claim>)> {
         let mut witnesses = self.lock();
@@ -50,7 +50,7 @@
         serving.map(|(shard, witness)| (shard as u32, witness.retire())).collect()
     }
 
-    /// Begins an epoch with the claims of earlier ones; false when it is refused.
+    /// Starts an epoch with the claims of earlier epochs. Returns false when the epoch is refused.
     #[must_use]
     pub fn install(&self, shard: u32, epoch: Epoch, claims: Vec<Claim>) -> bool {
         let mut witnesses = self.lock();
@@ -58,13 +58,13 @@
         witness.is_some_and(|witness| witness.install(epoch, claims, clock::now()).is_ok())
     }
 
-    /// The last epoch that was installed or sealed here; none before the first.
+    /// The last epoch that was installed or sealed here; `None` before the first.
     #[must_use]
     pub fn epoch(&self, shard: usize) -> Option<Epoch> {
         self.lock().get(shard).and_then(Witness::epoch)
     }
 
-    /// The epoch in which claims are granted now, zero for none.
+    /// The epoch in which claims are currently granted, zero for none.
     #[must_use]
     pub fn serving(&self, shard: u32) -> Epoch {
         let witnesses = self.lock();
@@ -72,7 +72,7 @@
         witness.epoch().filter(|epoch| witness.serves(*epoch)).unwrap_or_default()
     }
 
-    /// Forgets old claims; returns how many are left.
+    /// Removes expired claims and returns the number that remain.
     pub fn forget_old(&self) -> usize {
         let now = clock::now();
         let mut witnesses = self.lock();
