--- a/crates/seamhatchd/src/control/events.rs
+++ b/crates/seamhatchd/src/control/events.rs
@@ -1,4 +1,4 @@
-//! Events for the control thread, grouped by what they are about. Each group is handled in one file of `controllers::control_thread`.
+//! Events for the control thread, grouped by subject. One file of `controllers::control_thread` handles each group.
 
 use super::{Discovery, StatusReport, SubmitError, SubmitRequest, TransitionResult};
 use crate::store::{ListedMachine, StoreError, Stored};
@@ -16,27 +16,27 @@
 /// An event for the control thread.
 #[derive(Debug)]
 pub enum ControlEvent {
-    /// Another daemon's controller asks.
+    /// A request of another daemon's controller.
     Request(ControlRequest, oneshot::Sender<ControlReply>),
-    /// An operator asks or gives an order.
+    /// A query or command of an operator.
     Operator(OperatorEvent),
-    /// About the back end's instance beside this daemon.
+    /// Concerns the back-end instance beside this daemon.
     Instance(InstanceEvent),
-    /// About requests that were at work when servers crashed.
+    /// Concerns requests that were running when servers crashed.
     Suspects(SuspectEvent),
-    /// About the configuration.
+    /// Concerns the configuration.
     Configuration(ConfigurationEvent),
-    /// About the witnesses of claims.
+    /// Concerns the witnesses of claims.
     Roster(RosterEvent),
-    /// About other daemons.
+    /// Concerns other daemons.
     Member(MemberEvent),
-    /// This daemon holds other shards of the tenants' limits than before.
+    /// The set of shards of the tenants' limits that this daemon holds has changed.
     QuotaShardsChanged,
-    /// The process is about to end: the other members are to learn it.
+    /// The process is about to end; the control thread announces it to the other members.
     Leave(oneshot::Sender<()>),
 }
 
-/// What operators ask for.
+/// Queries and commands of operators.
 #[derive(Debug)]
 pub enum OperatorEvent {
     /// Accept this configuration.
@@ -45,11 +45,11 @@
     Status(oneshot::Sender<StatusReport>),
     /// Return the newest configuration.
     GetConfiguration(oneshot::Sender<Option<StoredConfiguration>>),
-    /// Drain a daemon; false when it isn't known.
+    /// Drain a daemon; the reply is false when the daemon is unknown.
     Drain(DrainTarget, oneshot::Sender<bool>),
 }
 
-/// Which daemon is to drain.
+/// The daemon to drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DrainTarget {
     /// This one.
@@ -58,20 +58,20 @@
     Member(Address),
 }
 
-/// About the back end's instance beside this daemon, and the departures of earlier ones.
+/// Concerns the back-end instance beside this daemon, and the departures of earlier instances.
 #[derive(Debug)]
 pub enum InstanceEvent {
-    /// It sent a heartbeat.
+    /// The instance sent a heartbeat.
     Heartbeat(Heartbeat, oneshot::Sender<InstanceAnswer>),
-    /// It said goodbye.
+    /// The instance deregistered itself.
     Departs(InstanceId, oneshot::Sender<InstanceAnswer>),
-    /// It has said in an answer that it leaves; none for one without a name.
+    /// The instance announced in an answer that it leaves; `None` for an unnamed instance.
     SaysLeaving(Option<InstanceId>),
-    /// It has no name, has said that it leaves, and has ended.
+    /// An unnamed instance that had announced that it leaves has ended.
     LeftUnnamed,
-    /// It could not be reached, or another one answered in its place.
+    /// The instance could not be reached, or another instance answered in its place.
     Lost(InstanceId, Reason),
-    /// The store or another daemon remembers that it departed.
+    /// The store or another daemon has recorded the departure of the instance.
     DepartureRemembered(InstanceId),
     /// Instances that departed before this daemon started, and who reported them.
     DeparturesLearned(DepartureSource, Vec<InstanceId>),
@@ -79,31 +79,31 @@
     DeparturesNotLearned,
 }
 
-/// What a back end is answered.
+/// Reply to a message of a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InstanceAnswer {
-    /// Its message counts, and is remembered where that matters.
+    /// The message took effect and, where necessary, was recorded elsewhere.
     Acknowledged,
-    /// That it leaves counts here, but nobody else remembers it yet.
+    /// The departure took effect here, but neither the store nor another daemon has recorded it yet.
     NotRemembered,
 }
 
-/// About requests that were at work when servers crashed.
+/// Concerns requests that were running when servers crashed.
 #[derive(Debug)]
 pub enum SuspectEvent {
-    /// The evidence about these changed here: the other daemons are to learn it.
+    /// The evidence about these requests changed here; it is sent to the other daemons.
     Changed(Vec<RequestDigest>),
-    /// These ran in a crash of this daemon's back end, or are condemned and have a trial run there: the store is to remember
-    /// what speaks against them.
+    /// These requests were running when this daemon's back end crashed, or are condemned and have a trial run there; the evidence
+    /// against them is written to the store.
     CrashedHere(Vec<RequestDigest>),
 }
 
-/// From where this daemon learnt a configuration.
+/// Source from which this daemon received a configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfigurationSource {
     /// The watch of the followed store.
     Watch,
-    /// A read of the store: at the start, after a failure, or to prove that the one in force is the newest.
+    /// A read of the store: at the start, after a failure, or to prove that the configuration in force is the newest.
     Store,
     /// Another daemon.
     Peer,
@@ -114,7 +114,7 @@
 }
 
 impl ConfigurationSource {
-    /// Its name in logs.
+    /// Name of the source in logs.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -127,7 +127,7 @@
     }
 }
 
-/// About the configuration.
+/// Concerns the configuration.
 #[derive(Debug)]
 pub enum ConfigurationEvent {
     /// A daemon reported a newer generation than the one in force here.
@@ -139,58 +139,59 @@
     },
     /// A configuration that may be in force: a majority of the witnesses holds it, or a followed store has it.
     Offered(StoredConfiguration, ConfigurationSource),
-    /// Several that were accepted one after the other, in their order: the last one that can be used counts.
+    /// Several configurations in the order of their acceptance; the last usable one takes effect.
     OfferedSeries(Vec<StoredConfiguration>, ConfigurationSource),
-    /// No newer configuration had been accepted at an instant.
+    /// Proof that no newer configuration had been accepted at an instant.
     Proved(FreshnessProof),
-    /// The store was read, in a deployment where daemons accept configurations.
+    /// Result of reading the store in a deployment where daemons accept configurations.
     StoreRead(Result<Stored<Option<StoredConfiguration>>, StoreError>),
-    /// The followed store has returned its configuration, or that there is none.
+    /// The followed store was read; it returned its configuration or reported that there is none.
     FollowedStoreRead,
-    /// A starting daemon has learned the newest accepted configuration.
+    /// A starting daemon has verified that it knows the newest accepted configuration.
     Verified,
-    /// A starting daemon could not learn it from a majority of the witnesses.
+    /// A starting daemon could not verify it with a majority of the witnesses.
     NotVerified,
     /// The registration of a configuration ended without a majority.
     NotRegistered,
 }
 
-/// About the witnesses of claims.
+/// Concerns the witnesses of claims.
 #[derive(Debug)]
 pub enum RosterEvent {
-    /// A claim or a configuration found no majority: the roster may have changed, as this daemon's peer has seen.
+    /// A claim or a configuration found no majority, so the roster may have changed. Contains the peer that knows a later epoch, if any.
     Check(Option<Address>),
-    /// The store's roster was read.
+    /// Result of reading the roster from the store.
     Read(Result<Stored<Option<Roster>>, StoreError>),
-    /// A roster came from another daemon, or was written.
+    /// A roster was received from another daemon, or was written to the store.
     Offered(Roster),
-    /// A change of witnesses made progress.
+    /// A change of a shard's witnesses made progress.
     Transition(TransitionResult),
     /// An attempt to write a changed roster has ended.
     WriteEnded,
-    /// This daemon stops: what does it still owe the others as a witness?
+    /// This daemon stops and asks which duties it still has as a witness.
     Duty(oneshot::Sender<WitnessDuty>),
-    /// This daemon stops and others have not taken over its shards: it retires as a witness if they can't, as the store is out.
+    /// This daemon stops before others have taken over its shards. It retires as a witness if they can't take over because the store is
+    /// unavailable.
     Retire(oneshot::Sender<Option<Retirement>>),
 }
 
-/// A daemon that stops has retired as a witness.
+/// Result of the retirement of a stopping daemon as a witness.
 #[derive(Debug)]
 pub struct Retirement {
-    /// What it remembers of its shards.
+    /// Its sealed state, by shard.
     pub memories: Vec<SealedMemory>,
-    /// Peer addresses of the daemons that can hold it.
+    /// Peer addresses of the daemons that can hold this state.
     pub holders: Vec<Address>,
 }
 
-/// About other daemons.
+/// Concerns other daemons.
 #[derive(Debug)]
 pub enum MemberEvent {
-    /// The daemon with this gossip address has connected.
+    /// The daemon with this gossip address connected.
     Connected(Address),
     /// The records of all daemons were read from the store.
     Discovered(Discovery),
-    /// The platform's list of machines was read.
+    /// Result of reading the platform's machine list.
     MachinesRead(Result<Vec<ListedMachine>, StoreError>),
 }
 
--- a/crates/seamhatchd/src/control/findings.rs
+++ b/crates/seamhatchd/src/control/findings.rs
@@ -1,4 +1,4 @@
-//! What tasks of the control thread found out and report as an event.
+//! Results that tasks of the control thread report as events.
 
 use crate::store::ShardRecord;
 use seamhatch_core::claims::Epoch;
@@ -6,30 +6,30 @@
 use seamhatch_core::identity::{Address, RequestDigest};
 use seamhatch_core::quota::ShardNumber;
 
-/// What the records of all daemons in the store contain.
+/// Contents of the records of all daemons in the store.
 #[derive(Debug, Default)]
 pub struct Discovery {
     /// Gossip addresses of the daemons.
     pub members: Vec<Address>,
-    /// Evidence against requests that crash servers, as any of them has noted.
+    /// Evidence against requests that crash servers, as recorded by any daemon.
     pub evidence: Vec<SuspectReport>,
-    /// Requests that this daemon has noted.
+    /// Requests against which this daemon has recorded evidence.
     pub own_evidence: Vec<RequestDigest>,
-    /// Shards of the tenants' limits and who holds them.
+    /// Shards of the tenants' limits with their holders.
     pub shards: Vec<(ShardNumber, ShardRecord)>,
 }
 
-/// How far a shard's change of witnesses came.
+/// Progress of a change of a shard's witnesses.
 #[derive(Debug, Clone)]
 pub struct TransitionResult {
     /// Number of the shard.
     pub shard: usize,
-    /// Its present epoch.
+    /// Its current epoch.
     pub epoch: Epoch,
-    /// Installed at a majority.
+    /// Whether the epoch is installed at a majority of the witnesses.
     pub confirmed: bool,
-    /// Installed at all witnesses.
+    /// Whether the epoch is installed at all witnesses.
     pub complete: bool,
-    /// Earlier epochs that are over and whose claims may be lost: the change waits them out.
+    /// Sealed earlier epochs whose claims may be lost; the change waits until those claims have expired.
     pub lossy: Vec<Epoch>,
 }
--- a/crates/seamhatchd/src/control/handle.rs
+++ b/crates/seamhatchd/src/control/handle.rs
@@ -1,7 +1,7 @@
-//! The handle through which other threads reach the control thread.
+//! The handle through which other threads send events to the control thread.
 //!
-//! Events go through an unbounded queue, in order. The handle also owns the newest generation that any daemon has reported, so that the
-//! request path sees without waiting whether this daemon's configuration may be out of date.
+//! Events go through an unbounded queue, in order. The handle also owns the newest generation that any daemon has reported, so that
+//! the request path can check without blocking whether this daemon's configuration may be out of date.
 
 use super::{
     ConfigurationEvent, ControlEvent, DrainTarget, InstanceAnswer, InstanceEvent, MemberEvent, OperatorEvent,
@@ -23,12 +23,12 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Longest wait for the control thread when a drain begins or the process ends: the process must end also where that thread is stuck.
+/// Timeout for the control thread when a drain begins or the process ends, so that the process ends even if that thread is stuck.
 const STOP_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A reported generation counts as missing here for this long, in microseconds: the daemon that reports one has it and hands it over
-/// within a second, so one that is missing for longer exists nowhere.
-const LONGEST_BEHIND: Microseconds = 10 * SECOND;
+/// Maximum time for which a reported generation counts as missing here, in microseconds. The daemon that reports a generation hands it
+/// over within a second, so a generation that is missing for longer does not exist.
+const MAX_GENERATION_LAG: Microseconds = 10 * SECOND;
 
 /// Sends events to the control thread; cheap to clone.
 #[derive(Debug, Clone)]
@@ -37,12 +37,12 @@
     generation_in_force: Arc<AtomicU64>,
     /// The newest generation that any daemon has reported.
     generation_reported: Arc<AtomicU64>,
-    /// When it was first reported, in microseconds of the boot clock.
+    /// Time of its first report, in microseconds of the boot clock.
     reported_at: Arc<AtomicU64>,
 }
 
 impl ControlHandle {
-    /// A handle, and the receiving end of its queue.
+    /// A handle with the receiving end of its queue.
     #[must_use]
     pub fn new() -> (Self, mpsc::UnboundedReceiver<ControlEvent>) {
         let (events, receiver) = mpsc::unbounded_channel();
@@ -55,84 +55,86 @@
         (handle, receiver)
     }
 
-    /// Puts an event into the queue.
+    /// Enqueues an event.
     pub fn send(&self, event: impl Into<ControlEvent>) {
-        // Lost when the control thread has ended, which only the end of the process does.
+        // The event is lost if the control thread has ended, which happens only when the process ends.
         let _ = self.events.send(event.into());
     }
 
-    /// A daemon reported its generation. Cheap unless that is newer than the one in force.
+    /// Handles a generation that a daemon reported. Cheap unless it is newer than the one in force.
     pub fn note_peer_generation(&self, peer: Address, generation: Generation) {
         self.note_generation(Some(peer), generation);
     }
 
-    /// A call carried the generation of the daemon that sent it.
+    /// Handles the generation that a call carried from its sender.
     pub fn note_call_generation(&self, generation: Generation) {
         self.note_generation(None, generation);
     }
 
-    /// A claim or a configuration found no majority of witnesses; `ahead` is a daemon that knows a later epoch.
-    pub fn check_roster(&self, ahead: Option<Address>) {
-        self.send(RosterEvent::Check(ahead));
+    /// Requests a roster check after a claim or a configuration found no majority of witnesses; `newer_witness` is a daemon that
+    /// knows a later epoch.
+    pub fn check_roster(&self, newer_witness: Option<Address>) {
+        self.send(RosterEvent::Check(newer_witness));
     }
 
-    /// What this daemon still owes the others as a witness; none when the control thread doesn't answer within 0.4 s.
+    /// The duties that this daemon still has as a witness; `None` when the control thread doesn't answer within 0.4 s.
     pub async fn witness_duty(&self) -> Option<WitnessDuty> {
         let (sender, receiver) = oneshot::channel();
         self.send(RosterEvent::Duty(sender));
         tokio::time::timeout(STOP_TIMEOUT, receiver).await.ok()?.ok()
     }
 
-    /// Retires this daemon as a witness if the store is out, or others have taken over its shards; none otherwise, and when the control thread doesn't
-    /// answer within 0.4 s.
+    /// Retires this daemon as a witness if the store is unavailable or others have taken over its shards. Returns `None` otherwise, and
+    /// when the control thread doesn't answer within 0.4 s.
     pub async fn retire(&self) -> Option<Retirement> {
         let (sender, receiver) = oneshot::channel();
         self.send(RosterEvent::Retire(sender));
         tokio::time::timeout(STOP_TIMEOUT, receiver).await.ok()?.ok()?
     }
 
-    /// Asks on behalf of another daemon's controller; declined when the control thread has ended.
+    /// Forwards a request of another daemon's controller; declined when the control thread has ended.
     pub fn ask(&self, request: ControlRequest) -> impl Future<Output = ControlReply> + Send + use<> {
         let (sender, receiver) = oneshot::channel();
         self.send(ControlEvent::Request(request, sender));
         async { receiver.await.unwrap_or(ControlReply::Declined) }
     }
 
-    /// Passes on a heartbeat of the back end; not remembered when the control thread has ended.
+    /// Forwards a heartbeat of the back end; the answer is `NotRemembered` when the control thread has ended.
     pub async fn heartbeat(&self, heartbeat: Heartbeat) -> InstanceAnswer {
         let (sender, receiver) = oneshot::channel();
         self.send(InstanceEvent::Heartbeat(heartbeat, sender));
         receiver.await.unwrap_or(InstanceAnswer::NotRemembered)
     }
 
-    /// Passes on that an instance of the back end says goodbye; not remembered when the control thread has ended.
+    /// Forwards the deregistration of a back-end instance; the answer is `NotRemembered` when the control thread has ended.
     pub async fn instance_departs(&self, instance: InstanceId) -> InstanceAnswer {
         let (sender, receiver) = oneshot::channel();
         self.send(InstanceEvent::Departs(instance, sender));
         receiver.await.unwrap_or(InstanceAnswer::NotRemembered)
     }
 
-    /// An instance of the back end could not be reached.
+    /// Reports that a back-end instance could not be reached.
     pub fn lost_instance(&self, instance: InstanceId, reason: Reason) {
         self.send(InstanceEvent::Lost(instance, reason));
     }
 
-    /// The back end has said in an answer that it leaves; none for one without a name.
+    /// Reports that the back end announced in an answer that it leaves; `None` for an unnamed instance.
     pub fn says_leaving(&self, instance: Option<InstanceId>) {
         self.send(InstanceEvent::SaysLeaving(instance));
     }
 
-    /// The evidence about these suspects has changed here.
+    /// Reports that the evidence about these requests has changed here.
     pub fn suspects_changed(&self, requests: Vec<RequestDigest>) {
         self.send(SuspectEvent::Changed(requests));
     }
 
-    /// These requests ran in a crash of this daemon's back end, or are condemned and have a trial run there.
+    /// Has the evidence against these requests written to the store: they were running when this daemon's back end crashed, or are
+    /// condemned and have a trial run there.
     pub fn remember_evidence(&self, requests: Vec<RequestDigest>) {
         self.send(SuspectEvent::CrashedHere(requests));
     }
 
-    /// A daemon has connected.
+    /// Reports that a daemon has connected.
     pub fn daemon_connected(&self, gossip: Address) {
         self.send(MemberEvent::Connected(gossip));
     }
@@ -140,7 +142,7 @@
     /// Submits a configuration.
     ///
     /// # Errors
-    /// [`SubmitError`]; [`SubmitError::Unknown`] when the control thread has ended meanwhile.
+    /// [`SubmitError`]; [`SubmitError::Unknown`] when the control thread ended before it replied.
     pub async fn submit(&self, request: SubmitRequest) -> Result<Generation, SubmitError> {
         let (sender, receiver) = oneshot::channel();
         let id = request.id;
@@ -149,21 +151,21 @@
         receiver.await.unwrap_or(Err(stopped))
     }
 
-    /// The state of the deployment for operators; none when the control thread has ended.
+    /// The state of the deployment for operators; `None` when the control thread has ended.
     pub async fn status(&self) -> Option<StatusReport> {
         let (sender, receiver) = oneshot::channel();
         self.send(OperatorEvent::Status(sender));
         receiver.await.ok()
     }
 
-    /// The newest configuration; none where there is none, or the control thread has ended.
+    /// The newest configuration; `None` when there is none or the control thread has ended.
     pub async fn configuration(&self) -> Option<StoredConfiguration> {
         let (sender, receiver) = oneshot::channel();
         self.send(OperatorEvent::GetConfiguration(sender));
         receiver.await.ok().flatten()
     }
 
-    /// Drains a daemon. False when it isn't known, or the control thread has not answered within 0.4 s.
+    /// Drains a daemon. Returns false when the daemon is unknown or the control thread doesn't answer within 0.4 s.
     pub async fn drain(&self, target: DrainTarget) -> bool {
         let (sender, receiver) = oneshot::channel();
         self.send(OperatorEvent::Drain(target, sender));
@@ -171,11 +173,11 @@
         matches!(answer, Ok(Ok(true)))
     }
 
-    /// Announces to all members that this daemon has left; waits for that no longer than 0.4 s.
+    /// Announces to all members that this daemon has left. Waits at most 0.4 s for the announcement.
     pub async fn leave(&self) {
         let (sender, receiver) = oneshot::channel();
         self.send(ControlEvent::Leave(sender));
-        // Where the control thread has ended or is stuck, the members find out by its silence.
+        // If the control thread has ended or is stuck, the members detect that this daemon no longer responds.
         let _ = tokio::time::timeout(STOP_TIMEOUT, receiver).await;
     }
 
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Records a generation that a daemon reported. True when it is newer than the one in force.
+    /// Records a generation that a daemon reported. Returns true when it is newer than the one in force.
     pub fn record_generation(&self, generation: Generation, now: Instant) -> bool {
         let newer = generation.0 > self.generation_in_force.load(Ordering::Relaxed);
         if newer && self.generation_reported.fetch_max(generation.0, Ordering::Relaxed) < generation.0 {
@@ -199,7 +201,8 @@
     pub fn is_behind(&self, now: Instant) -> bool {
         let reported = self.generation_reported.load(Ordering::Relaxed);
         let reported_at = Instant(self.reported_at.load(Ordering::Relaxed));
-        reported > self.generation_in_force.load(Ordering::Relaxed) && now.since(reported_at) < LONGEST_BEHIND
+        reported > self.generation_in_force.load(Ordering::Relaxed)
+            && now.since(reported_at) < MAX_GENERATION_LAG
     }
 
     /// The generation in force.
@@ -208,7 +211,7 @@
         Generation(self.generation_in_force.load(Ordering::Relaxed))
     }
 
-    /// Sets the generation in force; from now on only higher ones are passed on.
+    /// Sets the generation in force. Afterwards only reports of higher generations are forwarded.
     pub fn set_generation(&self, generation: Generation) {
         self.generation_in_force.fetch_max(generation.0, Ordering::Relaxed);
     }
--- a/crates/seamhatchd/src/control/mod.rs
+++ b/crates/seamhatchd/src/control/mod.rs
@@ -1,9 +1,9 @@
-//! How other threads reach the control thread, and what they send to it.
+//! The interface of the control thread for other threads, and the events that they send to it.
 //!
-//! A [`ControlHandle`] puts [`ControlEvent`]s into the queue of the control thread and waits for its answers where there are any.
-//! The request path, the links, the operators' listener and the controllers' own tasks hold one; [`crate::controllers`] takes the
-//! events out. The only state here is the newest generation that any daemon has reported. Payloads are plain data, so that
-//! this module needs none of the controllers.
+//! A [`ControlHandle`] enqueues [`ControlEvent`]s for the control thread and awaits its replies to those that have one. The request
+//! path, the links, the operators' listener and the tasks of the controllers hold a handle; [`crate::controllers`] processes the events.
+//! The only state here is the newest generation that any daemon has reported. Payloads are plain data, so that this module does not
+//! depend on the controllers.
 
 mod events;
 mod findings;
--- a/crates/seamhatchd/src/control/status.rs
+++ b/crates/seamhatchd/src/control/status.rs
@@ -6,7 +6,7 @@
 /// One member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Gossip address, which names it.
+    /// Gossip address, which identifies the member.
     pub member: String,
     /// Zone.
     pub zone: String,
@@ -14,16 +14,15 @@
     pub service: String,
     /// Slots.
     pub slots: u32,
-    /// Its own word.
+    /// State that the member reports itself.
     pub lifecycle: Lifecycle,
-    /// The others' word.
+    /// State that the other members attribute to it.
     pub liveness: Liveness,
-    /// Told to leave.
+    /// Whether it was told to leave.
     pub leaving: bool,
-    /// Configuration in force there; none when it did not answer.
+    /// Generation of the configuration in force there; `None` when it did not answer.
     pub generation: Option<u64>,
-    /// Rate that the server beside it names, in thousandths of a call a second; none where it names none, as far as the reporting daemon
-    /// knows.
+    /// Rate requested by the server beside it, in thousandths of a call per second; `None` when the reporting daemon knows of no such rate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rate_millis: Option<u64>,
 }
@@ -37,27 +36,27 @@
     pub epoch: u64,
     /// Peer addresses.
     pub witnesses: Vec<String>,
-    /// How many of them grant claims in this epoch.
+    /// Number of witnesses that grant claims in this epoch.
     pub serving: usize,
 }
 
-/// What requests of one kind use of one service.
+/// Usage of one service by requests of one kind.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CostStatus {
     /// Kind of request.
     pub kind: String,
     /// The service.
     pub service: String,
-    /// Slot time for each answered request, in milliseconds.
+    /// Slot time per answered request, in milliseconds.
     pub slot_ms: u64,
 }
 
-/// The whole state.
+/// The state of the deployment.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusReport {
     /// The daemon that reports, by its gossip address.
     pub member: String,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub ready: bool,
     /// Whether it is leaving.
     pub draining: bool,
@@ -67,11 +66,11 @@
     pub generation: u64,
     /// First priority level that it refuses for its server; 512 admits all.
     pub floor: u16,
-    /// All members that it knows.
+    /// All members known to it.
     pub members: Vec<MemberStatus>,
     /// Witnesses of the claims.
     pub shards: Vec<ShardStatus>,
-    /// What requests cost that came in there, the dearest first; empty where the deployment doesn't order by cost.
+    /// Cost of requests that arrived there, the most expensive first; empty when the deployment doesn't order by cost.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub costs: Vec<CostStatus>,
 }
--- a/crates/seamhatchd/src/control/submission.rs
+++ b/crates/seamhatchd/src/control/submission.rs
@@ -1,4 +1,4 @@
-//! A configuration that an operator submits, and why it may not be accepted.
+//! Submission of a configuration by an operator, and the errors for which it is not accepted.
 
 use seamhatch_core::generation::{Generation, SubmissionId};
 use seamhatch_policy::ConfigurationError;
@@ -7,13 +7,13 @@
 /// A new configuration from an operator.
 #[derive(Debug, Clone)]
 pub struct SubmitRequest {
-    /// Chosen by the submitter; a repeat with the same id is the same submission.
+    /// Chosen by the submitter. A repeat with the same id is the same submission.
     pub id: SubmissionId,
-    /// Who submits it, as they say.
+    /// Author as stated by the submitter.
     pub author: String,
-    /// The TOML text.
+    /// Text of the document in TOML.
     pub document: String,
-    /// Refuse unless this is the generation in force.
+    /// Accept the submission only if this generation is in force.
     pub expect_generation: Option<Generation>,
 }
 
@@ -23,7 +23,7 @@
     /// The document is wrong; nothing was written.
     #[error("{0}")]
     Invalid(#[from] ConfigurationError),
-    /// Another submission came first; this one was not and won't be accepted.
+    /// Another submission was accepted first; this one was not and won't be accepted.
     #[error(
         "generation {actual} by {by:?} is in force, not {expected} on which this submission {id:016x} is based; \
          look at it, then submit again with --expect-generation {actual}",
@@ -32,11 +32,11 @@
     Conflict {
         /// This submission.
         id: u64,
-        /// What it was based on.
+        /// Generation on which it was based.
         expected: Generation,
-        /// What is in force.
+        /// Generation in force.
         actual: Generation,
-        /// Who submitted that.
+        /// Author of the generation in force.
         by: String,
     },
     /// The store can't be used; nothing was written.
@@ -45,7 +45,7 @@
         /// Why.
         detail: String,
     },
-    /// A write was sent and its result can't be read yet.
+    /// A write was sent, and its result can't be read yet.
     #[error(
         "it is not known yet whether submission {id:016x} was accepted ({detail}); \
          submit the same again with --id {id:016x} to find out"
@@ -53,7 +53,7 @@
     Unknown {
         /// This submission.
         id: u64,
-        /// What its write was based on, if it is known.
+        /// Generation on which its write was based, if known.
         based_on: Option<Generation>,
         /// Why.
         detail: String,
--- a/crates/seamhatchd/src/store/etcd.rs
+++ b/crates/seamhatchd/src/store/etcd.rs
@@ -14,10 +14,10 @@
 /// Key of the witness roster.
 pub const ROSTER_KEY: &str = "/seamhatch/roster";
 
-/// Longest wait for an answer. Chosen, not measured.
+/// Timeout for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A value and the revision of its last change.
+/// A value with the revision of its last change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Stored<T> {
     /// The value.
@@ -97,7 +97,7 @@
         Self { exchange: StoreExchange::new(address) }
     }
 
-    /// Reads a key and decodes its JSON value; none when it does not exist.
+    /// Reads a key and decodes its JSON value; `None` when the key does not exist.
     ///
     /// # Errors
     /// [`StoreError`].
@@ -115,7 +115,7 @@
         Ok(Stored { value: Some(value), revision })
     }
 
-    /// Writes `value` if the key's revision is still `revision` (zero: does not exist).
+    /// Writes `value` if the key's revision is still `revision`; zero means that the key does not exist.
     ///
     /// # Errors
     /// [`StoreError`]; after [`StoreError::AnswerLost`] it may have been written.
--- a/crates/seamhatchd/src/store/exchange.rs
+++ b/crates/seamhatchd/src/store/exchange.rs
@@ -1,5 +1,5 @@
-//! One HTTP exchange with a store, whatever protocol it speaks: finding silent connections, bounding answers, and telling a request that was
-//! never sent from one whose answer is lost.
+//! HTTP exchanges with a store, independent of the store's protocol: detects half-open connections, limits the size of answers, and
+//! distinguishes a request that was never sent from one whose answer was lost.
 
 use super::StoreError;
 use crate::base::http_client::{HttpClient, probing_http_client};
@@ -10,8 +10,8 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Largest answer in bytes. Chosen, not measured.
-const LARGEST_ANSWER: usize = 8 * 1024 * 1024;
+/// Maximum size of an answer.
+const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
 /// An HTTP client of one store; cheap to clone.
 #[derive(Debug, Clone)]
@@ -20,17 +20,17 @@
     client: HttpClient<Full<Bytes>>,
 }
 
-/// A whole answer of a store.
+/// A complete answer of a store.
 #[derive(Debug, Clone)]
 pub struct StoreReply {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
     /// Body.
     pub body: Bytes,
 }
 
 impl StoreReply {
-    /// Reads the body of a success as JSON.
+    /// Parses the JSON body of a successful answer.
     ///
     /// # Errors
     /// [`StoreError::Malformed`].
@@ -41,7 +41,7 @@
         self.parse_any()
     }
 
-    /// Reads the body as JSON, whatever the status.
+    /// Parses the JSON body, regardless of the status.
     ///
     /// # Errors
     /// [`StoreError::Malformed`].
@@ -51,7 +51,7 @@
 }
 
 impl StoreExchange {
-    /// Exchanges with the store at `address`.
+    /// A client of the store at `address`.
     #[must_use]
     pub fn new(address: Address) -> Self {
         Self { address, client: probing_http_client() }
@@ -60,7 +60,7 @@
     /// Sends a GET.
     ///
     /// # Errors
-    /// No whole answer came.
+    /// No complete answer was received.
     pub async fn get(&self, path_and_query: &str) -> Result<StoreReply, StoreError> {
         let request = Request::get(self.uri(path_and_query)).body(Full::default());
         self.send(request.map_err(|error| StoreError::malformed(&error))?).await
@@ -69,7 +69,7 @@
     /// Sends a POST with a JSON body.
     ///
     /// # Errors
-    /// No whole answer came; what was asked for may have been done after [`StoreError::AnswerLost`].
+    /// No complete answer was received. After [`StoreError::AnswerLost`] the request may have been executed.
     pub async fn post(&self, path: &str, body: &impl Serialize) -> Result<StoreReply, StoreError> {
         let json = serde_json::to_vec(body).map_err(|error| StoreError::malformed(&error))?;
         let request = Request::post(self.uri(path))
@@ -92,7 +92,7 @@
             }
         })?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), LARGEST_ANSWER).collect().await;
+        let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect().await;
         let body = body.map_err(|error| StoreError::AnswerLost { detail: error.to_string() })?.to_bytes();
         Ok(StoreReply { status, body })
     }
--- a/crates/seamhatchd/src/store/machine_list.rs
+++ b/crates/seamhatchd/src/store/machine_list.rs
@@ -1,4 +1,4 @@
-//! Client of the platform's list of machines. The list lags, so it is a hint and never the only evidence.
+//! Client of the platform's machine list. The list lags behind the real state, so it is only a hint and never the sole evidence.
 
 use super::StoreError;
 use crate::base::http_client::http_client;
@@ -10,10 +10,10 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// Longest wait for the list. Chosen, not measured.
+/// Timeout for reading the list.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest list in bytes. Chosen, not measured.
-const LARGEST_LIST: usize = 4 * 1024 * 1024;
+/// Maximum size of the list.
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
 /// State of a machine in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -25,7 +25,7 @@
     Leaving,
 }
 
-/// One machine of the list.
+/// One entry of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedMachine {
     /// Its IP address.
@@ -34,7 +34,7 @@
     pub state: MachineState,
 }
 
-/// Reads the list: `GET /machines`, a JSON array.
+/// Reads the list with `GET /machines`, which returns a JSON array.
 ///
 /// # Errors
 /// [`StoreError`], as for the key-value service.
@@ -48,7 +48,7 @@
         if !response.status().is_success() {
             return Err(lost(format!("status {}", response.status())));
         }
-        let body = Limited::new(response.into_body(), LARGEST_LIST).collect().await;
+        let body = Limited::new(response.into_body(), MAX_LIST_BYTES).collect().await;
         body.map(http_body_util::Collected::to_bytes).map_err(|error| lost(error.to_string()))
     };
     let bytes =
--- a/crates/seamhatchd/src/store/mod.rs
+++ b/crates/seamhatchd/src/store/mod.rs
@@ -1,8 +1,8 @@
 //! The store: the key-value service of a deployment, and the platform's list of machines.
 //!
-//! [`Store`] is what the daemon needs of a store that keeps what it acknowledged; an adapter for a platform implements it.
-//! [`StoreClient`] speaks the JSON form of the etcd v3 protocol, for deployments in which the daemons themselves accept configurations.
-//! Nothing is kept here but connections. The controllers call it; nothing on the request path does.
+//! [`Store`] is the interface to a durable store, which never loses an acknowledged write; an adapter for a platform implements it.
+//! [`StoreClient`] speaks the JSON form of the etcd v3 protocol, for deployments in which the daemons themselves accept
+//! configurations. This module keeps no state but connections. Only the controllers call it, never the request path.
 
 mod error;
 mod etcd;
@@ -24,8 +24,8 @@
 /// A call to a store in progress.
 pub type StoreFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, StoreError>> + Send + 'a>>;
 
-/// Position in the store's history; grows with every change. As an expectation, zero means that the
-/// key does not exist.
+/// Position in the store's change history; increases with every change. As an expected revision, zero means that the key does not
+/// exist.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Revision(pub u64);
 
@@ -36,25 +36,25 @@
     pub key: String,
     /// The value.
     pub value: Vec<u8>,
-    /// Its last change.
+    /// Revision of its last change.
     pub revision: Revision,
 }
 
-/// What was read, and the state of the store that it was read from.
+/// The result of a read, with the revision of the store at which it was made.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reading<T> {
-    /// What was found.
+    /// The data read.
     pub found: T,
     /// The store's revision.
     pub at: Revision,
 }
 
-/// A part of a range: items in the order of their keys.
+/// One page of a range, with items in key order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Page {
     /// Its items.
     pub items: Vec<Item>,
-    /// Whether further ones follow the last of these.
+    /// Whether the range has further items after the last of these.
     pub more: bool,
 }
 
@@ -70,43 +70,43 @@
     },
 }
 
-/// Writes that are done together or not at all.
+/// Writes and removals that are applied atomically.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Write {
-    /// Keys that must be at these revisions.
+    /// Keys that must have these revisions.
     pub expect: Vec<(String, Revision)>,
     /// Keys to write.
     pub put: Vec<(String, Vec<u8>)>,
     /// Keys to remove.
     pub remove: Vec<String>,
-    /// Lease that the written keys go with; none for keys that stay.
+    /// Lease to which the written keys are bound; `None` for permanent keys.
     pub lease: Option<LeaseId>,
 }
 
-/// Names a lease of the store. Its keys are removed when it ends.
+/// Identifies a lease of the store. The store removes the keys of a lease when the lease ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseId(pub u64);
 
-/// What became of a [`Write`].
+/// Result of a [`Write`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It was done at this revision.
+    /// It was applied at this revision.
     Done(Revision),
-    /// An expectation did not hold; nothing was done. The expected keys that exist, as they are now.
+    /// A key did not have its expected revision; nothing was changed. Contains the current items of those expected keys that exist.
     Refused(Vec<Item>),
 }
 
-/// A store that keeps what it acknowledged. Reads are linearizable.
+/// A store that never loses an acknowledged write. Reads are linearizable.
 pub trait Store: fmt::Debug + Send + Sync {
     /// Reads one key.
     fn get<'a>(&'a self, key: &'a str) -> StoreFuture<'a, Reading<Option<Item>>>;
 
-    /// Reads the keys that begin with `prefix`, those after `after` if it is given.
+    /// Reads the keys that begin with `prefix`; with `after`, only those that follow it in key order.
     fn range<'a>(&'a self, prefix: &'a str, after: Option<&'a str>) -> StoreFuture<'a, Reading<Page>>;
 
-    /// Waits up to `wait` for changes after `after` to keys that begin with `prefix`.
+    /// Waits up to `wait` for changes after revision `after` to keys that begin with `prefix`.
     ///
-    /// Fails with [`StoreError::HistoryLost`] where the store has forgotten them: the state has to be read again.
+    /// Fails with [`StoreError::HistoryLost`] if the store no longer has these changes; the caller must then read the state again.
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
@@ -114,12 +114,12 @@
         wait: Duration,
     ) -> StoreFuture<'a, Reading<Vec<Change>>>;
 
-    /// Makes a lease that ends `span` after the call has arrived, unless it is renewed.
+    /// Creates a lease that expires `span` after the store receives the call, unless it is renewed.
     fn make_lease(&self, span: Duration) -> StoreFuture<'_, LeaseId>;
 
-    /// Renews a lease for its span, from the arrival of the call on. False when it is over.
+    /// Renews a lease for its span, counted from when the store receives the call. Returns false when the lease has expired.
     fn keep_lease(&self, lease: LeaseId) -> StoreFuture<'_, bool>;
 
-    /// Writes under conditions. After [`StoreError::AnswerLost`] it may have been done, or may be later.
+    /// Performs a conditional write. After [`StoreError::AnswerLost`] the write may have been applied, or may still be applied later.
     fn write<'a>(&'a self, write: &'a Write) -> StoreFuture<'a, WriteOutcome>;
 }
--- a/crates/seamhatchd/src/store/records.rs
+++ b/crates/seamhatchd/src/store/records.rs
@@ -1,7 +1,7 @@
-//! What daemons write into a followed store: one record for each daemon, and one for each shard of the tenants' limits.
+//! Records that daemons write into a followed store: one per daemon, and one per shard of the tenants' limits.
 //!
-//! Only forms and key names; the controllers decide what is written and what follows from it. Stored records of earlier versions
-//! have to stay readable.
+//! Defines only formats and key names; the controllers decide what is written and how it is used. Records stored by earlier versions
+//! must stay readable.
 
 use super::Item;
 use log::warn;
@@ -11,16 +11,16 @@
 use seamhatch_core::quota::ShardNumber;
 use serde::{Deserialize, Serialize};
 
-/// Begins the names of the shards' keys, behind the prefix of the daemons' records.
+/// Follows the prefix of the daemons' records in the keys of shards.
 const SHARD_KEY: &str = "quota-shard-";
 
-/// What a daemon must remember beyond its own end.
+/// State that a daemon must preserve across restarts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DaemonRecord {
     /// Departed instances of its back end.
     #[serde(flatten)]
     pub departures: DepartureRecord,
-    /// Requests that were condemned by a crash of its back end.
+    /// Requests condemned because of a crash of its back end.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub condemned: Vec<CondemnedRecord>,
 }
@@ -32,14 +32,14 @@
         format!("{member_prefix}{gossip}")
     }
 
-    /// Gossip address of the daemon whose record lies at `key`; none for other keys.
+    /// Gossip address of the daemon whose record is stored at `key`; `None` for other keys.
     #[must_use]
     pub fn member(member_prefix: &str, key: &str) -> Option<Address> {
-        // Other programs may write keys of other forms below the prefix.
+        // Other programs may write keys in other formats below the prefix.
         key.strip_prefix(member_prefix)?.parse().ok()
     }
 
-    /// The record in an item; an empty one where it can't be read, which is logged.
+    /// Parses the record in an item. Logs a record that can't be parsed and returns an empty one instead.
     #[must_use]
     pub fn read(item: &Item) -> Self {
         serde_json::from_slice(&item.value).unwrap_or_else(|error| {
@@ -49,21 +49,21 @@
         })
     }
 
-    /// The record as it lies in the store.
+    /// The record in its stored form.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("plain data has a JSON form")
     }
 }
 
-/// Who holds a shard of the tenants' limits.
+/// The holder of a shard of the tenants' limits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardRecord {
     /// Gossip address of the daemon that holds it.
     pub holder: Address,
     /// Incarnation of that daemon.
     pub incarnation: u64,
-    /// The lease that the key goes with.
+    /// Lease to which the key is bound.
     pub lease: u64,
     /// Peer address of the daemon.
     pub peer: Address,
@@ -78,21 +78,21 @@
         format!("{member_prefix}{SHARD_KEY}{shard}")
     }
 
-    /// The shard's number and its record; none where the item is no shard's, or can't be read.
+    /// The shard's number and its record; `None` when the item does not belong to a shard or can't be parsed.
     #[must_use]
     pub fn read(member_prefix: &str, item: &Item) -> Option<(ShardNumber, Self)> {
         let number = item.key.strip_prefix(member_prefix)?.strip_prefix(SHARD_KEY)?;
-        // Other programs may write below the prefix, and a record that can't be read has no holder.
+        // Other programs may write below the prefix, and a record that can't be parsed names no holder.
         Some((number.parse().ok()?, serde_json::from_slice(&item.value).ok()?))
     }
 
-    /// The record as it lies in the store.
+    /// The record in its stored form.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("plain data has a JSON form")
     }
 
-    /// Whether an earlier incarnation of the daemon at this address held it.
+    /// Whether an earlier incarnation of the daemon at this address holds the shard.
     #[must_use]
     pub fn is_of_earlier_incarnation(&self, holder: Address, incarnation: Incarnation) -> bool {
         self.holder == holder && self.incarnation != incarnation.0
