--- a/crates/seamhatchd/src/base/clock.rs
+++ b/crates/seamhatchd/src/base/clock.rs
@@ -1,8 +1,8 @@
-//! The machine's boot clock, which goes on while a process is frozen or the machine sleeps.
+//! The machine's boot clock, which continues to run while the process is frozen or the machine is suspended.
 //!
-//! The runtime's timers count in the steady clock, which stands still while the machine sleeps. Code that must end at an instant
-//! of the boot clock waits with [`sleep_until`] or [`timeout_at`], which check the boot clock again when [`SleepWatch::note_resume`] finds
-//! that the machine has slept. The control thread calls that at each tick. State: how often the machine has slept.
+//! The runtime's timers use the monotonic clock, which stops while the machine is suspended. Code that must end at an instant of
+//! the boot clock waits with [`sleep_until`] or [`timeout_at`], which check the boot clock again when [`SleepWatch::note_resume`]
+//! detects that the machine was suspended. The control thread calls it at each tick. State: the number of detected suspensions.
 
 use rustix::time::{ClockId, Timespec, clock_gettime};
 use seamhatch_core::Instant;
@@ -13,13 +13,13 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::watch;
 
-/// Lead of the boot clock over the steady clock, in microseconds, from which the machine counts as having slept. The two are read one after
-/// the other, and the process may be held up in between. Chosen, not measured.
-const LEAST_SLEEP: Microseconds = 50 * MILLISECOND;
+/// Minimum increase of the boot clock's lead over the monotonic clock, in microseconds, that counts as a suspension of the machine. The
+/// two clocks are read one after the other, and the process may be delayed in between.
+const MIN_SLEEP: Microseconds = 50 * MILLISECOND;
 
-/// By how much tests have stepped the boot clock, in microseconds.
+/// Microseconds by which tests have advanced the boot clock.
 static STEPPED: AtomicU64 = AtomicU64::new(0);
-/// Counts the times that the machine has slept.
+/// Number of detected suspensions of the machine.
 static RESUMES: LazyLock<watch::Sender<u64>> = LazyLock::new(|| watch::Sender::new(0));
 
 /// The current boot time.
@@ -28,13 +28,13 @@
     Instant(microseconds(clock_gettime(ClockId::Boottime)) + STEPPED.load(Ordering::Relaxed))
 }
 
-/// Time left until `expiry`, zero when it has passed.
+/// Time left until `expiry`; zero when it has passed.
 #[must_use]
 pub fn time_until(expiry: Instant) -> Duration {
     Duration::from_micros(expiry.since(now()))
 }
 
-/// Waits until an instant, also where the machine sleeps in the meantime. Cancel-safe.
+/// Waits until an instant, even if the machine is suspended in the meantime. Cancel-safe.
 pub async fn sleep_until(instant: Instant) {
     let mut resumes = RESUMES.subscribe();
     while now() < instant {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Waits for `future` until an instant; none when that has come before.
+/// Waits for `future` until an instant; `None` when the instant passes first.
 pub async fn timeout_at<T>(instant: Instant, future: impl Future<Output = T>) -> Option<T> {
     tokio::select! {
         biased;
@@ -55,38 +55,38 @@
     }
 }
 
-/// The lead of the boot clock over the steady clock: the time that the machine has slept.
+/// Tracks the lead of the boot clock over the monotonic clock, which is the time for which the machine was suspended.
 #[derive(Debug)]
 pub struct SleepWatch {
-    ahead: Microseconds,
+    lead: Microseconds,
 }
 
 impl SleepWatch {
-    /// Watches from now on.
+    /// Starts with the current lead.
     #[must_use]
     pub fn start() -> Self {
-        Self { ahead: boot_ahead() }
+        Self { lead: boot_clock_lead() }
     }
 
-    /// Wakes everything that waits for an instant, where the machine has slept since the last call. Returns for how long it has.
+    /// Wakes all tasks that wait for an instant if the machine was suspended since the last call. Returns the duration of the suspension.
     pub fn note_resume(&mut self) -> Option<Microseconds> {
-        let ahead = boot_ahead();
-        let slept = ahead.saturating_sub(self.ahead);
-        if slept < LEAST_SLEEP {
+        let lead = boot_clock_lead();
+        let slept = lead.saturating_sub(self.lead);
+        if slept < MIN_SLEEP {
             return None;
         }
-        self.ahead = ahead;
+        self.lead = lead;
         RESUMES.send_modify(|resumes| *resumes += 1);
         Some(slept)
     }
 }
 
-/// Moves the boot clock forward without the timers, as a sleep of the machine does. For tests only.
+/// Advances the boot clock but not the timers, as a suspension of the machine does. For tests only.
 pub fn step_boot_clock(span: Duration) {
     STEPPED.fetch_add(span.as_micros() as Microseconds, Ordering::Relaxed);
 }
 
-fn boot_ahead() -> Microseconds {
+fn boot_clock_lead() -> Microseconds {
     now().0.saturating_sub(microseconds(clock_gettime(ClockId::Monotonic)))
 }
 
@@ -94,13 +94,13 @@
     time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1_000
 }
 
-/// Milliseconds since the Unix epoch, for records that outlive the boot clock. Zero for a clock before the epoch.
+/// Milliseconds since the Unix epoch, for records that must remain valid across reboots. Zero for a clock before the epoch.
 #[must_use]
 pub fn unix_milliseconds() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_millis() as u64)
 }
 
-/// Seconds since the Unix epoch, for people to read. Zero for a clock before the epoch.
+/// Seconds since the Unix epoch, for display. Zero for a clock before the epoch.
 #[must_use]
 pub fn unix_seconds() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_secs())
--- a/crates/seamhatchd/src/base/http_client.rs
+++ b/crates/seamhatchd/src/base/http_client.rs
@@ -1,6 +1,6 @@
 //! HTTP clients for services other than the back end: the store, the machine list, operators' tools.
 //!
-//! Their connections are kept by `hyper-util`.
+//! `hyper-util` pools their connections.
 
 use crate::base::keepalive::{KEEPALIVE_IDLE, KEEPALIVE_INTERVAL, KEEPALIVE_PROBES, SILENCE_TIMEOUT};
 use hyper::body::Body;
@@ -9,15 +9,15 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use std::time::Duration;
 
-/// An HTTP client with kept connections.
+/// An HTTP client with a connection pool.
 pub type HttpClient<B> = Client<HttpConnector, B>;
 
-/// Longest wait for a TCP connection. Chosen, not measured.
+/// Timeout for opening a TCP connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long an idle connection is kept. Chosen, not measured.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A client that keeps idle connections.
+/// A client that reuses idle connections.
 #[must_use]
 pub fn http_client<B>() -> HttpClient<B>
 where
@@ -27,9 +27,8 @@
     client(connector(), usize::MAX)
 }
 
-/// A client whose connections are closed when they fall silent. What it sends must be short, as bytes that the other side is
-/// slow to read count as silence. It keeps no idle connection: a request on one that has fallen silent would wait until the
-/// kernel notices.
+/// A client that closes half-open connections. Its requests must be short, since bytes that the other side is slow to read count as
+/// unacknowledged. It keeps no idle connections: a request on a half-open one would wait until the kernel detects that.
 #[must_use]
 pub fn probing_http_client<B>() -> HttpClient<B>
 where
@@ -51,7 +50,7 @@
     connector
 }
 
-fn client<B>(connector: HttpConnector, most_idle: usize) -> HttpClient<B>
+fn client<B>(connector: HttpConnector, max_idle: usize) -> HttpClient<B>
 where
     B: Body + Send + 'static,
     B::Data: Send,
@@ -59,6 +58,6 @@
     Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
         .pool_idle_timeout(IDLE_TIMEOUT)
-        .pool_max_idle_per_host(most_idle)
+        .pool_max_idle_per_host(max_idle)
         .build(connector)
 }
--- a/crates/seamhatchd/src/base/keepalive.rs
+++ b/crates/seamhatchd/src/base/keepalive.rs
@@ -1,39 +1,39 @@
-//! Detecting a TCP connection that has fallen silent: nothing comes and nothing is acknowledged, but no reset arrives.
+//! Detection of half-open TCP connections: nothing is received and nothing is acknowledged, but no reset arrives.
 //!
-//! The kernel's probes cost neither side a call. They detect a silent connection, not a process that reads and doesn't answer.
-//! An idle connection is probed; while bytes are on their way no probe is sent, and the time without an acknowledgement
-//! counts. Used for connections to the back end and to the store.
+//! The kernel sends the probes, so they cost neither side a call. They detect a half-open connection, not a process that reads
+//! without answering. Idle connections are probed; while bytes are in flight no probes are sent, and the time without an
+//! acknowledgement counts instead. Used for connections to the back end and to the store.
 
 use rustix::net::sockopt;
 use std::io;
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// An idle connection is probed after this time: the shortest that the kernel allows, as it counts whole seconds.
+/// Idle time before the first probe: the minimum that the kernel allows, which counts whole seconds.
 pub const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
-/// Time between two probes: the shortest that the kernel allows.
+/// Time between two probes: the minimum that the kernel allows.
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes without an answer after which the connection is closed, as a single one may be lost. With it, a change in the store
-/// was in force 2.1 s after its watch had fallen silent, against more than 20 s without probes.
+/// Number of unanswered probes after which the connection is closed; more than one, since a single probe may be lost. With these
+/// probes a change in the store is in force 2.1 s after its watch became half-open, against more than 20 s without probes.
 pub const KEEPALIVE_PROBES: u32 = 2;
-/// A connection on which nothing was acknowledged for this long is closed. One second less than the 3 s in which a daemon must
-/// recover from a disturbance of its connections, so that a new connection has time to work.
+/// Time without an acknowledgement after which a connection is closed. One second less than the 3 s in which a daemon must recover
+/// from a fault of its connections, so that a new connection has time to work.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// When a connection counts as silent.
+/// Conditions under which a connection counts as half-open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SilenceCheck {
-    /// When probes of the idle connection get no answer. The other side may leave bytes unread.
+    /// Probes of the idle connection get no answer. The other side may leave bytes unread.
     WhileIdle,
-    /// Also when bytes are not acknowledged for [`SILENCE_TIMEOUT`]. The kernel counts bytes that the
-    /// other side is slow to read, too, so a request must fit into its buffers.
+    /// Additionally, bytes are not acknowledged for [`SILENCE_TIMEOUT`]. The kernel also counts bytes that the other side is slow to
+    /// read, so a request must fit into its buffers.
     Always,
 }
 
-/// Has the kernel close the connection when it falls silent; its user then gets an error.
+/// Configures the kernel to close the connection when it is half-open; reads and writes then fail with an error.
 ///
 /// # Errors
-/// The kernel refuses an option.
+/// The kernel rejects a socket option.
 pub fn close_when_silent(stream: &TcpStream, check: SilenceCheck) -> io::Result<()> {
     sockopt::set_socket_keepalive(stream, true)?;
     sockopt::set_tcp_keepidle(stream, KEEPALIVE_IDLE)?;
@@ -45,13 +45,13 @@
     }
 }
 
-/// Changes the check of a connection that [`close_when_silent`] watches.
+/// Changes the check of a connection configured with [`close_when_silent`].
 ///
 /// # Errors
-/// The kernel refuses the option.
+/// The kernel rejects the socket option.
 pub fn set_silence_check(stream: &TcpStream, check: SilenceCheck) -> io::Result<()> {
     let timeout = match check {
-        // None: the kernel's own bounds stand.
+        // Zero selects the kernel's default timeout.
         SilenceCheck::WhileIdle => 0,
         SilenceCheck::Always => SILENCE_TIMEOUT.as_millis() as u32,
     };
--- a/crates/seamhatchd/src/base/logging/line.rs
+++ b/crates/seamhatchd/src/base/logging/line.rs
@@ -1,4 +1,4 @@
-//! The form of a log line: `time level message key=value ...`, or one JSON object with the keys in alphabetical order.
+//! The format of a log line: `time level message key=value ...`, or one JSON object with the keys in alphabetical order.
 
 use crate::settings::LogFormat;
 use log::Record;
@@ -6,18 +6,19 @@
 use std::fmt::{self, Display, Write};
 use std::time::SystemTime;
 
-/// Keys of most lines.
-const USUAL_FIELDS: usize = 16;
+/// Initial capacity for the fields of a line; most lines have no more.
+const TYPICAL_FIELDS: usize = 16;
 
-/// Appends the line of a record, with its end. Fields are in alphabetical order; of two with one key the last counts.
+/// Appends a record as a line, including the line end. Fields are in alphabetical order; of two fields with the same key the last
+/// one is written.
 pub fn append_line(out: &mut String, format: LogFormat, time: SystemTime, record: &Record<'_>) {
-    let mut fields = Fields(Vec::with_capacity(USUAL_FIELDS));
+    let mut fields = Fields(Vec::with_capacity(TYPICAL_FIELDS));
     let (time, level) = (humantime::format_rfc3339_millis(time), record.level().as_str());
-    // Neither a string nor the collector fails.
+    // Writing to a string and collecting fields do not fail.
     let _ = match format {
         LogFormat::Text => {
             let _ = record.key_values().visit(&mut fields);
-            // A message whose own formatting fails is cut short.
+            // A message whose formatting fails is truncated.
             let _ = write!(out, "{time} {level} {}", record.args());
             fields.append_text(out)
         }
@@ -38,7 +39,7 @@
 }
 
 impl FieldValue<'_> {
-    /// Appends a number as it is, anything else as a JSON string.
+    /// Appends a number unquoted, any other value as a JSON string.
     fn append(&self, out: &mut String) -> fmt::Result {
         match self {
             Self::Text(text) => append_quoted(out, text),
@@ -50,15 +51,15 @@
     }
 }
 
-/// The fields of a line, in order of their keys.
+/// The fields of a line, sorted by key.
 struct Fields<'a>(Vec<(Key<'a>, FieldValue<'a>)>);
 
 impl<'a> Fields<'a> {
     fn insert(&mut self, key: impl Into<Key<'a>>, value: FieldValue<'a>) {
         let key = key.into();
         match self.0.binary_search_by(|(other, _)| other.as_str().cmp(key.as_str())) {
-            Ok(place) => self.0[place].1 = value,
-            Err(place) => self.0.insert(place, (key, value)),
+            Ok(index) => self.0[index].1 = value,
+            Err(index) => self.0.insert(index, (key, value)),
         }
     }
 
@@ -94,21 +95,21 @@
 /// Appends a text as a JSON string.
 fn append_quoted(out: &mut String, text: &(impl Display + ?Sized)) -> fmt::Result {
     out.push('"');
-    // A value whose own formatting fails is cut short; the line stays whole.
+    // A value whose formatting fails is truncated; the line remains valid.
     let _ = write!(Escaping(out), "{text}");
     out.push('"');
     Ok(())
 }
 
-/// Escapes what is written as RFC 8259 requires, with the short forms where there are any.
+/// Escapes the written text as RFC 8259 requires, with the short escapes where they exist.
 struct Escaping<'a>(&'a mut String);
 
 impl Write for Escaping<'_> {
     fn write_str(&mut self, text: &str) -> fmt::Result {
         let mut rest = text;
-        while let Some(place) = rest.bytes().position(|byte| byte < b' ' || byte == b'"' || byte == b'\\') {
-            self.0.push_str(&rest[..place]);
-            match rest.as_bytes()[place] {
+        while let Some(index) = rest.bytes().position(|byte| byte < b' ' || byte == b'"' || byte == b'\\') {
+            self.0.push_str(&rest[..index]);
+            match rest.as_bytes()[index] {
                 byte @ (b'"' | b'\\') => {
                     self.0.push('\\');
                     self.0.push(char::from(byte));
@@ -120,7 +121,7 @@
                 b'\t' => self.0.push_str("\\t"),
                 byte => write!(self.0, "\\u{byte:04x}")?,
             }
-            rest = &rest[place + 1..];
+            rest = &rest[index + 1..];
         }
         self.0.push_str(rest);
         Ok(())
--- a/crates/seamhatchd/src/base/metrics.rs
+++ b/crates/seamhatchd/src/base/metrics.rs
@@ -1,7 +1,7 @@
 //! Counters, gauges and latency histograms in the Prometheus text format.
 //!
-//! [`Metrics`] owns them for the whole daemon; every layer counts, and the operators' listener writes them out. Names and help texts are
-//! part of the operators' interface (docs/OPERATIONS.md).
+//! [`Metrics`] owns them for the whole daemon; every layer updates them, and the operators' listener exports them. Names and help
+//! texts are part of the operators' interface (docs/OPERATIONS.md).
 
 use crate::base::clock;
 use crate::base::lock::lock;
@@ -50,18 +50,18 @@
     cause: &'static str,
 }
 
-/// Why a connection to the back end was opened.
+/// Reason for opening a connection to the back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OpenCause {
     /// All connections were in use, or had been idle for too long.
     NoneIdle,
-    /// The back end had closed one that could have been used.
+    /// The back end had closed an idle connection that could have been used.
     ClosedByServer,
-    /// One had been closed to cancel its call.
+    /// A connection had been closed to cancel its call.
     Cancelled,
-    /// One had been closed because of an answer that can't be used, or that came before the whole request was written.
+    /// A connection had been closed because of an unusable answer, or an answer that arrived before the whole request was written.
     UnusableAnswer,
-    /// It shows whether the back end has ended.
+    /// The connection tests whether the back end has ended.
     Probe,
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// Kinds of input that a daemon refused.
+/// Kinds of input that a daemon rejects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BadInput {
     /// A datagram on the gossip port.
@@ -88,7 +88,7 @@
     Request,
     /// A heartbeat of a back end.
     Heartbeat,
-    /// A context header that this daemon didn't make.
+    /// A context header that this daemon did not create.
     Context,
     /// A policy function that failed at run time.
     Policy,
@@ -118,13 +118,13 @@
     Histogram::new(exponential_buckets(0.0005, 2.0, 14))
 }
 
-/// Stands for no rate in [`Metrics::named_rate`].
+/// Value of [`Metrics::named_rate`] when there is no rate.
 pub const NO_NAMED_RATE: i64 = -1;
 
-/// Stands for no figure in [`Metrics::pace_percent`] and [`Metrics::work_milliseconds`].
+/// Value of [`Metrics::pace_percent`] and [`Metrics::work_milliseconds`] when the back end reports none.
 pub const NO_PACE: i64 = -1;
 
-/// A span in the unit that histograms use.
+/// Converts a span to seconds, the unit of the histograms.
 #[must_use]
 pub fn seconds(span: Microseconds) -> f64 {
     span as f64 / 1e6
@@ -140,19 +140,19 @@
     bad_input: Family<KindLabel, Counter>,
     backend_connections: Family<CauseLabel, Counter>,
     request_seconds: Family<EndLabels, Histogram>,
-    /// Dispatches that cost a retry token.
+    /// Dispatches that consumed a retry token.
     pub retries: Counter,
-    /// Time that the back end took for calls that it answered, in seconds.
+    /// Time that the back end took for answered calls, in seconds.
     pub backend_seconds: Histogram,
-    /// Time that the store took to answer, watches left out, in seconds.
+    /// Time that the store took to answer, excluding watches, in seconds.
     pub store_seconds: Histogram,
     /// Time that calls waited for a slot, in seconds.
     pub queue_seconds: Histogram,
     /// Crashes of the back end.
     pub crashes: Counter,
-    /// Calls that ran on the back end when it crashed.
+    /// Calls that were running on the back end when it crashed.
     pub crashed_calls: Counter,
-    /// Requests that end here without an answer because a back end crashed under them.
+    /// Requests that end here without an answer because a back end crashed while running them.
     pub crash_losses: Counter,
     /// Requests in progress here that the end of a stop cut off.
     pub cut_requests: Counter,
@@ -162,25 +162,25 @@
     pub left_requests: Counter,
     /// Requests that are refused because they crash servers.
     pub condemned: Gauge,
-    /// Calls that the back end works on.
+    /// Calls running on the back end.
     pub running: Gauge,
-    /// Calls that wait for a slot.
+    /// Calls waiting for a slot.
     pub waiting: Gauge,
     /// Calls that may run at once.
     pub limit: Gauge,
-    /// Rate that the back end names, in thousandths of a call a second; -1 where it names none.
+    /// Rate that the back end requests, in thousandths of a call per second; -1 when it requests none.
     pub named_rate: Gauge,
-    /// How long work takes at the back end by its last figure, in percent of the usual; -1 where it tells none.
+    /// Service time last reported by the back end, in percent of the usual service time; -1 when it reports none.
     pub pace_percent: Gauge,
-    /// Usual service time of its calls, in milliseconds; -1 where it tells no figure.
+    /// Usual service time of its calls, in milliseconds; -1 when it reports none.
     pub work_milliseconds: Gauge,
-    /// Calls whose answer seems to be lost, and that hold no slot.
+    /// Calls whose answer appears to be lost and that no longer hold a slot.
     pub lost: Gauge,
     /// First refused priority level.
     pub floor: Gauge,
     /// Generation of the configuration in force.
     pub generation: Gauge,
-    /// Newest generation that this daemon holds: above the one in force where it can't be used.
+    /// Newest generation that this daemon holds; higher than the one in force when it can't be used.
     pub newest_generation: Gauge,
     /// Live members.
     pub members: Gauge,
@@ -190,7 +190,7 @@
     pub gossip_received_bytes: Counter,
     /// Requests to the store.
     pub store_requests: Counter,
-    /// Those that failed.
+    /// Failed requests to the store.
     pub store_failures: Counter,
     /// Processor time of the control thread, in milliseconds.
     pub control_cpu_milliseconds: Gauge,
@@ -218,7 +218,7 @@
     register(registry, name, help, Gauge::default())
 }
 
-/// A gauge that begins at `none`.
+/// A gauge with the initial value `none`.
 fn gauge_or_none(registry: &mut Registry, name: &str, help: &str, none: i64) -> Gauge {
     let gauge = gauge(registry, name, help);
     gauge.set(none);
@@ -230,7 +230,7 @@
 }
 
 impl Metrics {
-    /// Metrics at zero, in the order in which they are written.
+    /// Metrics with their initial values, registered in export order.
     #[must_use]
     pub fn new() -> Self {
         let mut registry = Registry::with_prefix("seamhatch");
@@ -347,7 +347,7 @@
         answer
     }
 
-    /// Counts input that was refused.
+    /// Counts rejected input.
     pub fn bad_input(&self, kind: BadInput) {
         self.bad_input.get_or_create(&KindLabel { kind: kind.name() }).inc();
     }
--- a/crates/seamhatchd/src/base/mod.rs
+++ b/crates/seamhatchd/src/base/mod.rs
@@ -1,6 +1,6 @@
-//! What every layer of the daemon uses and nothing here decides: clock, HTTP clients, locks, logs, metrics.
+//! Infrastructure used by all layers of the daemon: clock, HTTP clients, locks, logs, metrics. It makes no decisions.
 //!
-//! It owns no state of requests or members and knows no other layer but the settings.
+//! This layer owns no state of requests or members and depends on no other layer except the settings.
 
 pub mod clock;
 pub mod http_client;
--- a/crates/seamhatchd/src/conventions/headers.rs
+++ b/crates/seamhatchd/src/conventions/headers.rs
@@ -1,29 +1,29 @@
-//! Names of the product's HTTP header fields, and which fields of a message pass through the daemon.
+//! Names of the product's HTTP header fields, and the rules for fields that the daemon forwards.
 
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 use seamhatch_wire::HeaderField;
 
 /// Prefix of all fields that only daemons set.
 pub const PREFIX: &str = "seamhatch-";
-/// Opaque; a back end passes it on with its own calls.
+/// Opaque context; a back end forwards it with its own calls.
 pub const CONTEXT: &str = "seamhatch-context";
-/// Time at which the call becomes useless: microseconds of `CLOCK_BOOTTIME`.
+/// Deadline of the call, in microseconds of `CLOCK_BOOTTIME`.
 pub const DEADLINE: &str = "seamhatch-deadline";
-/// What became of the call: `answered`, `not-run`, `unknown` or `duplicate`.
+/// Outcome of the call: `answered`, `not-run`, `unknown` or `duplicate`.
 pub const OUTCOME: &str = "seamhatch-outcome";
-/// Why there is no answer of a back end.
+/// Reason why there is no answer of a back end.
 pub const REASON: &str = "seamhatch-reason";
-/// Configuration generation that decided.
+/// Generation of the configuration by which the call was decided.
 pub const GENERATION: &str = "seamhatch-generation";
 /// Root id of the request, for logs.
 pub const REQUEST_ID: &str = "seamhatch-request-id";
 /// Name of the tenant that sent the request from outside.
 pub const TENANT: &str = "seamhatch-tenant";
-/// In a back end's answer: how many calls a second it takes, from all daemons together, for as long as it says so.
+/// In a back end's answer: the rate in calls per second that it accepts from all daemons together, in effect as long as it is reported.
 pub const BACKEND_RATE: &str = "backend-rate";
-/// In a back end's answer: it leaves, and takes no new calls.
+/// In a back end's answer: it leaves and accepts no new calls.
 pub const BACKEND_LEAVING: &str = "backend-leaving";
-/// In a back end's answer: how long work takes there at this moment, in percent of the usual.
+/// In a back end's answer: its current service time, in percent of the usual.
 pub const BACKEND_PACE: &str = "backend-pace";
 /// Marks repeats of one request.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
@@ -40,13 +40,12 @@
     "upgrade",
 ];
 
-/// Whether a field concerns one connection only.
+/// Whether a field applies to a single connection only.
 fn is_hop_by_hop(name: &str) -> bool {
     HOP_BY_HOP.contains(&name)
 }
 
-/// The fields of a message that pass through: those that `passes` lets through, without those of the
-/// connection.
+/// The fields of a message that are forwarded: those accepted by `passes`, without hop-by-hop fields.
 #[must_use]
 pub fn passing_fields(headers: &HeaderMap, passes: impl Fn(&str) -> bool) -> Vec<HeaderField> {
     headers
@@ -56,8 +55,8 @@
         .collect()
 }
 
-/// Adds fields to a message. Fields that aren't valid HTTP are left out: they were read from valid HTTP, so only a peer with
-/// a fault sends one.
+/// Adds fields to a message. Fields that aren't valid HTTP are skipped: all fields were read from valid HTTP, so only a faulty peer
+/// sends such a field.
 pub fn append_fields(headers: &mut HeaderMap, fields: &[HeaderField]) {
     for field in fields {
         let name = HeaderName::from_bytes(field.name.as_bytes());
--- a/crates/seamhatchd/src/conventions/mod.rs
+++ b/crates/seamhatchd/src/conventions/mod.rs
@@ -1,8 +1,8 @@
-//! How HTTP carries names, deadlines and outcomes, between callers, the daemon and the back end.
+//! The mapping of names, deadlines and outcomes to HTTP header fields, between callers, the daemon and the back end.
 //!
-//! The daemon decides; a set of conventions only translates between header fields and the types here. [`OwnConventions`] are
-//! the product's; an adapter for a platform brings its own. Used by listeners and filters at the entry, and by the code that
-//! talks to the back end. Conventions keep no state.
+//! The daemon makes the decisions; a set of conventions only translates between header fields and the types here.
+//! [`OwnConventions`] is the product's set; an adapter for a platform provides its own. Used by listeners and filters at the entry,
+//! and by the code that talks to the back end. Conventions keep no state.
 
 pub mod headers;
 mod own;
@@ -24,23 +24,23 @@
 use seamhatch_wire::HeaderField;
 use std::fmt;
 
-/// Scheme under which callers send keys, in lower case.
+/// Authentication scheme with which callers send keys, in lower case.
 const KEY_SCHEME: &[u8] = b"bearer";
 
-/// What a caller presents to show who it is.
+/// The credential that a caller presents.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum CallerCredential {
-    /// Nothing.
+    /// No credential.
     #[default]
     None,
     /// A key.
     Key(KeyDigest),
-    /// Something that is no key: of another scheme, empty, or more than one.
+    /// Not a valid key: another scheme, an empty key, or several fields.
     Unusable,
 }
 
 impl CallerCredential {
-    /// Reads the field `Authorization` (RFC 6750, section 2.1; the scheme in any case by RFC 9110, section 11.1).
+    /// Reads the field `Authorization` (RFC 6750, section 2.1; the scheme is case-insensitive by RFC 9110, section 11.1).
     #[must_use]
     pub fn of(headers: &HeaderMap) -> Self {
         let mut values = headers.get_all(AUTHORIZATION).iter();
@@ -58,84 +58,83 @@
     }
 }
 
-/// What a caller states about its request.
+/// Information that a caller states about its request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CallerTerms {
-    /// Its name, unique among requests.
+    /// Name of the request, unique among requests.
     pub name: Option<String>,
-    /// Name of the request whose work may have caused this one. A hint: it counts only where that
-    /// request runs at the back end beside the daemon.
+    /// Name of the request that may have caused this one. A hint: it takes effect only when that request runs on the back end beside
+    /// the daemon.
     pub parent: Option<String>,
-    /// Reference to the running call that caused it, made by this daemon.
+    /// Reference, created by this daemon, to the running call that caused the request.
     pub context: Option<String>,
-    /// How long the caller waits, from the request's arrival; none where it doesn't say.
+    /// Time for which the caller waits, from the arrival of the request; `None` when it is not stated.
     pub remaining: Option<Microseconds>,
-    /// What it presents to show who it is.
+    /// The credential of the caller.
     pub credential: CallerCredential,
 }
 
 /// A call that is about to be written to the back end.
 #[derive(Debug, Clone, Copy)]
 pub struct BackEndCall<'a> {
-    /// Fields of the request that pass through.
+    /// Fields of the request that are forwarded.
     pub fields: &'a [HeaderField],
     /// Reference to the running call, for the back end's own calls.
     pub context: &'a str,
-    /// When the call becomes useless, in the local boot clock.
+    /// Deadline of the call, in the local boot clock.
     pub expiry: seamhatch_core::Instant,
-    /// Time left until then.
+    /// Time left until the deadline.
     pub remaining: Microseconds,
-    /// The instance that it is meant for, where instances are registered.
+    /// The target instance, if instances are registered.
     pub instance: Option<&'a InstanceId>,
 }
 
-/// What the head of a back end's answer says.
+/// Classification of a back end's answer by its head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerClassification {
-    /// It is the back end's answer to this call.
+    /// The back end's answer to this call.
     Answer,
-    /// The back end says that it did not run the call.
+    /// The back end reports that it did not run the call.
     NotRun(Reason),
-    /// It is not an answer to this call, so it is not known what became of it.
+    /// Not an answer to this call, so the outcome of the call is unknown.
     Unusable(&'static str),
 }
 
-/// An answer of the daemon in place of a back end's.
+/// An answer that the daemon gives in place of a back end.
 #[derive(Debug, Clone, Copy)]
 pub struct OwnAnswer<'a> {
-    /// What is known of the request.
+    /// Outcome of the request, as far as known.
     pub outcome: Outcome,
-    /// Why there is no answer of a back end.
+    /// Reason why there is no answer of a back end.
     pub reason: Reason,
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// When to come back, jitter included; none where coming back doesn't help.
+    /// Time after which to retry, including jitter; `None` when a retry doesn't help.
     pub retry_after: Option<Microseconds>,
-    /// What to do about it.
+    /// Explanation, with the remedy.
     pub detail: &'a str,
 }
 
-/// What every answer may say about its request.
+/// Information about the request that any answer may carry.
 #[derive(Debug, Clone, Copy)]
 pub struct AnswerMark {
-    /// What became of it.
+    /// Outcome of the request.
     pub outcome: Outcome,
     /// Root id of the request.
     pub root: RootId,
-    /// Configuration that decided.
+    /// Generation of the configuration by which the request was decided.
     pub generation: Generation,
 }
 
-/// A set of conventions. Implementations keep no state and decide nothing; they are called on each request and must not block.
+/// A set of conventions. Implementations keep no state and make no decisions; they are called for each request and must not block.
 pub trait HttpConventions: fmt::Debug + Send + Sync {
     /// Reads what a caller states about its request.
     fn caller_terms(&self, headers: &HeaderMap) -> CallerTerms;
 
-    /// Whether a request must have a name, as back ends refuse one without.
+    /// Whether requests must have a name because back ends refuse requests without one.
     fn requires_name(&self) -> bool;
 
-    /// Whether a request field goes on to the back end. Names are in lower case; fields of a single
-    /// connection are left out before.
+    /// Whether a request field is forwarded to the back end. Names are in lower case; hop-by-hop fields are removed before.
     fn passes_through(&self, name: &str) -> bool;
 
     /// Fields that the entry adds to a request. `own_service` is the service beside this daemon.
@@ -144,13 +143,13 @@
     /// Name of the field that carries the tenant's name to back ends, in lower case.
     fn tenant_field(&self) -> &'static str;
 
-    /// The caller's name of a request, from the fields that pass through; none where it has none.
+    /// The name that the caller gave the request, from the forwarded fields; `None` when there is none.
     fn request_name<'a>(&self, fields: &'a [HeaderField]) -> Option<&'a str>;
 
-    /// Fields that are set right before a call is written to the back end.
+    /// Fields that are set immediately before a call is written to the back end.
     fn back_end_fields(&self, call: &BackEndCall<'_>) -> Vec<HeaderField>;
 
-    /// What the head of a back end's answer says: an answer to the call, a refusal, or neither.
+    /// Classifies a back end's answer by its head: an answer to the call, a refusal, or neither.
     fn classify_answer(
         &self,
         call: &BackEndCall<'_>,
@@ -158,26 +157,26 @@
         headers: &HeaderMap,
     ) -> AnswerClassification;
 
-    /// What an answer that was judged so says of its back end. One that is not to this call says nothing.
+    /// The notice of the back end in an answer with this classification. An answer that does not belong to the call carries none.
     fn notice(&self, classification: &AnswerClassification, headers: &HeaderMap) -> AnswerNotice;
 
-    /// The load that a back end reports beside an answer; none where it reports nothing that can be read.
+    /// The load that a back end reports in an answer; `None` when it reports none that can be parsed.
     fn back_end_load(&self, headers: &HeaderMap) -> Option<BackEndLoad>;
 
-    /// The response for an answer of the daemon itself.
+    /// The HTTP response for an answer of the daemon itself.
     fn own_answer(&self, answer: &OwnAnswer<'_>) -> Response<Bytes>;
 
-    /// Adds to any answer what callers may know about their request.
+    /// Adds the fields that tell callers about their request to any answer.
     fn mark(&self, headers: &mut HeaderMap, mark: &AnswerMark);
 }
 
-/// The value of a field; none where there is none or it is no text.
+/// The value of a field; `None` when the field is missing or its value is not text.
 #[must_use]
 pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// The rate in a field: one plain decimal number of requests a second.
+/// The rate in a field: one plain decimal number of requests per second.
 #[must_use]
 pub fn named_rate(headers: &HeaderMap, name: &str) -> NamedRate {
     if !headers.contains_key(name) {
@@ -187,7 +186,7 @@
     rate.map_or(NamedRate::Unreadable, NamedRate::Named)
 }
 
-/// The span in `Retry-After`, in seconds, fractions too; none where there is none, or a date.
+/// The span in `Retry-After`, given in seconds with optional fractions; `None` when the field is missing or contains a date.
 #[must_use]
 pub fn retry_after_span(headers: &HeaderMap) -> Option<Microseconds> {
     let seconds = plain_number(headers, RETRY_AFTER.as_str())?;
@@ -195,7 +194,7 @@
     Some((seconds * SECOND as f64) as Microseconds)
 }
 
-/// The number in a field that stands once, without sign or exponent.
+/// The number in a field that occurs once and has no sign or exponent.
 fn plain_number(headers: &HeaderMap, name: &str) -> Option<f64> {
     let mut values = headers.get_all(name).iter();
     let text = values.next()?.to_str().ok()?.trim();
@@ -206,14 +205,14 @@
     text.parse().ok()
 }
 
-/// Whether a field says yes: a single `1`.
+/// Whether a flag field is set: it occurs once with the value `1`.
 #[must_use]
 pub fn is_flag_set(headers: &HeaderMap, name: &str) -> bool {
     let mut values = headers.get_all(name).iter();
     values.next().is_some_and(|value| value.as_bytes().trim_ascii() == b"1") && values.next().is_none()
 }
 
-/// The value of a field that passes through; none where there is none or it is no text.
+/// The value of a forwarded field; `None` when the field is missing or its value is not text.
 #[must_use]
 pub fn field_text<'a>(fields: &'a [HeaderField], name: &str) -> Option<&'a str> {
     let field = fields.iter().find(|field| field.name == name)?;
--- a/crates/seamhatchd/src/conventions/own.rs
+++ b/crates/seamhatchd/src/conventions/own.rs
@@ -1,4 +1,4 @@
-//! The product's own conventions: `Seamhatch-*` header fields, and problems as JSON.
+//! The product's own conventions: `Seamhatch-*` header fields, and errors as JSON.
 
 use super::{
     AnswerClassification, AnswerMark, BackEndCall, CallerCredential, CallerTerms, HttpConventions, OwnAnswer,
@@ -15,7 +15,7 @@
 use seamhatch_wire::HeaderField;
 use serde::Serialize;
 
-/// Context, deadline and outcome in `Seamhatch-*` fields; problems as JSON.
+/// Conventions with context, deadline and outcome in `Seamhatch-*` fields, and errors as JSON.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct OwnConventions;
 
@@ -40,7 +40,7 @@
     }
 
     fn passes_through(&self, name: &str) -> bool {
-        // `expect` is answered here, and `host` is set again for the back end.
+        // The daemon handles `expect` itself and sets `host` anew for the back end.
         !name.starts_with(headers::PREFIX) && !matches!(name, "expect" | "host")
     }
 
@@ -74,7 +74,7 @@
             rate: named_rate(headers, headers::BACKEND_RATE),
             leaving: is_flag_set(headers, headers::BACKEND_LEAVING),
             proven: true,
-            // Its own refusals are answers here, which go on to the caller as they are.
+            // Refusals of the back end count as answers here and are forwarded to the caller unchanged.
             return_after: None,
         }
     }
