--- a/crates/seamhatchd/src/lib.rs
+++ b/crates/seamhatchd/src/lib.rs
@@ -1,20 +1,20 @@
-//! The seamhatch daemon: runs beside one back end and decides, for each call,
-//! whether it runs, waits or is refused, and where it goes.
+//! The seamhatch daemon: runs beside one back end and decides for each call
+//! whether it runs, waits or is refused, and to which server it goes.
 //!
-//! Requests pass a chain of [`filters`]; state is kept by [`controllers`] on a
-//! thread of their own, which publish an immutable [`snapshot`] to the threads
-//! that carry traffic.
+//! Requests pass a chain of [`filters`]. The [`controllers`] keep state on a
+//! dedicated thread and publish an immutable [`snapshot`] to the traffic
+//! threads.
 //!
 //! The modules form layers; each uses only those above it in this list (`tests/layers.rs`):
 //!
 //! 1. [`settings`], and [`base`]: clock, HTTP clients, logs, metrics
-//! 2. [`conventions`], [`store`], [`ports`]: what a platform plugs in
-//! 3. [`lifecycle`], [`intake`], [`snapshot`], [`control`]: the state of the process, the requests that it has taken, what the control thread
-//!    publishes, how it is reached
+//! 2. [`conventions`], [`store`], [`ports`]: the interfaces that a platform implements
+//! 3. [`lifecycle`], [`intake`], [`snapshot`], [`control`]: the state of the process, the requests in progress, the state published by
+//!    the control thread, and the interface of that thread
 //! 4. [`server`]: the back end beside this daemon
 //! 5. [`peer`]: connections on which this daemon calls others
-//! 6. [`limits`] and [`claims`]: what daemons decide together
-//! 7. [`shared`]: all of these, as the layers below get them
+//! 6. [`limits`] and [`claims`]: decisions that daemons make together
+//! 7. [`shared`]: all of these, bundled for the layers below
 //! 8. [`filters`], [`dispatch`], [`listeners`]: the path of a request; `peer_server`: calls of other daemons to the back end;
 //!    [`controllers`]: the control thread
 //! 9. [`startup`], `reload`, `stop`
--- a/crates/seamhatchd/src/lifecycle.rs
+++ b/crates/seamhatchd/src/lifecycle.rs
@@ -1,8 +1,8 @@
-//! How far the process has come between its start and its end: ready, draining. What it takes meanwhile is [`crate::intake`]'s.
+//! Lifecycle of the process from start to end: ready, draining. [`crate::intake`] tracks the requests in progress.
 //!
-//! [`DaemonLifecycle`] owns these states; each is entered once and never left. The control thread makes the daemon ready and begins a
-//! drain. The request path, the links and the listeners only read.
-//! What follows for calls and callers is decided by [`seamhatch_core::drain`].
+//! [`DaemonLifecycle`] owns these states; each is entered once and never left. The control thread makes the daemon ready and starts a
+//! drain. The request path, the links and the listeners only read the state.
+//! [`seamhatch_core::drain`] decides the consequences for calls and callers.
 
 use crate::base::clock;
 use seamhatch_core::Instant;
@@ -13,25 +13,25 @@
 use tokio::sync::Notify;
 use tokio::sync::futures::Notified;
 
-/// The state of this process, shared by all threads.
+/// The lifecycle of this process, shared by all threads.
 #[derive(Debug)]
 pub struct DaemonLifecycle {
-    /// Time between a stop request and the end of the process, at most; none for a stop without a bound.
+    /// Maximum time between a stop request and the end of the process; `None` for a stop without a time limit.
     grace: Option<Duration>,
-    /// Has the newest configuration and may take work.
+    /// Whether the daemon has the newest configuration and may accept work.
     ready: AtomicBool,
-    /// Leaves: new work only where no other daemon can take it.
+    /// Whether the daemon drains: it accepts new work only when no other daemon can take it.
     draining: AtomicBool,
-    /// When a stop was first requested, in microseconds of the boot clock; zero for never.
+    /// Time of the first stop request, in microseconds of the boot clock; zero for none.
     stop_requested_at: AtomicU64,
-    /// Readiness checks that were answered with "not ready" during a drain.
+    /// Number of readiness checks answered with "not ready" during a drain.
     not_ready_answers: AtomicUsize,
-    /// Wakes the links when the server starts or stops taking work.
+    /// Wakes the links when the server starts or stops accepting work.
     work_changed: Notify,
 }
 
 impl DaemonLifecycle {
-    /// A process that starts and has to end within `grace` of a stop request.
+    /// The lifecycle of a starting process that must end within `grace` of a stop request.
     #[must_use]
     pub fn starting(grace: Option<Duration>) -> Self {
         Self {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Whether the daemon knows the newest configuration; it stays so during a drain.
+    /// Whether the daemon knows the newest configuration; remains true during a drain.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Acquire)
@@ -56,44 +56,45 @@
         self.draining.load(Ordering::Acquire)
     }
 
-    /// Whether callers are welcome at this daemon.
+    /// Whether the daemon accepts callers: it is ready and not draining.
     #[must_use]
     pub fn accepts_callers(&self) -> bool {
         self.is_ready() && !self.is_draining()
     }
 
-    /// Lets work in.
+    /// Marks the daemon as ready, so that it accepts work.
     pub fn become_ready(&self) {
         self.ready.store(true, Ordering::Release);
     }
 
-    /// Records when a stop was first requested; the time that is left counts from then.
+    /// Records the time of the first stop request, from which the remaining time is counted.
     pub fn note_stop_request(&self, now: Instant) {
-        // A later request changes nothing.
+        // Later requests have no effect.
         let _ = self.stop_requested_at.compare_exchange(0, now.0, Ordering::AcqRel, Ordering::Acquire);
     }
 
-    /// Takes new work only where no other daemon can from now on, and notifies every connected daemon at once.
+    /// Starts draining: from now on the daemon accepts new work only when no other daemon can take it. Notifies all connected daemons
+    /// immediately.
     pub fn start_draining(&self) {
         self.note_stop_request(clock::now());
         self.draining.store(true, Ordering::Release);
         self.notify_peers();
     }
 
-    /// Sends a heartbeat on every link at once: the server started or stopped taking work.
+    /// Sends a heartbeat on every link immediately, since the server started or stopped accepting work.
     pub fn notify_peers(&self) {
         self.work_changed.notify_waiters();
     }
 
-    /// Waits for the next [`Self::notify_peers`]; one that comes before the future is enabled is missed.
+    /// Waits for the next [`Self::notify_peers`]; a call before the future is enabled is missed.
     pub fn work_changed(&self) -> Notified<'_> {
         self.work_changed.notified()
     }
 
-    /// How far the stop of this daemon has come, whose intake is in this phase.
+    /// Progress of the stop of this daemon, given the phase of its intake.
     #[must_use]
     pub fn stop_state(&self, phase: IntakePhase) -> StopState {
-        // Read in this order: the moment is recorded before the drain begins.
+        // The order of the reads matters: the time is recorded before the drain begins.
         let draining_for = self.is_draining().then(|| {
             let requested_at = Instant(self.stop_requested_at.load(Ordering::Acquire));
             clock::now().since(requested_at)
@@ -101,13 +102,12 @@
         StopState { phase, draining_for, grace: self.grace }
     }
 
-    /// Counts a readiness check that was answered with "not ready" during a drain: the load balancer that asked has learned
-    /// from it that the daemon leaves.
+    /// Counts a readiness check answered with "not ready" during a drain, which tells the load balancer that the daemon leaves.
     pub fn count_not_ready_answer(&self) {
         self.not_ready_answers.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Readiness checks answered with "not ready" during a drain.
+    /// Number of readiness checks answered with "not ready" during a drain.
     #[must_use]
     pub fn not_ready_answers(&self) -> usize {
         self.not_ready_answers.load(Ordering::Relaxed)
--- a/crates/seamhatchd/src/link_host.rs
+++ b/crates/seamhatchd/src/link_host.rs
@@ -1,4 +1,5 @@
-//! This daemon as its connections to other daemons see it: what they report of it, and where their reports go.
+//! The interface between this daemon and its links to other daemons: supplies the state that links report, and processes the reports
+//! that they receive.
 
 use crate::base::clock;
 use crate::base::metrics::BadInput;
--- a/crates/seamhatchd/src/main.rs
+++ b/crates/seamhatchd/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon's program; everything is in the library.
+//! The binary of the daemon; all code is in the library.
 
 use std::process::ExitCode;
 
--- a/crates/seamhatchd/src/ports.rs
+++ b/crates/seamhatchd/src/ports.rs
@@ -1,7 +1,7 @@
-//! What a deployment plugs into the daemon: its store, its documents, its HTTP conventions.
+//! Interfaces that a deployment implements for the daemon: store, document format, HTTP conventions.
 //!
-//! The daemon decides, keeps state and recovers; an adapter for a platform only translates, through the traits named here. A program
-//! chooses its [`Ports`] once, at the start; the product's own are [`Ports::own`].
+//! The daemon makes decisions, keeps state and recovers from faults; an adapter for a platform only translates, through the traits
+//! named here. A program chooses its [`Ports`] once, at the start; [`Ports::own`] returns the product's own.
 
 use crate::conventions::{HttpConventions, OwnConventions};
 use crate::settings::Settings;
@@ -10,12 +10,12 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// How configurations are written down.
+/// Format of configuration documents.
 pub trait DocumentFormat: fmt::Debug + Send + Sync {
-    /// Reads the value that an operator has written into a followed store.
+    /// Parses a value that an operator has written into a followed store.
     ///
     /// # Errors
-    /// It is not a configuration of this format.
+    /// The value is not a configuration in this format.
     fn read(&self, value: &[u8]) -> Result<StoredConfiguration, ConfigurationError>;
 
     /// Checks and compiles a document.
@@ -25,7 +25,7 @@
     fn compile(&self, document: &str) -> Result<Configuration, ConfigurationError>;
 }
 
-/// The product's own documents.
+/// The product's own document format, TOML.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TomlDocuments;
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// A store that operators write into and that keeps what it acknowledged, with the names of its keys.
+/// A durable store into which operators write, with the names of its keys.
 #[derive(Debug, Clone)]
 pub struct FollowedStore {
     /// The store.
@@ -51,39 +51,39 @@
     pub member_prefix: String,
 }
 
-/// Where configurations come from, and who remembers accepted ones.
+/// Source of configurations, and the place where accepted ones are kept.
 #[derive(Debug, Clone)]
 pub enum Backing {
-    /// Operators submit to daemons, whose witnesses hold what was accepted; the store may go back in time.
+    /// Operators submit configurations to daemons, and the witnesses hold the accepted ones; the store may revert to an earlier state.
     Witnessed(StoreClient),
-    /// Operators write into a store that keeps what it acknowledged, so the daemons only follow it.
+    /// Operators write into a store that never loses an acknowledged write, so the daemons only follow it.
     Followed(FollowedStore),
 }
 
-/// Which listeners take requests.
+/// The listeners that accept requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryLayout {
-    /// Callers and the back end beside the daemon use listeners of their own.
+    /// Callers and the back end beside the daemon use separate listeners.
     Separate,
-    /// Callers and the back end share one listener; the back end's calls are recognized by their names.
+    /// Callers and the back end share one listener; calls of the back end are recognized by their names.
     Shared,
 }
 
-/// Everything that a deployment plugs in.
+/// All interfaces that a deployment supplies.
 #[derive(Debug, Clone)]
 pub struct Ports {
-    /// How HTTP carries names, deadlines and outcomes.
+    /// Mapping of names, deadlines and outcomes to HTTP.
     pub conventions: Arc<dyn HttpConventions>,
-    /// How configurations are written down.
+    /// Format of configuration documents.
     pub documents: Arc<dyn DocumentFormat>,
-    /// Where they come from.
+    /// Source of configurations.
     pub backing: Backing,
-    /// Which listeners take requests.
+    /// The listeners that accept requests.
     pub layout: EntryLayout,
 }
 
 impl Ports {
-    /// The product's own.
+    /// The product's own implementations.
     #[must_use]
     pub fn own(settings: &Settings) -> Self {
         Self {
--- a/crates/seamhatchd/src/reload.rs
+++ b/crates/seamhatchd/src/reload.rs
@@ -1,7 +1,7 @@
-//! Reading the settings again at SIGHUP.
+//! Reload of the settings on SIGHUP.
 //!
-//! Only the log level changes at once; for all else a warning names the table that counts after the next start. Runs as a task of the
-//! traffic runtime, started by [`crate::startup`].
+//! Only the log level takes effect immediately; for all other changes a warning names the table that takes effect after the next
+//! start. Runs as a task on the traffic runtime, started by [`crate::startup`].
 
 use crate::settings::{self, Invocation, Settings};
 use crate::shared::Shared;
@@ -10,23 +10,23 @@
 use std::sync::Arc;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Receives SIGHUP from now on, which ends the process until then; to be called in a runtime.
+/// Installs the handler for SIGHUP; before that the signal ends the process. Must be called within a runtime.
 ///
 /// # Errors
-/// Signals can't be received.
+/// The signal handler can't be installed.
 pub fn receive_hangups() -> std::io::Result<Signal> {
     signal(SignalKind::hangup())
 }
 
-/// Reads the settings again at each SIGHUP, with the arguments of the start.
+/// Reloads the settings on each SIGHUP, with the arguments of the start.
 pub async fn reload_on_hangup(shared: Arc<Shared>, arguments: Vec<OsString>, mut hangups: Signal) {
     while hangups.recv().await.is_some() {
         match settings::from_arguments(arguments.clone()) {
             Ok(Invocation::Run(read)) => apply(&shared.settings, &read),
-            // The arguments are those of a start, so they ask to run.
+            // The arguments are those with which the daemon was started, so they request a run.
             Ok(Invocation::Help | Invocation::Version | Invocation::Check(_)) => {}
             Err(problem) => {
-                error!(error = problem.to_string().as_str(); "the settings can't be read again; the earlier ones stay");
+                error!(error = problem.to_string().as_str(); "settings could not be reloaded; the earlier settings stay in force");
             }
         }
     }
@@ -50,7 +50,7 @@
     ];
     for (table, same) in unchanged {
         if !same {
-            warn!(table = table; "changed settings of this table count after the next start");
+            warn!(table = table; "changed settings of this table take effect after the next start");
         }
     }
 }
--- a/crates/seamhatchd/src/settings/checks.rs
+++ b/crates/seamhatchd/src/settings/checks.rs
@@ -1,7 +1,7 @@
-//! Checks of the settings, each with an error that names key, value and remedy.
+//! Validation of the settings. Each error names the key, the value and the remedy.
 //!
-//! One function for each table of the settings file. What is wrong is reported in the order of the checks, one value at a time. Called by
-//! [`super::from_arguments`] only, at the start and when the settings are read again.
+//! There is one function per table of the settings file. The first invalid value in the order of the checks is reported. Only
+//! [`super::from_arguments`] calls this module, at the start and when the settings are reloaded.
 
 use super::file::{
     AdvertiseFile, BackendFile, ListenFile, LogFile, MembershipFile, QuotasFile, RetriesFile, SettingsFile,
@@ -13,32 +13,32 @@
 use seamhatch_core::quota::QuotaPolicy;
 use std::time::Duration;
 
-/// Most traffic threads. Chosen, not measured: more than a machine beside one back end has cores.
+/// Maximum number of traffic threads; more than the number of cores of a machine that runs one back end.
 const MAX_THREADS: usize = 64;
-/// Traffic threads where the settings don't say. Chosen, not measured.
+/// Default number of traffic threads.
 const DEFAULT_TRAFFIC_THREADS: usize = 2;
-/// Span in seconds in which a tenant's limit is judged, where the settings don't say. Chosen, not measured.
+/// Default window in seconds over which a tenant's limit is evaluated.
 const DEFAULT_QUOTA_WINDOW_S: f64 = 5.0;
-/// Part by which a tenant's limit may be exceeded in that span, where the settings don't say. Chosen, not measured.
+/// Default fraction by which a tenant's limit may be exceeded in that window.
 const DEFAULT_QUOTA_OVERAGE: f64 = 0.1;
-/// Shards of each limit, where the settings don't say. Chosen, not measured: the loss of one holder costs an eighth of the limit, and an
-/// eighth of some tens of requests a second is still some requests a second.
+/// Default number of shards of each limit. The loss of one holder costs an eighth of the limit, and an eighth of some tens of
+/// requests per second is still some requests per second.
 const DEFAULT_QUOTA_SHARDS: u32 = 8;
-/// Most shards of a limit: members report those that they hold as the bits of a 64-bit number.
-const MOST_QUOTA_SHARDS: usize = u64::BITS as usize;
-/// Most slots of a back end. Chosen, not measured: finds a mistyped number.
+/// Maximum number of shards of a limit: members report the shards that they hold as a 64-bit mask.
+const MAX_QUOTA_SHARDS: usize = u64::BITS as usize;
+/// Maximum number of slots of a back end; catches mistyped numbers.
 const MAX_SLOTS: u32 = 10_000;
-/// Longest name of a cluster, region, zone or service, in bytes. Chosen, not measured: names go with each member's record.
-const LONGEST_NAME: usize = 40;
-/// Shortest bound on how long a key may outlive its end, in milliseconds. Chosen, not measured: less leaves no time to ask the store
-/// again after an answer that was lost.
-const SHORTEST_REVOCATION_MS: f64 = 2_000.0;
+/// Maximum length of the name of a cluster, region, zone or service, in bytes; each member's record contains these names.
+const MAX_NAME_BYTES: usize = 40;
+/// Minimum bound on the time for which a removed key may still be accepted, in milliseconds. A smaller value leaves no time to ask
+/// the store again after a lost answer.
+const MIN_REVOCATION_MS: f64 = 2_000.0;
 
 impl SettingsFile {
     /// Checks all values.
     ///
     /// # Errors
-    /// The first value that can't be used.
+    /// The first invalid value.
     pub(super) fn check(self) -> Result<Settings, SettingsError> {
         let listen = self.listen.check()?;
         let advertise = self.advertise.check(&listen)?;
@@ -84,7 +84,7 @@
 }
 
 impl AdvertiseFile {
-    /// Addresses that aren't set are those of the listeners.
+    /// Addresses that aren't set default to those of the listeners.
     fn check(&self, listen: &ListenSettings) -> Result<AdvertiseSettings, SettingsError> {
         Ok(AdvertiseSettings {
             peer: optional_address("advertise.peer", self.peer.clone())?.unwrap_or(listen.peer),
@@ -94,7 +94,7 @@
 }
 
 impl BackendFile {
-    /// A back end that registers reports its slots itself; until then it has one.
+    /// A back end that registers reports its own slots; until then it counts as having one.
     fn check_slots(&self, listen: &ListenSettings) -> Result<u32, SettingsError> {
         let slots = match (self.slots, listen.registry) {
             (Some(slots), _) => slots,
@@ -133,7 +133,7 @@
 impl TenantsFile {
     fn check(self) -> Result<Option<Duration>, SettingsError> {
         let Some(milliseconds) = self.revocation_ms else { return Ok(None) };
-        let range = SHORTEST_REVOCATION_MS..=3_600_000.0;
+        let range = MIN_REVOCATION_MS..=3_600_000.0;
         number_in("tenants.revocation_ms", milliseconds, range, "a number from 2000 to 3600000")?;
         Ok(Some(Duration::from_secs_f64(milliseconds / 1e3)))
     }
@@ -148,7 +148,7 @@
         number_in("quotas.window_s", window, 1.0..=3600.0, "a number from 1 to 3600")?;
         number_in("quotas.overage", overage, 0.01..=1.0, "a number from 0.01 to 1")?;
         number_in("quotas.slack", slack, 0.0..=1e6, "a number from 0 to 1000000")?;
-        in_range("quotas.shards", shards as usize, 1..=MOST_QUOTA_SHARDS, "a number from 1 to 64")?;
+        in_range("quotas.shards", shards as usize, 1..=MAX_QUOTA_SHARDS, "a number from 1 to 64")?;
         let window = Duration::from_secs_f64(window).as_micros() as Microseconds;
         Ok(QuotaPolicy { window, overage, slack, shards })
     }
@@ -159,7 +159,7 @@
         let Some(ratio) = self.ratio else { return Ok(None) };
         let slack = self.slack.unwrap_or_default();
         number_in("retries.ratio", ratio, 0.0..=1.0, "a number from 0 to 1")?;
-        // Accepted and not used: daemons keep within the ratio without it.
+        // Accepted but unused: daemons keep within the ratio without it.
         number_in("retries.slack", slack, 0.0..=1e6, "a number from 0 to 1000000")?;
         Ok(Some(RetryBound { ratio }))
     }
@@ -189,7 +189,7 @@
 fn name(key: &'static str, flag: &'static str, value: Option<String>) -> Result<String, SettingsError> {
     let value = value.ok_or(SettingsError::Missing { key, flag })?;
     let allowed = |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
-    if value.is_empty() || value.len() > LONGEST_NAME || !value.chars().all(allowed) {
+    if value.is_empty() || value.len() > MAX_NAME_BYTES || !value.chars().all(allowed) {
         let wanted = "1 to 40 letters, digits, '-', '_' or '.'";
         return Err(SettingsError::Invalid { key: key.to_owned(), value, wanted });
     }
--- a/crates/seamhatchd/src/settings/file.rs
+++ b/crates/seamhatchd/src/settings/file.rs
@@ -1,12 +1,12 @@
-//! The form of the settings file.
+//! The format of the settings file.
 //!
-//! Only names and types; values are checked in `checks`. Unknown keys are refused.
+//! Defines only names and types; `checks` validates the values. Unknown keys are rejected.
 
 use super::SettingsError;
 use serde::Deserialize;
 use std::path::Path;
 
-/// The settings file as written; every key may be left out in favour of a flag.
+/// The settings file as written. Every key is optional here, as a flag may set it instead.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(super) struct SettingsFile {
@@ -109,10 +109,10 @@
 }
 
 impl SettingsFile {
-    /// Reads a file; its values are checked later.
+    /// Reads a file without validating its values.
     ///
     /// # Errors
-    /// It can't be read, or has a key that is not known.
+    /// The file can't be read, is not valid TOML, or contains an unknown key.
     pub(super) fn read(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| SettingsError::Unreadable { path: path.to_owned(), source })?;
--- a/crates/seamhatchd/src/settings/flags.rs
+++ b/crates/seamhatchd/src/settings/flags.rs
@@ -1,4 +1,4 @@
-//! Flags of the command line, which win over the settings file, and the help text.
+//! Command-line flags, which override the settings file, and the help text.
 
 use super::SettingsError;
 use super::file::SettingsFile;
@@ -36,7 +36,7 @@
   --help, --version
 ";
 
-/// The value of a flag, if it is given.
+/// The value of a flag, if the flag is given.
 ///
 /// # Errors
 /// The flag has no value.
@@ -60,10 +60,10 @@
     })
 }
 
-/// Replaces values of the settings file by those of flags.
+/// Replaces values of the settings file with the values of flags.
 ///
 /// # Errors
-/// A flag's value can't be read.
+/// The value of a flag can't be parsed.
 pub(super) fn apply_flags(file: &mut SettingsFile, arguments: &mut Arguments) -> Result<(), SettingsError> {
     let texts: [(&'static str, &mut Option<String>); 18] = [
         ("--cluster", &mut file.cluster),
--- a/crates/seamhatchd/src/settings/mod.rs
+++ b/crates/seamhatchd/src/settings/mod.rs
@@ -1,7 +1,7 @@
-//! A daemon's settings, from a TOML file and from flags; flags win.
+//! A daemon's settings, from a TOML file and from flags; flags override the file.
 //!
-//! [`from_arguments`] reads and checks them: at the start, and again when the process receives SIGHUP. [`Settings`] never changes
-//! afterwards. Names of keys and flags are part of the operators' interface (docs/OPERATIONS.md).
+//! [`from_arguments`] reads and checks them at the start, and again when the process receives SIGHUP. A [`Settings`] value never
+//! changes afterwards. Names of keys and flags are part of the operators' interface (docs/OPERATIONS.md).
 
 mod checks;
 mod file;
@@ -19,7 +19,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Settings that can't be used.
+/// Invalid settings.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file can't be read.
@@ -30,12 +30,12 @@
         /// Why.
         source: std::io::Error,
     },
-    /// The file isn't valid.
+    /// The file has invalid syntax.
     #[error("the settings file {path} is not valid: {detail}; correct the line it names")]
     Syntax {
         /// The file.
         path: PathBuf,
-        /// The parser's message, with the place.
+        /// The parser's message, with the position.
         detail: String,
     },
     /// A value is missing.
@@ -46,14 +46,14 @@
         /// The flag.
         flag: &'static str,
     },
-    /// A value can't be used.
+    /// A value is invalid.
     #[error("`{key}` is {value:?}, which is not {wanted}; write {wanted}")]
     Invalid {
         /// The key in the file.
         key: String,
         /// The value given.
         value: String,
-        /// What it should be.
+        /// Description of valid values.
         wanted: &'static str,
     },
     /// Two listeners share an address.
@@ -69,7 +69,7 @@
     /// An unknown flag or a flag without its value.
     #[error("{detail}; see seamhatchd --help")]
     Flag {
-        /// What is wrong.
+        /// Description of the error.
         detail: String,
     },
 }
@@ -91,35 +91,35 @@
     pub advertise: AdvertiseSettings,
     /// HTTP address of the back end.
     pub backend: Address,
-    /// Slots that the back end has; one that registers reports its own.
+    /// Number of slots of the back end; a back end that registers reports its own.
     pub slots: u32,
     /// HTTP address of the key-value service.
     pub store: Address,
     /// HTTP address of the machine list, if there is one.
     pub machines: Option<Address>,
-    /// Gossip addresses of the members that are asked first.
+    /// Gossip addresses of the members contacted first.
     pub seeds: Vec<Address>,
-    /// Whether the whole deployment starts for the first time, so that no departure can have been forgotten.
+    /// Whether the whole deployment starts for the first time, so that no earlier departure can be missing.
     pub first_start: bool,
-    /// Time between a stop request and the end of the process, at most; none for a stop that waits for all work.
+    /// Maximum time between a stop request and the end of the process; `None` for a stop that waits for all work.
     pub grace: Option<Duration>,
     /// Bound on the retries that the whole deployment may cause at one service, if there is one.
     pub retries: Option<RetryBound>,
-    /// Longest time after the acceptance of a configuration for which any daemon, however it is cut off, still accepts a key that the
-    /// configuration removed; none where a daemon may always use the newest configuration that it knows.
+    /// Maximum time after the acceptance of a configuration for which any daemon, even a partitioned one, still accepts a key that the
+    /// configuration removed; `None` when a daemon may always use the newest configuration that it knows.
     pub revocation: Option<Duration>,
-    /// How exactly the tenants' limits are enforced.
+    /// Precision with which the tenants' limits are enforced.
     pub quota: QuotaPolicy,
-    /// Logs.
+    /// Log level and format.
     pub log: LogSettings,
-    /// Threads for requests, connections between daemons and to the back end.
+    /// Number of threads for requests and for connections to other daemons and to the back end.
     pub traffic_threads: usize,
 }
 
-/// Bound on the retries of all daemons at one service, in any window of some seconds.
+/// Bound on the retries of all daemons at one service, in any window of a few seconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBound {
-    /// Retries for each request to the service, from 0 to 1.
+    /// Retries per request to the service, from 0 to 1.
     pub ratio: f64,
 }
 
@@ -128,7 +128,7 @@
 pub struct ListenSettings {
     /// HTTP, for callers.
     pub ingress: Address,
-    /// HTTP, for the back end's own calls; none where they come in at the ingress.
+    /// HTTP, for the back end's own calls; `None` when they arrive at the ingress.
     pub egress: Option<Address>,
     /// TCP, for other daemons.
     pub peer: Address,
@@ -136,41 +136,41 @@
     pub gossip: Address,
     /// HTTP, for operators.
     pub admin: Address,
-    /// HTTP, for the back end's heartbeats; none where it is always there.
+    /// HTTP, for the back end's heartbeats; `None` when the back end counts as always present.
     pub registry: Option<Address>,
-    /// HTTP, where the operators' pages are served too, at a fixed port for collectors of metrics. The daemon
-    /// runs without it where it can't be bound.
+    /// HTTP, a second listener for the operators' pages at a fixed port for metrics collectors. The daemon runs without it when the
+    /// address can't be bound.
     pub metrics: Option<Address>,
 }
 
-/// Addresses announced to other daemons; those of the listeners unless set.
+/// Addresses announced to other daemons; default to those of the listeners.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdvertiseSettings {
     /// TCP.
     pub peer: Address,
-    /// UDP; names the member.
+    /// UDP; identifies the member.
     pub gossip: Address,
 }
 
 /// Log settings.
 #[derive(Debug, Clone, Copy)]
 pub struct LogSettings {
-    /// Least level that is written.
+    /// Lowest level that is written.
     pub level: log::LevelFilter,
-    /// Form of a line.
+    /// Format of a line.
     pub format: LogFormat,
 }
 
-/// Form of a log line.
+/// Format of a log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// What the command line asks for.
+/// Action requested on the command line.
 #[derive(Debug)]
 pub enum Invocation {
     /// Print the help.
@@ -179,14 +179,14 @@
     Version,
     /// Check the settings and stop.
     Check(Box<Settings>),
-    /// Run.
+    /// Run the daemon.
     Run(Box<Settings>),
 }
 
 /// Reads the command line and, if it names one, the settings file.
 ///
 /// # Errors
-/// [`SettingsError`], the first that is found.
+/// The first [`SettingsError`] found.
 pub fn from_arguments(arguments: Vec<OsString>) -> Result<Invocation, SettingsError> {
     let mut arguments = Arguments::from_vec(arguments);
     if arguments.contains(["-h", "--help"]) {
--- a/crates/seamhatchd/src/shared.rs
+++ b/crates/seamhatchd/src/shared.rs
@@ -1,8 +1,8 @@
-//! The parts of a daemon that its threads share.
+//! State of a daemon that its threads share.
 //!
-//! Made once at the start by [`crate::startup`] and never replaced. Fields are grouped by layer, so that a piece can be handed only the
-//! group that it uses. What a call may do while the daemon starts, drains or ends is asked here, as it depends on the state of
-//! the process and of the back end together.
+//! [`crate::startup`] creates it once at the start; it is never replaced. Fields are grouped by layer, so that a component can be given
+//! only the group that it uses. Whether a call is accepted while the daemon starts, drains or ends is decided here, since it depends on
+//! the state of both the process and the back end.
 
 use crate::base::clock;
 use crate::base::metrics::Metrics;
@@ -30,40 +30,40 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The parts of a daemon that its threads share.
+/// State of a daemon that its threads share.
 #[derive(Debug)]
 pub struct Shared {
     /// Checked settings.
     pub settings: Settings,
-    /// This run of the process.
+    /// Identifies this run of the process.
     pub incarnation: Incarnation,
     /// Counters and gauges.
     pub metrics: Arc<Metrics>,
     /// The back end beside this daemon.
     pub server: Arc<LocalServer>,
-    /// Evidence about requests that were at work when servers crashed, here and elsewhere.
+    /// Evidence about requests that were running when servers crashed, here and elsewhere.
     pub suspects: Arc<SuspectRegistry>,
-    /// How HTTP carries names, deadlines and outcomes.
+    /// Mapping of names, deadlines and outcomes to HTTP.
     pub conventions: Arc<dyn HttpConventions>,
-    /// Messages to other daemons that are not written yet.
+    /// Messages to other daemons that have not been written yet.
     pub unwritten: UnwrittenMessages,
-    /// Daemons that may send calls here and have not heard that this one ends.
+    /// Daemons that may send calls here and have not yet acknowledged the end of this one.
     pub shutdown_acks: ShutdownAcks,
     /// Connections to other daemons.
     pub pool: Arc<PeerPool>,
-    /// Claims, as a witness and as a claimant.
+    /// Claims granted as a witness and made as a claimant.
     pub claims: Arc<ClaimState>,
-    /// Makes the claims of calls that are not repeatable.
+    /// Makes claims for non-repeatable calls.
     pub claimant: Arc<Claimant>,
-    /// What all daemons bound together.
+    /// Limits that all daemons enforce together.
     pub limits: Arc<SharedLimits>,
-    /// Floors met below the entry routes.
+    /// Admission floors of the services called below the entry routes.
     pub entry_floors: EntryFloors,
-    /// What requests of each kind cost below the entry routes.
+    /// Cost of each kind of request below the entry routes.
     pub chain_costs: ChainCosts,
-    /// The control thread.
+    /// Handle of the control thread.
     pub control: ControlHandle,
-    /// The state that the control thread published last.
+    /// The latest state published by the control thread.
     pub published: Arc<ArcSwap<Snapshot>>,
     /// Whether this process is ready, draining or about to end.
     pub lifecycle: DaemonLifecycle,
@@ -79,7 +79,7 @@
         self.published.load()
     }
 
-    /// What charging a request to its tenant uses.
+    /// The context for charging a request to its tenant.
     #[must_use]
     pub fn quota_context(&self) -> QuotaContext<'_> {
         QuotaContext {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// What the detection of crashes uses.
+    /// The context for the detection of crashes.
     #[must_use]
     pub fn crash_context(&self) -> CrashContext<'_> {
         CrashContext {
@@ -108,20 +108,20 @@
         self.lifecycle.is_draining()
     }
 
-    /// How far the stop of this daemon has come.
+    /// Progress of the stop of this daemon.
     #[must_use]
     pub fn stop_state(&self) -> StopState {
         self.lifecycle.stop_state(self.intake.phase())
     }
 
-    /// Whether callers that come now are refused, as the process is about to end. Until then they are served,
-    /// as they may not have learnt yet that it leaves.
+    /// Whether new callers are refused because the process is about to end. Until then they are served, since they may not know yet that
+    /// the daemon leaves.
     #[must_use]
     pub fn refuses_callers(&self) -> bool {
         self.stop_state().refuses_callers()
     }
 
-    /// Which calls the back end beside this daemon gets.
+    /// Which calls are accepted for the back end beside this daemon.
     #[must_use]
     pub fn call_intake(&self) -> CallIntake {
         let instances = &self.server.instances;
@@ -130,7 +130,7 @@
         self.stop_state().intake(self.lifecycle.is_ready(), back_end)
     }
 
-    /// The back end has said in an answer that it leaves: it gets nothing more from now on.
+    /// Handles a back end's announcement in an answer that it leaves; it receives no further calls.
     pub fn note_leaving(&self, instance: Option<&InstanceId>) {
         let instances = &self.server.instances;
         let is_news = match instance {
@@ -148,42 +148,42 @@
         }
     }
 
-    /// Another daemon hands back what the back end said before this process started.
+    /// Restores the back end's notice from before this process started, as returned by another daemon.
     pub fn restore_notice(&self, notice: &BackEndNotice) {
         if let Some(rate) = notice.rate {
             self.server.notices.hand_back_rate(notice.instance.as_ref(), rate);
         }
-        // One without a name may be another one by now.
+        // An unnamed instance may have been replaced since.
         if let Some(instance) = notice.instance.as_ref().filter(|_| notice.leaving) {
             self.note_leaving(Some(instance));
         }
     }
 
-    /// Whether a call of another daemon that starts now can end before the process does; `usual` is how long calls of its kind take.
+    /// Whether a call of another daemon that starts now can finish before the process ends; `usual` is the usual duration of such calls.
     #[must_use]
     pub fn can_finish(&self, expiry: Instant, usual: Option<Microseconds>) -> bool {
         self.stop_state().can_finish(expiry, usual, clock::now())
     }
 
-    /// The deadline with which work that is due by `expiry` is sent on now.
+    /// The deadline for work with the deadline `expiry` that is forwarded now, capped by the end of this process.
     #[must_use]
     pub fn capped_expiry(&self, expiry: Instant) -> Instant {
         self.stop_state().cap_expiry(expiry, clock::now())
     }
 
-    /// Whether the server beside this daemon takes new work.
+    /// Whether the server beside this daemon accepts new work.
     #[must_use]
     pub fn accepts_work(&self) -> bool {
         self.accepts_callers() && self.server.instances.is_open()
     }
 
-    /// Whether callers are welcome at this daemon.
+    /// Whether the daemon accepts callers: it is ready and not draining.
     #[must_use]
     pub fn accepts_callers(&self) -> bool {
         self.lifecycle.accepts_callers()
     }
 
-    /// A number for a new call.
+    /// A unique number for a new call.
     #[must_use]
     pub fn new_call_id(&self) -> CallId {
         CallId(self.next_call.fetch_add(1, Ordering::Relaxed))
--- a/crates/seamhatchd/src/snapshot.rs
+++ b/crates/seamhatchd/src/snapshot.rs
@@ -1,7 +1,7 @@
-//! What the control thread publishes to the threads that carry traffic: configuration, servers, and witnesses.
+//! State that the control thread publishes to the traffic threads: configuration, servers, and witnesses.
 //!
-//! A [`Snapshot`] is never changed in place, so that one request sees one state. The control thread makes and replaces it; everything on
-//! the request path reads it without waiting.
+//! A [`Snapshot`] is immutable, so that a request sees one consistent state. The control thread creates and replaces it; the request
+//! path reads it without blocking.
 
 use seamhatch_core::claims::{ClaimKey, Epoch};
 use seamhatch_core::generation::Generation;
@@ -18,9 +18,9 @@
     pub peer: Address,
     /// Its zone.
     pub zone: String,
-    /// Slots that it reported.
+    /// Number of slots that it reported.
     pub slots: u32,
-    /// Its daemon drains: only for calls that no other server can take.
+    /// Whether its daemon drains: it is used only for calls that no other server can take.
     pub leaving: bool,
 }
 
@@ -29,16 +29,16 @@
 pub struct ShardView<'a> {
     /// Number of the shard.
     pub shard: u32,
-    /// Epoch to claim in.
+    /// Epoch for new claims.
     pub epoch: Epoch,
-    /// The daemons to ask.
+    /// The witnesses to ask.
     pub witnesses: &'a [WitnessId],
 }
 
-/// One immutable state of everything that decides where calls go.
+/// An immutable snapshot of all state that determines where calls are sent.
 #[derive(Debug, Default)]
 pub struct Snapshot {
-    /// Configuration in force and its generation; none before the first.
+    /// Configuration in force and its generation; `None` before the first.
     pub configuration: Option<(Generation, Arc<Configuration>)>,
     /// Servers by service.
     pub servers: HashMap<String, Vec<Server>>,
@@ -47,7 +47,7 @@
 }
 
 impl Snapshot {
-    /// Generation in force, zero for none.
+    /// Generation in force; zero for none.
     #[must_use]
     pub fn generation(&self) -> Generation {
         self.configuration.as_ref().map(|(generation, _)| *generation).unwrap_or_default()
@@ -59,14 +59,14 @@
         self.configuration.as_ref().map(|(_, configuration)| configuration)
     }
 
-    /// Whether there is a configuration, and a server for each of its services.
+    /// Whether there is a configuration in force and at least one server for each of its services.
     #[must_use]
     pub fn has_servers_for_all_services(&self) -> bool {
         let known = |service: &str| self.servers.get(service).is_some_and(|servers| !servers.is_empty());
         self.configuration().is_some_and(|configuration| configuration.services().all(known))
     }
 
-    /// The witnesses that decide about `key`; none before the first roster.
+    /// The witnesses that decide claims of `key`; `None` before the first roster.
     #[must_use]
     pub fn shard_of(&self, key: ClaimKey) -> Option<ShardView<'_>> {
         let index = key.shard(self.roster.shards.len());
--- a/crates/seamhatchd/src/startup.rs
+++ b/crates/seamhatchd/src/startup.rs
@@ -1,6 +1,7 @@
-//! Starting the daemon: reads the settings, makes the parts that its threads share, and starts threads and listeners.
+//! Start of the daemon: reads the settings, creates the shared state, and starts threads and listeners.
 //!
-//! Nothing lives here longer than a start; the module `stop` takes over until the process ends. The binaries call [`run`] or [`run_with`].
+//! This module keeps no state after the start; the module `stop` handles the rest of the process's life. The binaries call [`run`] or
+//! [`run_with`].
 
 use crate::base::logging;
 use crate::base::metrics::Metrics;
@@ -48,10 +49,10 @@
 use tokio::runtime::{Builder, Handle, Runtime};
 use tokio::sync::mpsc;
 
-/// Exit code for settings that can't be used.
+/// Exit code for invalid settings.
 const EXIT_SETTINGS: u8 = 2;
 
-/// Runs the daemon with the product's own store, documents and conventions. Returns the exit code of the program.
+/// Runs the daemon with the product's own store, document format and conventions. Returns the exit code of the program.
 pub fn run(arguments: Vec<OsString>) -> ExitCode {
     run_with(arguments, |settings| {
         if settings.listen.egress.is_none() {
@@ -61,7 +62,7 @@
     })
 }
 
-/// Runs the daemon with what a deployment plugs in. Returns the exit code of the program: 2 for settings that can't be used.
+/// Runs the daemon with the ports of a deployment. Returns the exit code of the program: 2 for invalid settings.
 pub fn run_with(
     arguments: Vec<OsString>,
     ports: impl FnOnce(&Settings) -> Result<Ports, SettingsError>,
@@ -80,17 +81,17 @@
                 println!("settings are valid");
                 ExitCode::SUCCESS
             }
-            Err(error) => unusable(&error),
+            Err(error) => report_settings_error(&error),
         },
         Ok(Invocation::Run(settings)) => match ports(&settings) {
             Ok(ports) => serve(*settings, &ports, arguments),
-            Err(error) => unusable(&error),
+            Err(error) => report_settings_error(&error),
         },
-        Err(error) => unusable(&error),
+        Err(error) => report_settings_error(&error),
     }
 }
 
-fn unusable(error: &SettingsError) -> ExitCode {
+fn report_settings_error(error: &SettingsError) -> ExitCode {
     eprintln!("seamhatchd: {error}");
     ExitCode::from(EXIT_SETTINGS)
 }
@@ -113,7 +114,7 @@
 
 fn try_serve(settings: Settings, ports: &Ports, arguments: Vec<OsString>) -> std::io::Result<()> {
     let traffic = traffic_runtime(settings.traffic_threads)?;
-    // Before anything listens: a signal that isn't received yet ends the process at once.
+    // Before any listener starts: without a handler a signal ends the process immediately.
     let (signals, hangups) = {
         let _runtime = traffic.enter();
         (StopSignals::receive()?, reload::receive_hangups()?)
@@ -136,13 +137,13 @@
     );
     traffic.block_on(until_stopped(&shared, listeners, signals));
     info!("stopped");
-    // Not the listeners' own graceful stop: it lets new connections hang, and waits for idle ones. Until here each
+    // The listeners' own graceful shutdown is not used: it leaves new connections hanging and waits for idle ones. Up to this point every
     // request was answered with `Connection: close`.
     traffic.shutdown_background();
     Ok(())
 }
 
-/// The runtime of the threads that carry traffic. A single thread needs no scheduler that shares work among several.
+/// The runtime of the traffic threads. A single thread needs no work-stealing scheduler.
 fn traffic_runtime(threads: usize) -> std::io::Result<Runtime> {
     if threads == 1 {
         return Builder::new_current_thread().enable_all().build();
@@ -150,7 +151,8 @@
     Builder::new_multi_thread().worker_threads(threads).thread_name("traffic").enable_all().build()
 }
 
-/// The shared parts of one daemon. Its connections to others live on `traffic` and report to `host`, which these parts become.
+/// Creates the shared state of the daemon. Its connections to other daemons run on `traffic` and report to `host`, a weak reference
+/// to the returned value.
 fn assemble(
     settings: Settings,
     ports: &Ports,
@@ -174,7 +176,7 @@
     );
     Shared {
         incarnation,
-        server: Arc::new(server_side(&settings, incarnation, &metrics, &conventions)),
+        server: Arc::new(local_server(&settings, incarnation, &metrics, &conventions)),
         suspects: Arc::default(),
         conventions,
         pool,
@@ -195,8 +197,8 @@
     }
 }
 
-/// The back end beside the daemon, from its settings.
-fn server_side(
+/// Creates the state of the back end beside the daemon from the settings.
+fn local_server(
     settings: &Settings,
     incarnation: Incarnation,
     metrics: &Arc<Metrics>,
@@ -214,7 +216,7 @@
     }
 }
 
-/// What all daemons bound together, from the settings.
+/// Creates the limits that all daemons enforce together from the settings.
 fn shared_limits(settings: &Settings) -> SharedLimits {
     SharedLimits {
         retry_budget: RetryBudget::new(settings.retries),
@@ -226,9 +228,10 @@
     }
 }
 
-/// Larger than any earlier one at this address unless the wall clock was set back; membership then takes a larger one still.
+/// A new incarnation, greater than any earlier one at this address unless the wall clock was set back; in that case membership chooses a
+/// greater one.
 fn new_incarnation() -> Incarnation {
-    // A clock before the epoch counts as one at it.
+    // A clock before the epoch is treated as being at the epoch.
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Incarnation(now.as_micros() as u64)
 }
