--- a/crates/seamhatchd/src/conventions/own.rs
+++ b/crates/seamhatchd/src/conventions/own.rs
@@ -1,8 +1,8 @@
-//! The product's own conventions: `Seamhatch-*` header fields, and problems as JSON.
+//! The product's own conventions: `Seamhatch-*` header fields, and errors as JSON.
 
 use super::{
-    AnswerMark, AnswerVerdict, BackEndCall, CallerCredential, CallerTerms, HttpConventions, OwnAnswer, field,
-    named_rate, says_yes, text,
+    AnswerClassification, AnswerMark, BackEndCall, CallerCredential, CallerTerms, HttpConventions, OwnAnswer,
+    field, is_flag_set, named_rate, text,
 };
 use crate::conventions::headers;
 use bytes::Bytes;
@@ -15,7 +15,7 @@
 use seamhatch_wire::HeaderField;
 use serde::Serialize;
 
-/// Context, deadline and outcome in `Seamhatch-*` fields; problems as JSON.
+/// Conventions with context, deadline and outcome in `Seamhatch-*` fields, and errors as JSON.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct OwnConventions;
 
@@ -40,7 +40,7 @@
     }
 
     fn passes_through(&self, name: &str) -> bool {
-        // `expect` is answered here, and `host` is set again for the back end.
+        // The daemon handles `expect` itself and sets `host` anew for the back end.
         !name.starts_with(headers::PREFIX) && !matches!(name, "expect" | "host")
     }
 
@@ -60,16 +60,21 @@
         vec![field(headers::CONTEXT, call.context), field(headers::DEADLINE, call.expiry.0.to_string())]
     }
 
-    fn judge(&self, _call: &BackEndCall<'_>, _status: StatusCode, _headers: &HeaderMap) -> AnswerVerdict {
-        AnswerVerdict::Answer
+    fn classify_answer(
+        &self,
+        _call: &BackEndCall<'_>,
+        _status: StatusCode,
+        _headers: &HeaderMap,
+    ) -> AnswerClassification {
+        AnswerClassification::Answer
     }
 
-    fn notice(&self, _verdict: &AnswerVerdict, headers: &HeaderMap) -> AnswerNotice {
+    fn notice(&self, _classification: &AnswerClassification, headers: &HeaderMap) -> AnswerNotice {
         AnswerNotice {
             rate: named_rate(headers, headers::BACKEND_RATE),
-            leaving: says_yes(headers, headers::BACKEND_LEAVING),
+            leaving: is_flag_set(headers, headers::BACKEND_LEAVING),
             proven: true,
-            // Its own refusals are answers here, which go on to the caller as they are.
+            // Refusals of the back end count as answers here and are forwarded to the caller unchanged.
             return_after: None,
         }
     }
