--- a/crates/seamhatch-core/src/drain.rs
+++ b/crates/seamhatch-core/src/drain.rs
@@ -19,8 +19,8 @@
 /// Work in progress is aborted this long before the grace period ends, so that its callers still get an answer.
 pub const END_MARGIN: Duration = Duration::from_millis(300);
 
-/// Work that is forwarded during a drain has a deadline this long before that, so that an answer that a server gives
-/// at its deadline arrives in time.
+/// The deadline of work forwarded during a drain lies this long before [`END_MARGIN`] begins, so that an answer that a
+/// server gives at its deadline arrives in time.
 pub const ANSWER_MARGIN: Duration = Duration::from_millis(200);
 
 /// Fraction of the grace period in which callers are still served. A request that is accepted in it has the rest of
--- a/crates/seamhatch-core/src/intake.rs
+++ b/crates/seamhatch-core/src/intake.rs
@@ -3,9 +3,9 @@
 //!
 //! [`IntakeGate`] decides both in one step: a request is either counted before the intake closes, or refused after
 //! it. The intake closes for good with nothing in progress ([`IntakeGate::close_if_idle`]), or by force when the time
-//! is up ([`IntakeGate::close`]); requests that are in progress then are cut off, and their number is known. No
-//! request is passed on and then lost with the process. [`crate::drain`] decides what is accepted for how long. The
-//! daemon locks the gate in `seamhatchd::intake`; a model check covers it.
+//! is up ([`IntakeGate::close`]); requests that are in progress then are cut off, and their number is known. So no
+//! request is passed on and then lost unnoticed with the process. [`crate::drain`] decides what is accepted for how long.
+//! The daemon locks the gate in `seamhatchd::intake`; a model check covers it.
 
 use thiserror::Error;
 
@@ -23,7 +23,7 @@
 
 /// No requests are accepted any more: the process is about to end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("this daemon ends and takes nothing more; use another one")]
+#[error("the daemon is shutting down and accepts no more requests; send the request to another daemon")]
 pub struct IntakeClosed;
 
 /// Phase of an intake, and number of accepted requests that are in progress.
--- a/crates/seamhatch-core/src/membership/dissemination.rs
+++ b/crates/seamhatch-core/src/membership/dissemination.rs
@@ -5,7 +5,7 @@
 use crate::crashes::SuspectReport;
 use crate::identity::Address;
 
-/// Deployments with fewer members than this report every suspect to all of them. 50 suspects are eight datagrams for
+/// Deployments with fewer members than this report every suspect to all of them. About 50 suspects are eight datagrams for
 /// each member; sent to more members at once, they would not fit into the buffer of a socket.
 const FULL_REPORT_LIMIT: usize = 32;
 
