--- a/crates/seamhatchd/src/base/http_client.rs
+++ b/crates/seamhatchd/src/base/http_client.rs
@@ -2,7 +2,7 @@
 //!
 //! `hyper-util` pools their connections.
 
-use crate::base::keepalive::{KEEPALIVE_IDLE, KEEPALIVE_INTERVAL, KEEPALIVE_PROBES, SILENCE_TIMEOUT};
+use crate::base::keepalive::{KEEPALIVE_IDLE, KEEPALIVE_INTERVAL, KEEPALIVE_PROBES, UNACKNOWLEDGED_TIMEOUT};
 use hyper::body::Body;
 use hyper_util::client::legacy::Client;
 use hyper_util::client::legacy::connect::HttpConnector;
@@ -39,7 +39,7 @@
     connector.set_keepalive(Some(KEEPALIVE_IDLE));
     connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
     connector.set_keepalive_retries(Some(KEEPALIVE_PROBES));
-    connector.set_tcp_user_timeout(Some(SILENCE_TIMEOUT));
+    connector.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
     client(connector, 0)
 }
 
--- a/crates/seamhatchd/src/base/keepalive.rs
+++ b/crates/seamhatchd/src/base/keepalive.rs
@@ -18,15 +18,15 @@
 pub const KEEPALIVE_PROBES: u32 = 2;
 /// Time without an acknowledgement after which a connection is closed. One second less than the 3 s in which a daemon must recover
 /// from a fault of its connections, so that a new connection has time to work.
-pub const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
+pub const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Conditions under which a connection counts as half-open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SilenceCheck {
     /// Probes of the idle connection get no answer. The other side may leave bytes unread.
     WhileIdle,
-    /// Additionally, bytes are not acknowledged for [`SILENCE_TIMEOUT`]. The kernel also counts bytes that the other side is slow to
-    /// read, so a request must fit into its buffers.
+    /// Additionally, bytes are not acknowledged for [`UNACKNOWLEDGED_TIMEOUT`]. The kernel also counts bytes that the other side is
+    /// slow to read, so a request must fit into its buffers.
     Always,
 }
 
@@ -53,7 +53,7 @@
     let timeout = match check {
         // Zero selects the kernel's default timeout.
         SilenceCheck::WhileIdle => 0,
-        SilenceCheck::Always => SILENCE_TIMEOUT.as_millis() as u32,
+        SilenceCheck::Always => UNACKNOWLEDGED_TIMEOUT.as_millis() as u32,
     };
     Ok(sockopt::set_tcp_user_timeout(stream, timeout)?)
 }
--- a/crates/seamhatchd/src/base/metrics.rs
+++ b/crates/seamhatchd/src/base/metrics.rs
@@ -121,7 +121,7 @@
 /// Value of [`Metrics::named_rate`] when there is no rate.
 pub const NO_NAMED_RATE: i64 = -1;
 
-/// Value of [`Metrics::pace_percent`] and [`Metrics::work_milliseconds`] when the back end reports none.
+/// Value of [`Metrics::pace_percent`] and [`Metrics::work_milliseconds`] when the back end reports no percentage.
 pub const NO_PACE: i64 = -1;
 
 /// Converts a span to seconds, the unit of the histograms.
@@ -168,11 +168,12 @@
     pub waiting: Gauge,
     /// Calls that may run at once.
     pub limit: Gauge,
-    /// Rate that the back end requests, in thousandths of a call per second; -1 when it requests none.
+    /// Rate that the back end names, in thousandths of a call per second; -1 when it names none.
     pub named_rate: Gauge,
     /// Service time last reported by the back end, in percent of the usual service time; -1 when it reports none.
     pub pace_percent: Gauge,
-    /// Usual service time of its calls, in milliseconds; -1 when it reports none.
+    /// Usual service time of the back end's calls as this daemon measures it, in milliseconds; 0 without a recent sample,
+    /// -1 while the back end reports no pace percentage.
     pub work_milliseconds: Gauge,
     /// Calls whose answer appears to be lost and that no longer hold a slot.
     pub lost: Gauge,
--- a/crates/seamhatchd/src/claims/claimant/mod.rs
+++ b/crates/seamhatchd/src/claims/claimant/mod.rs
@@ -24,7 +24,8 @@
 
 /// Timeout for the reply of a witness, including the time to connect to it.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Maximum number of rounds while a shard changes its witnesses. Including the pauses, a claim survives 0.36 s of such a change.
+/// Maximum number of rounds while a shard changes its witnesses. The pauses add up to 0.36 s, so a claim succeeds if
+/// the change takes no longer than that.
 const MAX_ROUNDS: u32 = 4;
 /// Pause after the first round; it grows linearly, so it is twice as long after the second round.
 const ROUND_PAUSE: Duration = Duration::from_millis(60);
--- a/crates/seamhatchd/src/claims/records.rs
+++ b/crates/seamhatchd/src/claims/records.rs
@@ -12,7 +12,7 @@
 use std::sync::{Mutex, MutexGuard};
 
 /// Maximum size of all recorded answer bodies; the oldest records are evicted first.
-const MAX_RECORDED_BYTES: usize = 8 * 1024 * 1024;
+const MAX_TOTAL_RECORDED_BYTES: usize = 8 * 1024 * 1024;
 
 /// Maximum number of records; the oldest are evicted first.
 const MAX_RECORDS: usize = 100_000;
@@ -109,7 +109,7 @@
     }
 
     fn is_full(&self) -> bool {
-        self.bytes > MAX_RECORDED_BYTES || self.order.len() > MAX_RECORDS
+        self.bytes > MAX_TOTAL_RECORDED_BYTES || self.order.len() > MAX_RECORDS
     }
 
     fn oldest_age(&self, now: Instant) -> Option<u64> {
--- a/crates/seamhatchd/src/control/events.rs
+++ b/crates/seamhatchd/src/control/events.rs
@@ -67,7 +67,7 @@
     Departs(InstanceId, oneshot::Sender<InstanceAnswer>),
     /// The instance announced in an answer that it leaves; `None` for an unnamed instance.
     SaysLeaving(Option<InstanceId>),
-    /// An unnamed instance that had announced that it leaves has ended.
+    /// An unnamed instance that had announced that it leaves has ended, or still listens after 60 s.
     LeftUnnamed,
     /// The instance could not be reached, or another instance answered in its place.
     Lost(InstanceId, Reason),
@@ -171,7 +171,7 @@
     /// This daemon stops and asks which duties it still has as a witness.
     Duty(oneshot::Sender<WitnessDuty>),
     /// This daemon stops before others have taken over its shards. It retires as a witness if they can't take over because the store is
-    /// unavailable.
+    /// unavailable, or if no duty remains.
     Retire(oneshot::Sender<Option<Retirement>>),
 }
 
--- a/crates/seamhatchd/src/control/status.rs
+++ b/crates/seamhatchd/src/control/status.rs
@@ -22,7 +22,7 @@
     pub leaving: bool,
     /// Generation of the configuration in force there; `None` when it did not answer.
     pub generation: Option<u64>,
-    /// Rate requested by the server beside it, in thousandths of a call per second; `None` when the reporting daemon knows of no such rate.
+    /// Rate named by the server beside it, in thousandths of a call per second; `None` when the reporting daemon knows of no such rate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rate_millis: Option<u64>,
 }
--- a/crates/seamhatchd/src/controllers/follow/quota_shards.rs
+++ b/crates/seamhatchd/src/controllers/follow/quota_shards.rs
@@ -28,8 +28,8 @@
 /// Duration of a lease without renewal. The shards of a lost holder become free after it.
 ///
 /// The lease must cover a store outage during which freshness proofs stay recent enough, about 5 s, plus the last renewal
-/// before and the first one after it; otherwise no limit is enforceable until all shards are taken again. A longer lease
-/// leaves the shards of a lost daemon unavailable for longer.
+/// before and the first one after it; otherwise nobody grants tokens, and requests of limited tenants are refused, until
+/// the shards are taken again. A longer lease leaves the shards of a lost daemon unavailable for longer.
 const LEASE_DURATION: Duration = Duration::from_secs(8);
 /// Interval between two lease renewals in microseconds. A renewal costs the store a tenth of a read.
 const RENEWAL_INTERVAL: Microseconds = SECOND;
--- a/crates/seamhatchd/src/dispatch/answer.rs
+++ b/crates/seamhatchd/src/dispatch/answer.rs
@@ -13,7 +13,7 @@
 use seamhatch_wire::{AnswerHead, RecordedAnswer};
 
 /// Largest body of an answer that is recorded for repeats of a claimed request, in bytes.
-const MAX_RECORDED_BYTES: usize = 64 * 1024;
+const MAX_RECORDED_ANSWER_BYTES: usize = 64 * 1024;
 
 /// The answer of a back end on its way to the caller. Dropping it before the end of the body
 /// cancels the call.
@@ -56,7 +56,7 @@
 
     fn record(&mut self, piece: &Bytes) {
         let Some(recording) = &mut self.recording else { return };
-        if recording.len() + piece.len() > MAX_RECORDED_BYTES {
+        if recording.len() + piece.len() > MAX_RECORDED_ANSWER_BYTES {
             self.recording = None;
         } else {
             recording.extend_from_slice(piece);
--- a/crates/seamhatchd/src/dispatch/candidates.rs
+++ b/crates/seamhatchd/src/dispatch/candidates.rs
@@ -80,7 +80,7 @@
             success: view.success(now),
             turn_in,
             pace: view.pace(now),
-            status: view.standing(now),
+            status: view.candidate_status(now),
         }
     })
 }
--- a/crates/seamhatchd/src/limits/entry_floors.rs
+++ b/crates/seamhatchd/src/limits/entry_floors.rs
@@ -40,8 +40,8 @@
         self.lock().admits(kind, priority, clock::now())
     }
 
-    /// Returns the service with the lowest floor among those in the chain of this kind of request;
-    /// `None` if all are open.
+    /// Returns the service with the lowest floor among the recorded bottlenecks of this kind of
+    /// request; `None` if all are open.
     #[must_use]
     pub fn bottleneck(&self, kind: &str) -> Option<String> {
         self.lock().bottleneck(kind, clock::now()).map(str::to_owned)
--- a/crates/seamhatchd/src/listeners/read_ahead.rs
+++ b/crates/seamhatchd/src/listeners/read_ahead.rs
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Gives the library the next head. If the bytes there are no head that can be delimited, turns off pipelining
-    /// and gives the library all of them.
+    /// Gives the library the next head. If the end of the head can't be found, turns off pipelining and gives the
+    /// library all bytes.
     fn poll_head(&mut self, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         if self.ahead.is_empty() {
             let count = ready!(self.poll_direct(context, buffer, usize::MAX))?;
--- a/crates/seamhatchd/src/peer/connection_task.rs
+++ b/crates/seamhatchd/src/peer/connection_task.rs
@@ -21,7 +21,7 @@
 /// up a full mesh.
 const IDLE_TIMEOUT: Microseconds = 10 * SECOND;
 /// Time without a message from the peer after which the connection is closed and its calls are lost.
-const SILENCE_TIMEOUT: Microseconds = 20 * SECOND;
+const CLOSE_AFTER_SILENCE: Microseconds = 20 * SECOND;
 /// Backoff after the first attempt to reach a silent peer on a new connection; doubles with each further attempt.
 /// The first attempt is made immediately and costs one handshake.
 const RECONNECT_MIN_BACKOFF: Microseconds = SECOND;
@@ -76,7 +76,7 @@
             self.until_next_check().await;
             let now = clock::now();
             let last_heard = self.state.view().last_heard;
-            let silent = now.since(last_heard) > SILENCE_TIMEOUT;
+            let silent = now.since(last_heard) > CLOSE_AFTER_SILENCE;
             if silent || self.is_idle(now) {
                 return;
             }
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Waits until the peer counts as silent unless heard, or for one interval if it already does. Resolves at an
-    /// instant at which heartbeats are sent, so that it needs no separate wake-up.
+    /// Waits until the time at which the peer would count as silent; if it already does, waits at most one interval.
+    /// Resolves at an instant at which heartbeats are sent, so that it needs no separate wake-up.
     async fn until_next_check(&self) {
         let until_silent = self.state.view().silent_at().since(clock::now());
         let time = next_instant(link::heartbeat_time() + until_silent, IDLE_INTERVAL);
--- a/crates/seamhatchd/src/peer/host.rs
+++ b/crates/seamhatchd/src/peer/host.rs
@@ -27,7 +27,8 @@
     pub server: ServerReport,
     /// Proof that the configuration is the newest, in the local boot clock.
     pub proof: Option<FreshnessProof>,
-    /// When the back end next accepts a call of the peer; none unless the back end names a rate.
+    /// When the back end next accepts a call of the peer; `None` if the back end is not rate-limited (no named rate, and
+    /// no ramp after one).
     pub turn: Option<TurnReport>,
     /// The rate limit and departure that the back end has announced.
     pub notice: Option<BackEndNotice>,
@@ -39,8 +40,8 @@
 
 /// The daemon that owns the connections. The methods are called for each message and must not block.
 pub trait LinkHost: fmt::Debug + Send + Sync {
-    /// The first message on a connection. For a connection opened to `callee`, it returns to the callee what this
-    /// daemon knows of the callee's back end, which the callee may have lost in a restart.
+    /// The first message on a connection. On a connection to `callee`, it also tells the callee what this daemon knows
+    /// of the callee's back end, in case the callee has restarted and lost that.
     fn hello(&self, callee: Option<Address>) -> Hello;
 
     /// The counter of unwritten messages of all connections.
--- a/crates/seamhatchd/src/peer/view.rs
+++ b/crates/seamhatchd/src/peer/view.rs
@@ -21,9 +21,10 @@
     pub(super) is_stopping: bool,
     /// Load of the server; none before the first report.
     pub server: Option<ServerReport>,
-    /// When a draining peer's process ends.
+    /// When a draining peer's forwarded work is due, shortly before its process ends.
     ends_at: Instant,
-    /// When a rate-limited server next accepts a call of this daemon; none if the server names no rate.
+    /// When a rate-limited server next accepts a call of this daemon; `None` if the server is not rate-limited (no named
+    /// rate, and no ramp after one).
     turn: Option<NextTurn>,
     /// The last reported pace of the server, and when it was reported; none before the first report.
     pace: Option<(Option<ServerPace>, Instant)>,
@@ -61,7 +62,8 @@
         self.clock.to_peer(instant).unwrap_or(instant)
     }
 
-    /// Time until a rate-limited server has a turn for a call of this daemon; none if the server names no rate.
+    /// Time until a rate-limited server has a turn for a call of this daemon; `None` if the server is not rate-limited
+    /// (no named rate, and no ramp after one).
     #[must_use]
     pub fn turn_in(&self, now: Instant) -> Option<Microseconds> {
         self.turn.map(|turn| turn.wait(now))
@@ -117,7 +119,7 @@
 
     /// The server's status in the choice among the servers of its service.
     #[must_use]
-    pub fn standing(&self, now: Instant) -> CandidateStatus {
+    pub fn candidate_status(&self, now: Instant) -> CandidateStatus {
         balance::candidate_status(self.intake, self.should_avoid(now), self.ends_at, now)
     }
 
--- a/crates/seamhatchd/src/peer_server/session.rs
+++ b/crates/seamhatchd/src/peer_server/session.rs
@@ -28,7 +28,7 @@
 use tokio::sync::Notify;
 
 /// Time without a message after which the connection is closed; the sending end uses the same value.
-const SILENCE_TIMEOUT: Duration = Duration::from_secs(20);
+const CLOSE_AFTER_SILENCE: Duration = Duration::from_secs(20);
 
 /// The estimated boot clock of the daemon that sends calls. Cheap to clone.
 #[derive(Debug, Clone, Default)]
@@ -77,7 +77,7 @@
 
     async fn read(&self, mut frames: FrameReader<OwnedReadHalf>) -> Result<(), WireError> {
         loop {
-            let next = tokio::time::timeout(SILENCE_TIMEOUT, frames.next()).await;
+            let next = tokio::time::timeout(CLOSE_AFTER_SILENCE, frames.next()).await;
             let next = next.map_err(|_| WireError::Io(std::io::ErrorKind::TimedOut.into()))?;
             let Some(message) = next? else { return Ok(()) };
             self.handle(message);
--- a/crates/seamhatchd/src/server/backend/connections.rs
+++ b/crates/seamhatchd/src/server/backend/connections.rs
@@ -28,8 +28,8 @@
 
 /// Longest wait for a TCP connection; the back end is on the same machine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time for which an idle connection is kept if the back end does not state one, margin included,
-/// in microseconds.
+/// Idle time in microseconds that the back end is assumed to allow if it states none. The connection
+/// is closed [`IDLE_MARGIN`] earlier.
 const DEFAULT_IDLE_TIMEOUT: Microseconds = 8 * SECOND;
 /// Margin by which an idle connection is closed before the back end closes it, so that no call meets
 /// the close, in microseconds.
--- a/crates/seamhatchd/src/store/records.rs
+++ b/crates/seamhatchd/src/store/records.rs
@@ -20,7 +20,7 @@
     /// Departed instances of its back end.
     #[serde(flatten)]
     pub departures: DepartureRecord,
-    /// Requests condemned because of a crash of its back end.
+    /// Evidence against requests that ran in several crashes, condemned or not.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub condemned: Vec<CondemnedRecord>,
 }
