--- a/crates/seamhatch-core/src/admission/knee/mod.rs
+++ b/crates/seamhatch-core/src/admission/knee/mod.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct CallKind(pub u32);
 
-/// The smallest difference between two limits is the number of slots divided by this.
+/// Two limits differ by at least one step: the number of slots divided by this, rounded up.
 const STEPS: u32 = 20;
 
 /// Distances of the first probes of a round below the limit in use, in steps.
--- a/crates/seamhatch-core/src/admission/knee/probe.rs
+++ b/crates/seamhatch-core/src/admission/knee/probe.rs
@@ -4,9 +4,8 @@
 use super::comparison::Comparison;
 use crate::clock::Microseconds;
 
-/// Least number of calls started at one limit before the other one follows; more where more calls run at once. Such a
-/// period lasts about one service time: short enough that drift affects both limits alike, and long enough to take
-/// effect.
+/// A period ends after this many started calls, or after as many as the upper limit if that is larger. Such a period
+/// lasts about one service time: short enough that drift affects both limits alike, and long enough to take effect.
 const MIN_PERIOD_CALLS: u32 = 8;
 
 /// Periods, each about a service time long, after which all calls of a period count as finished. Of the calls of later
--- a/crates/seamhatch-core/src/admission/queue/mod.rs
+++ b/crates/seamhatch-core/src/admission/queue/mod.rs
@@ -5,7 +5,8 @@
 //! than its share of the slots goes first, then the most important waiting class. Within a class, calls are ordered
 //! by bucket, so that every server of a chain prefers the same requests, and then by the age of the root request.
 //! If the deployment orders calls by cost, calls that continue a chain go before first calls of their class. A back
-//! end that names a rate gets calls at that rate, in the same order; estimates made during that time are discarded.
+//! end that names a rate gets calls at that rate, in the same order; at the end of the limit the estimates from before
+//! it are restored, if there were any.
 
 mod lateness;
 mod rate_limited;
@@ -36,7 +37,7 @@
     floor: FloorController,
     service_times: ServiceTimes,
     pace: PaceTracker,
-    /// Set while the back end announces a rate, and during the ramp that follows.
+    /// Set while the back end names a rate, and during the ramp that follows.
     rate_limited: Option<RateLimitedBackEnd>,
 }
 
--- a/crates/seamhatch-core/src/admission/queue/rate_limited.rs
+++ b/crates/seamhatch-core/src/admission/queue/rate_limited.rs
@@ -1,7 +1,7 @@
 //! The queue of a back end that names a rate.
 //!
 //! A call needs permission from the rate limiter in addition to a slot. Calls start in the same order as without a
-//! limit. Estimates made while the limit lasts are discarded at its end.
+//! limit. At its end the estimates from before it are restored, if there were any.
 
 use super::super::Ticket;
 use super::super::rate_limited::{RateLimitedBackEnd, ServiceEstimates};
@@ -11,7 +11,7 @@
 use crate::rate::RequestRate;
 
 impl AdmissionQueue {
-    /// Limits calls to the rate that the back end announces.
+    /// Limits calls to the rate that the back end names.
     pub fn set_rate_limit(&mut self, rate: RequestRate, now: Instant) {
         let estimates =
             || ServiceEstimates { limit: self.limit.clone(), service_times: self.service_times.clone() };
--- a/crates/seamhatch-core/src/admission/rate_limited.rs
+++ b/crates/seamhatch-core/src/admission/rate_limited.rs
@@ -1,14 +1,14 @@
 //! The rate limit that a back end names, and the ramp that follows its end.
 //!
 //! Holds the limiter and the estimates from before the limit. Service times under a limit describe the back end only
-//! while the limit lasts, so the earlier estimates are restored at its end.
+//! while the limit lasts, so the earlier estimates, if any, are restored at its end.
 
 use super::ConcurrencyLimit;
 use super::service_times::ServiceTimes;
 use crate::clock::{Instant, Microseconds, SECOND};
 use crate::rate::{RateLimiter, RequestRate};
 
-/// The ramp starts at this share of the rate that the back end's slots can sustain, or at the announced rate if that is
+/// The ramp starts at this share of the rate that the back end's slots can sustain, or at the named rate if that is
 /// higher.
 const INITIAL_RAMP_SHARE: f64 = 1.0 / 32.0;
 
@@ -36,7 +36,7 @@
         Self { limiter: RateLimiter::new(rate, now), saved: Some(saved) }
     }
 
-    /// Sets the announced rate; saves the present estimates if the limit had ended.
+    /// Sets the named rate; saves the present estimates if the limit had ended.
     pub(super) fn set_rate(
         &mut self,
         rate: RequestRate,
--- a/crates/seamhatch-core/src/admission/slots.rs
+++ b/crates/seamhatch-core/src/admission/slots.rs
@@ -17,7 +17,7 @@
     started: Instant,
     /// Set while the call is part of a limit probe.
     mark: Option<ProbeMark>,
-    /// The call was started under the rate that the back end announces.
+    /// The call has taken a turn of the rate limiter, during a limit or the ramp after it.
     has_turn: bool,
     /// The call makes calls of its own.
     makes_calls: bool,
@@ -85,7 +85,7 @@
         self.shares.start(class, now);
     }
 
-    /// Whether a running call was started under an announced rate.
+    /// Whether a running call has taken a turn of the rate limiter, during a limit or the ramp after it.
     pub(super) fn has_turn(&self, ticket: Ticket) -> bool {
         self.running.get(&ticket).is_some_and(|slot| slot.has_turn)
     }
--- a/crates/seamhatch-core/src/balance/mod.rs
+++ b/crates/seamhatch-core/src/balance/mod.rs
@@ -32,7 +32,8 @@
 pub enum CandidateStatus {
     /// The server takes calls.
     Available,
-    /// The server's daemon stops after this time; the server itself keeps running.
+    /// The forwarded work of the server's daemon is due after this time, shortly before the daemon's process ends; the
+    /// server itself keeps running.
     Leaving(Microseconds),
     /// Chosen only if no other candidate is left: the server fails, is silent or accepts no calls.
     Ejected,
@@ -43,7 +44,7 @@
 pub struct Candidate {
     /// The server is in the caller's zone.
     pub same_zone: bool,
-    /// Concurrency limit that the server reports; all of its slots if it announces a rate, since `turn_in` accounts for
+    /// Concurrency limit that the server reports; all of its slots if it is rate-limited, since `turn_in` accounts for
     /// that.
     pub slots: u32,
     /// Calls that this daemon has in flight to the server.
@@ -52,7 +53,8 @@
     pub reported_load: u32,
     /// Share of recent calls that were answered, 0 to 1.
     pub success: f64,
-    /// Time until the server's rate limit allows a call of this daemon; `None` if it announces no rate.
+    /// Time until the server's rate limit allows a call of this daemon; `None` if the server is not rate-limited (no
+    /// named rate, and no ramp after one).
     pub turn_in: Option<Microseconds>,
     /// Speed of the server according to its reports.
     pub pace: KnownPace,
--- a/crates/seamhatch-core/src/balance/turn.rs
+++ b/crates/seamhatch-core/src/balance/turn.rs
@@ -12,7 +12,7 @@
 /// A daemon that has sent nothing for this long is dropped from the round.
 const SENDER_LIFETIME: Microseconds = 2 * SECOND;
 
-/// Report to a daemon that sends calls, made by the daemon beside a server that announces a rate.
+/// Report to a daemon that sends calls, made by the daemon beside a rate-limited server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Readable, Writable)]
 pub struct TurnReport {
     /// Time until the server can take a call of this sender.
--- a/crates/seamhatch-core/src/claims.rs
+++ b/crates/seamhatch-core/src/claims.rs
@@ -228,7 +228,7 @@
 pub enum ClaimVerdict {
     /// A majority granted the claim: the call may be dispatched.
     Won,
-    /// A majority reported an earlier claim of the same holder.
+    /// A majority reported an earlier claim, all with one and the same holder.
     Held(Claim),
     /// No majority either way. Nothing was dispatched; granted claims must be released.
     NoMajority,
--- a/crates/seamhatch-core/src/instance/registered.rs
+++ b/crates/seamhatch-core/src/instance/registered.rs
@@ -22,8 +22,8 @@
     sequence: u64,
     /// Gets no calls until its next heartbeat.
     pub(super) suspended: bool,
-    /// Known to run by more than one heartbeat, which may be late: its first heartbeat arrived here, it started after
-    /// the registered instance of its name, or it was heard again.
+    /// Whether more than a single, possibly late, heartbeat shows that the instance runs: its first heartbeat arrived
+    /// here, it is a later instance of the registered name, or it was heard again.
     pub(super) confirmed: bool,
 }
 
--- a/crates/seamhatch-core/src/instance/registry.rs
+++ b/crates/seamhatch-core/src/instance/registry.rs
@@ -79,7 +79,8 @@
         self.has_departed(instance) || self.registered.as_ref().is_some_and(drains)
     }
 
-    /// Adds the start time to an identity without one: it means the registered instance if that has the same name.
+    /// If only a name is given and the registered instance has it, returns the identity of that instance, with its
+    /// start time.
     #[must_use]
     pub fn resolve(&self, instance: InstanceId) -> InstanceId {
         match &self.registered {
--- a/crates/seamhatch-core/src/notice.rs
+++ b/crates/seamhatch-core/src/notice.rs
@@ -3,9 +3,10 @@
 //! An overloaded back end names the rate at which it takes requests, in each answer for as long as the rate
 //! applies; a back end that leaves reports that too. Only answers of the present instance count, and they
 //! arrive in any order: an answer that was started before a change may arrive after it. So a lower rate
-//! applies at once. A higher rate, or none, applies only from an answer to a request that was sent after the
-//! last answer with each lower rate had arrived. If the daemon beside the back end restarts, the daemons that
-//! know the rate hand it back ([`BackEndNotice`]), and it applies until the back end's first own answer.
+//! applies at once. A higher rate, or none, applies only from an answer whose request was sent after all
+//! answers with a lower rate had arrived. If the daemon beside the back end restarts, the daemons that know
+//! the rate hand it back ([`BackEndNotice`]), and it applies until an answer of the back end sets or clears the
+//! rate.
 //!
 //! Used by `seamhatchd::server::notices` and the model check of notices.
 
@@ -90,8 +91,8 @@
     /// The rate in force, and higher rates from later answers that may have been started before it was named.
     /// Each is later and higher than the one before.
     announcements: Vec<Announcement>,
-    /// The instance itself has answered since this process started.
-    has_answered: bool,
+    /// An answer of the instance has set or cleared the rate since this process started.
+    has_own_rate_report: bool,
     /// Rates handed back for instances that have not registered here.
     handed_back: VecDeque<(Option<InstanceId>, RequestRate)>,
 }
@@ -117,7 +118,7 @@
         }
         let before = self.rate();
         self.instance = instance.cloned();
-        self.has_answered = false;
+        self.has_own_rate_report = false;
         self.announcements = self.lowest_handed_back().map(Announcement::handed_back).into_iter().collect();
         self.change_from(before)
     }
@@ -152,7 +153,7 @@
             return RateChange::Unchanged;
         }
         let before = self.rate();
-        if !self.has_answered && before.is_none_or(|known| rate < known) {
+        if !self.has_own_rate_report && before.is_none_or(|known| rate < known) {
             self.announcements = vec![Announcement::handed_back(rate)];
         }
         self.change_from(before)
@@ -170,7 +171,7 @@
     }
 
     fn observe_rate(&mut self, rate: RequestRate, sent: Instant, now: Instant) {
-        self.has_answered = true;
+        self.has_own_rate_report = true;
         let lower = |announcement: &Announcement| announcement.rate < rate;
         let is_out_of_date = self
             .announcements
@@ -178,7 +179,8 @@
             .any(|announcement| lower(announcement) && sent <= announcement.received);
         self.announcements.retain(|announcement| is_out_of_date && lower(announcement));
         if self.announcements.len() == MAX_ANNOUNCEMENTS {
-            // Keeps only the lower one of the two highest rates, which errs on the safe side.
+            // Drops the new rate and the highest known one, and dates the rate below them to now: this keeps a
+            // lower rate for longer, never a higher one.
             self.announcements.pop();
             self.announcements.last_mut().into_iter().for_each(|announcement| announcement.received = now);
         } else {
@@ -188,7 +190,7 @@
 
     fn observe_no_rate(&mut self, sent: Instant) {
         if self.announcements.iter().all(|announcement| sent > announcement.received) {
-            self.has_answered = true;
+            self.has_own_rate_report = true;
             self.announcements.clear();
         }
     }
--- a/crates/seamhatch-core/src/pipeline.rs
+++ b/crates/seamhatch-core/src/pipeline.rs
@@ -4,13 +4,13 @@
 //! given the bytes of one request, and the next head only once the answer before it is written
 //! ([`Pipeline::next_input`]). Bytes that arrive in the meantime are read ahead, and a request in them is started
 //! ahead of its turn if it and all unanswered requests before it are repeatable ([`Pipeline::may_start`]). An answer
-//! closes the connection only if no request started ahead is unanswered behind it
+//! closes the connection only if no request taken ahead is unanswered behind it
 //! ([`Pipeline::try_close_after_this`]): a request that has reached a server would be cut off.
 //!
 //! If the library and the read-ahead parser disagree on where a request ends, the connection is served without
 //! pipelining from then on ([`NextInput::PassThrough`]).
 
-/// Maximum number of unanswered requests of one connection that are started ahead. Bounds the slots and memory that a
+/// Maximum number of unanswered requests of one connection that are taken ahead. Bounds the slots and memory that a
 /// connection takes.
 pub const MAX_STARTED_AHEAD: usize = 16;
 
@@ -41,12 +41,12 @@
     PassThrough,
 }
 
-/// Whether a request that the library has read was started ahead.
+/// Whether a request that the library has read was taken ahead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOrigin {
-    /// It is the first of the requests that were started ahead.
+    /// It is the first of the requests that were taken ahead: started, or waiting for its turn if not repeatable.
     StartedAhead,
-    /// It has not been started. Requests that were started ahead must be cancelled.
+    /// It is a new request. Requests that were taken ahead must be cancelled.
     New,
 }
 
@@ -66,7 +66,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Pipeline {
     stage: Stage,
-    /// Requests started ahead that the library has not read yet.
+    /// Requests taken ahead that the library has not read yet.
     ahead: usize,
     /// All unanswered requests are repeatable, as far as is known.
     all_repeatable: bool,
@@ -134,7 +134,7 @@
         RequestOrigin::New
     }
 
-    /// Records whether the request in progress, which was not started ahead, is repeatable.
+    /// Records whether the request in progress, which was not taken ahead, is repeatable.
     pub fn note_repeatable(&mut self, repeatable: bool) {
         self.all_repeatable = repeatable;
     }
@@ -191,15 +191,15 @@
         self.closing = true;
     }
 
-    /// Closes the connection after the answer to the request in progress if no request was started behind it; no more
-    /// requests are started then. Returns whether it closes.
+    /// Closes the connection after the answer to the request in progress if no request was taken ahead behind it; no
+    /// more requests are started then. Returns whether it closes.
     #[must_use]
     pub fn try_close_after_this(&mut self) -> bool {
         self.closing |= self.ahead == 0;
         self.ahead == 0
     }
 
-    /// Gives the library all bytes as they arrive from now on. Requests that were started ahead no longer count.
+    /// Gives the library all bytes as they arrive from now on. Requests that were taken ahead no longer count.
     pub fn pass_through(&mut self) {
         self.stage = Stage::PassThrough;
         self.ahead = 0;
--- a/crates/seamhatch-core/src/quota/mod.rs
+++ b/crates/seamhatch-core/src/quota/mod.rs
@@ -55,15 +55,16 @@
     pub window: Microseconds,
     /// Fraction of the limit that may be exceeded in a window.
     pub overage: f64,
-    /// Number of requests that may be exceeded in addition.
+    /// Number of requests by which the limit may be exceeded in addition.
     pub slack: f64,
     /// Number of shards that each limit is divided into.
     pub shards: ShardNumber,
 }
 
 impl QuotaPolicy {
-    /// Lifetime of a token, counted from when it was asked for. What fills during a lifetime is the allowed
-    /// excess of the rate, so that the whole burst of a tenant is left for its bucket.
+    /// Lifetime of a token, counted from when it was asked for. Between its bounds, the tokens that a bucket
+    /// gains in one lifetime equal the excess over the rate that is allowed in a window, so a tenant's bucket can
+    /// hold its whole burst.
     #[must_use]
     pub fn token_lifetime(&self) -> Microseconds {
         ((self.window as f64 * self.overage) as Microseconds).clamp(MIN_PAUSE, SECOND)
--- a/crates/seamhatch-core/src/return_time.rs
+++ b/crates/seamhatch-core/src/return_time.rs
@@ -45,8 +45,9 @@
 /// different times.
 const RETURN_JITTER: f64 = 0.5;
 
-/// Share of the callers returning at the last moment whose answers should meet their objective. With the
-/// median instead, or without this bound, more answers come late while as many requests are refused.
+/// A caller that returns at the latest advised time should be answered within its objective with this
+/// probability. With the median instead, or without this bound, more answers come late while as many requests
+/// are refused.
 pub const ON_TIME_SHARE: f64 = 0.9;
 
 /// Return time after a refusal at the entry. `closed_for` is the time since the service last admitted
--- a/crates/seamhatch-core/src/roster.rs
+++ b/crates/seamhatch-core/src/roster.rs
@@ -53,8 +53,8 @@
 }
 
 impl Assignment {
-    /// Smallest number of sealed witnesses that leaves no majority to grant a claim, and that together remember every
-    /// claim granted by a majority.
+    /// Smallest number of witnesses to seal so that the rest are no majority, and so that every claim granted by a
+    /// majority is known to one of the sealed ones.
     fn seal_quorum(&self) -> usize {
         let majority = self.witnesses.len() / 2 + 1;
         self.witnesses.len() + 1 - majority
@@ -83,7 +83,7 @@
     }
 }
 
-/// Shards that a daemon still witnesses, which delay the end of its graceful shutdown.
+/// What a stopping daemon still has to hand over as a witness. Its graceful shutdown waits for that.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WitnessDuty {
     /// Other daemons have taken over all shards.
@@ -131,7 +131,8 @@
     Leaving,
     /// Not answering or presumed dead. To be replaced, though it may still be running.
     Unreachable,
-    /// A later incarnation was seen at its address, so its memory is gone.
+    /// Its memory is gone: a later incarnation was seen at its address, or its machine was removed from the platform's
+    /// list and its member record is dead or missing.
     Ended,
     /// Nothing is known about it, as this daemon has just started.
     Unknown,
